--- a/xtask/src/main.rs
+++ b/xtask/src/main.rs
@@ -2,10 +2,13 @@
 
 mod docs;
 mod known_red;
+mod outer_names;
 
 use clap::{Parser, Subcommand};
 use docs::check_docs;
 use known_red::known_red;
+use outer_names::missing_names;
+use std::path::Path;
 use std::process::{Command, ExitCode};
 use std::time::Instant;
 
@@ -107,6 +110,15 @@
     }
 }
 
+/// Prints the names that leave a process and no longer stand in the sources; returns whether all do.
+fn check_outer_names() -> bool {
+    let missing = missing_names(Path::new("."));
+    for name in &missing {
+        eprintln!("xtask: an outer name is gone from the sources: {name}");
+    }
+    missing.is_empty()
+}
+
 /// Repeats the randomised tests; stops at the first failure and names its seed.
 fn soak(first: u64, seconds: u64) -> bool {
     const CASES: &str = "2000";
@@ -181,8 +193,8 @@
     let args = XtaskArgs::parse();
     let passed = match args.chore {
         XtaskChore::Soak { seed, seconds } => soak(seed, seconds),
-        XtaskChore::CheckDocs => check_docs(),
-        XtaskChore::Ci => check_docs() && args.chore.steps().iter().all(run),
+        XtaskChore::CheckDocs => check_docs() && check_outer_names(),
+        XtaskChore::Ci => check_docs() && check_outer_names() && args.chore.steps().iter().all(run),
         _ => args.chore.steps().iter().all(run),
     };
     match passed {
