--- a/dockgate-core/src/gateway.rs
+++ b/dockgate-core/src/gateway.rs
@@ -21,6 +21,7 @@
 mod answer_rule;
 mod box_beat;
 mod broken_endpoints;
+mod decaying_usage;
 mod domain_reach;
 mod endpoint_book;
 mod endpoint_health;
@@ -29,9 +30,10 @@
 mod engine_load;
 mod era_book;
 mod event_splitter;
-mod fair_taking;
+mod fair_usage;
 mod fleet_view;
 mod home_order;
+mod load_shedder;
 mod loop_lag;
 mod notice_book;
 mod prefix_cache;
@@ -45,16 +47,14 @@
 mod share_credit;
 mod share_level;
 mod share_reports;
-mod share_sums;
 mod share_tally;
-mod share_window;
+mod share_tracker;
 mod store_duty;
 mod store_probe;
 mod store_revision;
 mod suspect_book;
 mod wake_gate;
 mod watch_check;
-mod work_shed;
 
 pub use admission::{AdmissionRule, EngineVerdict};
 pub use answer_rule::{AnswerOwner, AnswerSigns, AnswerVerdict};
@@ -62,6 +62,7 @@
     BoxBeat, BoxKnowledge, BoxReport, BoxRow, BoxStanding, DigestScope, DomainKey, FleetDigest,
 };
 pub use broken_endpoints::{BreakNews, BrokenEndpoints};
+pub use decaying_usage::UsageRow;
 pub use domain_reach::DomainReach;
 pub use endpoint_book::{
     EndpointBook, EndpointChange, EndpointEntry, EndpointNews, ExpiredNews, LearnedNews,
@@ -75,6 +76,7 @@
 pub use event_splitter::{EventSplitter, SplitEvent};
 pub use fleet_view::{BoxNews, FleetView, InformedBox};
 pub use home_order::{best_homes, home_subject, name_hash, owner_of_endpoint};
+pub use load_shedder::LoadShedder;
 pub use loop_lag::{LagChange, LoopLag};
 pub use notice_book::{NoticeBook, NoticeNews};
 pub use prefix_cache::PrefixCache;
@@ -90,10 +92,9 @@
     WorkspaceKeys, WorkspaceRef,
 };
 pub use share_level::ShareLevel;
-pub use share_reports::{ShareScope, ShareSource, ShareTeller};
-pub use share_sums::ShareRow;
+pub use share_reports::{ShareHeader, ShareScope, ShareSource};
 pub use share_tally::{ShareOutcome, ShareTally, TallyRow};
-pub use share_window::ShareWindow;
+pub use share_tracker::ShareTracker;
 pub use store_duty::{OwnReach, StoreDuty, StoreWatchers};
 pub use store_probe::{ProbeNews, ProbeRule, StoreProbe};
 pub use store_revision::StoreRevision;
@@ -102,7 +103,6 @@
 };
 pub use wake_gate::WakeGate;
 pub use watch_check::WatchCheck;
-pub use work_shed::WorkShed;
 
 #[cfg(test)]
 mod jump_tests;
--- a/dockgate-core/src/gateway/share_sums.rs
+++ b/dockgate-core/src/gateway/decaying_usage.rs
@@ -6,85 +6,85 @@
 
 /// One workspace's sums as boxes tell them, in service units.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ShareRow {
+pub struct UsageRow {
     /// The workspace, as a hash of its name.
     pub workspace: u64,
-    /// What was asked for lately.
-    pub asked: u64,
-    /// What was asked for over about the window in which shares are owed.
-    pub asked_long: u64,
+    /// What was requested for lately.
+    pub requested: u64,
+    /// What was requested for over about the window in which shares are owed.
+    pub requested_long: u64,
     /// What was admitted lately.
-    pub given: u64,
+    pub admitted: u64,
 }
 
-impl ShareRow {
-    const fn new(workspace: u64, sum: ShareSum) -> Self {
+impl UsageRow {
+    const fn new(workspace: u64, sum: WorkspaceUsage) -> Self {
         Self {
             workspace,
-            asked: sum.asked.round() as u64,
-            asked_long: sum.asked_long.round() as u64,
-            given: sum.given.round() as u64,
+            requested: sum.requested.round() as u64,
+            requested_long: sum.requested_long.round() as u64,
+            admitted: sum.admitted.round() as u64,
         }
     }
 }
 
 /// One workspace's sums, in service units.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub(super) struct ShareSum {
-    /// What was asked for lately.
-    pub(super) asked: f64,
-    /// What was asked for over about the window in which shares are owed.
-    pub(super) asked_long: f64,
+pub(super) struct WorkspaceUsage {
+    /// What was requested for lately.
+    pub(super) requested: f64,
+    /// What was requested for over about the window in which shares are owed.
+    pub(super) requested_long: f64,
     /// What was admitted lately.
-    pub(super) given: f64,
+    pub(super) admitted: f64,
 }
 
-impl ShareSum {
+impl WorkspaceUsage {
     /// Below this it counts as nothing, in service units.
     const LEAST: f64 = 0.5;
 
-    /// Counts what is asked for.
+    /// Counts what is requested for.
     pub(super) const fn ask(&mut self, units: f64) {
-        self.asked += units;
-        self.asked_long += units;
+        self.requested += units;
+        self.requested_long += units;
     }
 
     pub(super) const fn plus(self, other: Self) -> Self {
         Self {
-            asked: self.asked + other.asked,
-            asked_long: self.asked_long + other.asked_long,
-            given: self.given + other.given,
+            requested: self.requested + other.requested,
+            requested_long: self.requested_long + other.requested_long,
+            admitted: self.admitted + other.admitted,
         }
     }
 
-    const fn fade(self, kept: KeptPart) -> Self {
+    const fn fade(self, kept: DecayFactors) -> Self {
         Self {
-            asked: self.asked * kept.short,
-            asked_long: self.asked_long * kept.long,
-            given: self.given * kept.short,
+            requested: self.requested * kept.short,
+            requested_long: self.requested_long * kept.long,
+            admitted: self.admitted * kept.short,
         }
     }
 
     const fn is_nothing(&self) -> bool {
-        self.asked_long < Self::LEAST && self.given < Self::LEAST
+        self.requested_long < Self::LEAST && self.admitted < Self::LEAST
     }
 }
 
-impl From<ShareRow> for ShareSum {
-    fn from(row: ShareRow) -> Self {
+impl From<UsageRow> for WorkspaceUsage {
+    fn from(row: UsageRow) -> Self {
         Self {
-            asked: row.asked as f64,
-            asked_long: row.asked_long as f64,
-            given: row.given as f64,
+            requested: row.requested as f64,
+            requested_long: row.requested_long as f64,
+            admitted: row.admitted as f64,
         }
     }
 }
 
 /// The sums of each workspace, by the hash of its name.
-pub(super) type ShareSums = BTreeMap<u64, ShareSum>;
+pub(super) type UsageTable = BTreeMap<u64, WorkspaceUsage>;
 
 /// Adds sums to others.
-pub(super) fn add_sums(total: &mut ShareSums, sums: &ShareSums) {
+pub(super) fn add_sums(total: &mut UsageTable, sums: &UsageTable) {
     for (workspace, sum) in sums {
         let known = total.entry(*workspace).or_default();
         *known = known.plus(*sum);
@@ -92,21 +92,21 @@
 }
 
 /// Adds sums up in a row that stands for no workspace.
-pub(super) fn total_row(sums: &ShareSums) -> ShareRow {
-    let total = sums.values().copied().reduce(ShareSum::plus);
-    ShareRow::new(0, total.unwrap_or_default())
+pub(super) fn total_row(sums: &UsageTable) -> UsageRow {
+    let total = sums.values().copied().reduce(WorkspaceUsage::plus);
+    UsageRow::new(0, total.unwrap_or_default())
 }
 
 /// Lists sums, those that ask for most where there are too many for a datagram: who asks for less than
 /// the others is held back last.
-pub(super) fn share_rows(sums: &ShareSums) -> Vec<ShareRow> {
+pub(super) fn share_rows(sums: &UsageTable) -> Vec<UsageRow> {
     /// How many rows a datagram holds; each has about 20 bytes.
     const MOST_ROWS: usize = 200;
     let rows = sums.iter();
-    let rows = rows.map(|(workspace, sum)| ShareRow::new(*workspace, *sum));
-    let mut rows: Vec<ShareRow> = rows.collect();
+    let rows = rows.map(|(workspace, sum)| UsageRow::new(*workspace, *sum));
+    let mut rows: Vec<UsageRow> = rows.collect();
     if rows.len() > MOST_ROWS {
-        rows.sort_unstable_by_key(|row| Reverse(row.asked));
+        rows.sort_unstable_by_key(|row| Reverse(row.requested));
         rows.truncate(MOST_ROWS);
     }
     rows
@@ -114,7 +114,7 @@
 
 /// Over how long sums fade to 1/e, in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(super) struct FadeTimes {
+pub(super) struct DecayTimes {
     /// Those of the last moments.
     pub(super) short_ms: f64,
     /// Those over about the window in which shares are owed.
@@ -123,36 +123,36 @@
 
 /// Which parts of sums are left.
 #[derive(Debug, Clone, Copy)]
-struct KeptPart {
+struct DecayFactors {
     short: f64,
     long: f64,
 }
 
 /// What a box counts itself.
 #[derive(Debug, Default)]
-pub(super) struct FadingSums {
+pub(super) struct DecayingUsage {
     /// What was counted up to the last look.
-    old: ShareSums,
+    old: UsageTable,
     /// What was counted since.
-    newest: ShareSums,
+    newest: UsageTable,
     looked_ms: u64,
 }
 
-impl FadingSums {
+impl DecayingUsage {
     /// Returns the newest sums of a workspace, to count in.
-    pub(super) fn count(&mut self, workspace: u64) -> &mut ShareSum {
+    pub(super) fn count(&mut self, workspace: u64) -> &mut WorkspaceUsage {
         self.newest.entry(workspace).or_default()
     }
 
     /// Returns the sums as of now.
-    pub(super) fn faded(&self, times: FadeTimes, now_ms: u64) -> ShareSums {
+    pub(super) fn faded(&self, times: DecayTimes, now_ms: u64) -> UsageTable {
         let passed_ms = now_ms.saturating_sub(self.looked_ms) as f64;
-        let kept = |left: fn(f64) -> f64| KeptPart {
+        let kept = |left: fn(f64) -> f64| DecayFactors {
             short: left(passed_ms / times.short_ms),
             long: left(passed_ms / times.long_ms),
         };
         let (old, newest) = (kept(left_of_old), kept(left_of_newest));
-        let fade = |sums: &ShareSums, kept| -> ShareSums {
+        let fade = |sums: &UsageTable, kept| -> UsageTable {
             let sums = sums.iter();
             sums.map(|(workspace, sum)| (*workspace, sum.fade(kept)))
                 .collect()
@@ -163,7 +163,7 @@
     }
 
     /// Lets the sums fade up to now, and drops those of which nothing is left.
-    pub(super) fn fade(&mut self, times: FadeTimes, now_ms: u64) {
+    pub(super) fn fade(&mut self, times: DecayTimes, now_ms: u64) {
         self.old = self.faded(times, now_ms);
         self.old.retain(|_, sum| !sum.is_nothing());
         self.newest.clear();
@@ -171,8 +171,8 @@
     }
 
     /// Returns the sums of one workspace, as of the last look and all that came since.
-    pub(super) fn of(&self, workspace: u64) -> ShareSum {
-        let sum = |sums: &ShareSums| sums.get(&workspace).copied().unwrap_or_default();
+    pub(super) fn of(&self, workspace: u64) -> WorkspaceUsage {
+        let sum = |sums: &UsageTable| sums.get(&workspace).copied().unwrap_or_default();
         sum(&self.old).plus(sum(&self.newest))
     }
 }
--- a/dockgate-core/src/gateway/fair_taking.rs
+++ b/dockgate-core/src/gateway/fair_usage.rs
@@ -2,7 +2,7 @@
 
 /// What was taken lately, and how much may be.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(super) struct FairTaking {
+pub(super) struct FairUsage {
     /// Service units that were taken here, fading.
     taken: f64,
     /// When that was worked out.
@@ -13,7 +13,7 @@
     fleet_part: f64,
 }
 
-impl FairTaking {
+impl FairUsage {
     /// In how many milliseconds what was taken falls to 1/e.
     const MEMORY_MS: f64 = 1_000.0;
 
@@ -47,7 +47,7 @@
     }
 
     /// Notes that a prompt of so many service units was taken.
-    pub(super) fn note(&mut self, units: f64, now_ms: u64) {
+    pub(super) fn record(&mut self, units: f64, now_ms: u64) {
         self.taken = self.taken_at(now_ms) + units;
         self.at_ms = now_ms;
     }
--- a/dockgate-core/src/gateway/fair_taking/tests.rs
+++ b/dockgate-core/src/gateway/fair_usage/tests.rs
@@ -1,11 +1,11 @@
 use super::*;
 
 /// Takes a prompt of 100 units each 10 ms.
-fn taking_at_rate(fair_per_ms: f64) -> FairTaking {
-    let mut taking = FairTaking::new(0.0, 0).fair(fair_per_ms).fleet_part(1.0);
+fn taking_at_rate(fair_per_ms: f64) -> FairUsage {
+    let mut taking = FairUsage::new(0.0, 0).fair(fair_per_ms).fleet_part(1.0);
     (0..10_000)
         .step_by(10)
-        .for_each(|now_ms| taking.note(100.0, now_ms));
+        .for_each(|now_ms| taking.record(100.0, now_ms));
     taking
 }
 
@@ -23,8 +23,8 @@
 
 #[test]
 fn where_prompts_come_seldom_the_fleet_says_what_is_taken() {
-    let taking = FairTaking::new(0.0, 0).fair(0.1).fleet_part(1.7);
+    let taking = FairUsage::new(0.0, 0).fair(0.1).fleet_part(1.7);
     assert!((taking.part(10_000.0, 0) - 1.7).abs() < 0.05);
-    let nothing = FairTaking::new(0.0, 0).fair(0.0).fleet_part(1.7);
+    let nothing = FairUsage::new(0.0, 0).fair(0.0).fleet_part(1.7);
     assert!((nothing.part(0.0, 0) - 1.7).abs() < 1e-9);
 }
--- a/dockgate-core/src/gateway/jump_tests.rs
+++ b/dockgate-core/src/gateway/jump_tests.rs
@@ -2,9 +2,9 @@
 //! breaks by it, no bound is passed, and what is told anew is believed as before.
 
 use super::{
-    BoxBeat, BoxStanding, EndpointHealth, EndpointId, EndpointSign, FleetView, LagChange, LoopLag,
-    OwnReach, RequestPrint, RetryBudget, RetryRule, ShareLevel, ShareWindow, StoreDuty,
-    SuspectBook, WakeGate, WorkShed,
+    BoxBeat, BoxStanding, EndpointHealth, EndpointId, EndpointSign, FleetView, LagChange,
+    LoadShedder, LoopLag, OwnReach, RequestPrint, RetryBudget, RetryRule, ShareLevel, ShareTracker,
+    StoreDuty, SuspectBook, WakeGate,
 };
 use crate::ids::{BoxKey, Incarnation};
 use proptest::prelude::*;
@@ -35,10 +35,10 @@
     retries: RetryBudget,
     sent: Vec<u64>,
     asked: Vec<u64>,
-    shares: ShareWindow,
+    shares: ShareTracker,
     health: EndpointHealth,
     lag: LoopLag,
-    shed: WorkShed,
+    shed: LoadShedder,
     suspects: SuspectBook,
     gate: WakeGate,
 }
@@ -59,10 +59,10 @@
             retries: RetryBudget::new(RULE),
             sent: Vec::new(),
             asked: Vec::new(),
-            shares: ShareWindow::new(4_000),
+            shares: ShareTracker::new(4_000),
             health: EndpointHealth::default(),
             lag: LoopLag::default(),
-            shed: WorkShed::default(),
+            shed: LoadShedder::default(),
             suspects,
             gate: WakeGate::default(),
         }
@@ -78,13 +78,13 @@
                 .hear(beat(number, self.sequence), Incarnation(1), now);
         }
         for _ in 0..load {
-            self.retries.note_request(SERVICE, now);
+            self.retries.record_request(SERVICE, now);
             self.asked.push(now);
-            if self.retries.take(SERVICE, now) {
+            if self.retries.try_take(SERVICE, now) {
                 self.sent.push(now);
             }
-            self.shares.note_asked(7, 100, now);
-            self.shares.note_given(7, 80, ShareLevel::WITHIN, now);
+            self.shares.record_request(7, 100, now);
+            self.shares.record_admission(7, 80, ShareLevel::WITHIN, now);
         }
         let sign = match load % 3 {
             0 => EndpointSign::Failed,
@@ -104,9 +104,9 @@
         let own = OwnReach::default();
         let _ = self.duty.is_due(watchers, own, now);
         let _ = self.duty.probes(watchers, own, now);
-        self.shed.note_work(0.2, late_ms, now);
+        self.shed.record_sample(0.2, late_ms, now);
         self.suspects.expire(now);
-        self.lag.note(late_ms, now)
+        self.lag.record(late_ms, now)
     }
 
     fn jump(&mut self, ms: u64) {
@@ -149,7 +149,7 @@
         prop_assert!(own.gate.is_open(None, own.now_ms));
         prop_assert!(own.health.is_open(own.now_ms));
         prop_assert!(!own.lag.is_too_late_for(500));
-        prop_assert!(own.shed.refused_part(7) < 1.0);
+        prop_assert!(own.shed.refused_fraction(7) < 1.0);
         prop_assert!(own.is_within_budget());
         let day_ms = 86_400_000;
         let is_held = own.suspects.quarantine(GUILTY, own.now_ms).is_some();
--- a/dockgate-core/src/gateway/loop_lag.rs
+++ b/dockgate-core/src/gateway/loop_lag.rs
@@ -9,9 +9,9 @@
 //! use dockgate_core::gateway::{LagChange, LoopLag};
 //!
 //! let mut lag = LoopLag::default();
-//! assert_eq!(lag.note(250, 1_000), LagChange::None);
-//! assert_eq!(lag.note(300, 1_400), LagChange::None);
-//! assert_eq!(lag.note(400, 1_900), LagChange::Overloaded);
+//! assert_eq!(lag.record(250, 1_000), LagChange::None);
+//! assert_eq!(lag.record(300, 1_400), LagChange::None);
+//! assert_eq!(lag.record(400, 1_900), LagChange::Overloaded);
 //! assert_eq!(lag.lag_ms(), 250);
 //! ```
 
@@ -55,10 +55,10 @@
     /// looks once a second, and acts on the second answer.
     const HOLD_MS: u64 = 3_000;
     /// Up to which part of its objective a request may wait for the processor before it is refused.
-    const MOST_PART: f64 = 0.5;
+    const MAX_WAIT_FRACTION: f64 = 0.5;
 
     /// Notes by how many milliseconds the timer fired late.
-    pub fn note(&mut self, late_ms: u64, now_ms: u64) -> LagChange {
+    pub fn record(&mut self, late_ms: u64, now_ms: u64) -> LagChange {
         self.late_ms[self.next] = late_ms;
         self.next = (self.next + 1) % Self::SAMPLES;
         let lag_ms = self.lag_ms();
@@ -95,7 +95,7 @@
 
     /// Tells whether a request with this objective would wait too long here to be taken.
     pub fn is_too_late_for(&self, objective_ms: u64) -> bool {
-        self.is_overloaded() && self.lag_ms() as f64 > objective_ms as f64 * Self::MOST_PART
+        self.is_overloaded() && self.lag_ms() as f64 > objective_ms as f64 * Self::MAX_WAIT_FRACTION
     }
 }
 
--- a/dockgate-core/src/gateway/loop_lag/tests.rs
+++ b/dockgate-core/src/gateway/loop_lag/tests.rs
@@ -4,7 +4,7 @@
 fn overloaded() -> LoopLag {
     let mut lag = LoopLag::default();
     for step in 1..=3 {
-        lag.note(400, step * 500);
+        lag.record(400, step * 500);
     }
     lag
 }
@@ -13,7 +13,7 @@
 fn a_freeze_or_a_spent_share_is_no_overload() {
     let mut lag = LoopLag::default();
     for (step, late_ms) in [4_000, 0, 95, 90, 95, 3_000, 90, 0].into_iter().enumerate() {
-        assert_eq!(lag.note(late_ms, step as u64 * 100), LagChange::None);
+        assert_eq!(lag.record(late_ms, step as u64 * 100), LagChange::None);
         assert!(!lag.is_overloaded());
         assert!(!lag.is_too_late_for(100));
     }
@@ -29,18 +29,18 @@
 #[test]
 fn it_stays_overloaded_until_it_has_caught_up_and_the_callers_could_go() {
     let mut lag = overloaded();
-    assert_eq!(lag.note(0, 2_000), LagChange::None);
+    assert_eq!(lag.record(0, 2_000), LagChange::None);
     assert!(lag.is_overloaded(), "callers are still being sent here");
     assert!(!lag.is_too_late_for(600), "what comes now is in time");
     for step in 0..3 {
-        assert_eq!(lag.note(60, 4_300 + step * 100), LagChange::None);
+        assert_eq!(lag.record(60, 4_300 + step * 100), LagChange::None);
     }
     assert_eq!(
-        lag.note(60, 4_600),
+        lag.record(60, 4_600),
         LagChange::None,
         "60 ms late is not caught up"
     );
-    assert_eq!(lag.note(5, 4_900), LagChange::CaughtUp(3_400));
+    assert_eq!(lag.record(5, 4_900), LagChange::CaughtUp(3_400));
     assert!(!lag.is_overloaded());
 }
 
@@ -54,7 +54,7 @@
         let (mut now_ms, mut since_ms) = (0, None);
         for (late_ms, step_ms) in samples {
             now_ms += step_ms;
-            match lag.note(late_ms, now_ms) {
+            match lag.record(late_ms, now_ms) {
                 LagChange::Overloaded => {
                     prop_assert_eq!(since_ms.replace(now_ms), None);
                 }
--- a/dockgate-core/src/gateway/retry_budget.rs
+++ b/dockgate-core/src/gateway/retry_budget.rs
@@ -22,12 +22,12 @@
 #[derive(Debug, Clone, Default)]
 struct ServiceWindow {
     requests: VecDeque<u64>,
-    repeats: VecDeque<u64>,
+    retries: VecDeque<u64>,
 }
 
 impl ServiceWindow {
     fn expire(&mut self, before_ms: u64) {
-        for times in [&mut self.requests, &mut self.repeats] {
+        for times in [&mut self.requests, &mut self.retries] {
             let gone = times.iter().take_while(|at| **at < before_ms).count();
             times.drain(..gone);
         }
@@ -43,7 +43,7 @@
 
 impl RetryBudget {
     /// How much of the allowance is used: the rest covers clocks and counts that differ a little.
-    const USED_PART: f64 = 0.8;
+    const USED_FRACTION: f64 = 0.8;
 
     /// Makes a budget with nothing counted.
     pub fn new(rule: RetryRule) -> Self {
@@ -64,21 +64,21 @@
     }
 
     /// Counts a request for a service.
-    pub fn note_request(&mut self, service: &str, now_ms: u64) {
+    pub fn record_request(&mut self, service: &str, now_ms: u64) {
         let window = self.window(service, now_ms);
         window.requests.push_back(now_ms);
     }
 
     /// Takes one further send out of the budget; returns false where none is left.
-    pub fn take(&mut self, service: &str, now_ms: u64) -> bool {
+    pub fn try_take(&mut self, service: &str, now_ms: u64) -> bool {
         let rule = self.rule;
         let window = self.window(service, now_ms);
         let earned = window.requests.len() as f64 * rule.ratio;
         let slack = rule.slack / f64::from(rule.boxes.max(1));
-        let allowed = (earned + slack) * Self::USED_PART;
-        let left = (window.repeats.len() as f64) + 1.0 <= allowed;
+        let allowed = (earned + slack) * Self::USED_FRACTION;
+        let left = (window.retries.len() as f64) + 1.0 <= allowed;
         if left {
-            window.repeats.push_back(now_ms);
+            window.retries.push_back(now_ms);
         }
         left
     }
--- a/dockgate-core/src/gateway/retry_budget/tests.rs
+++ b/dockgate-core/src/gateway/retry_budget/tests.rs
@@ -11,10 +11,10 @@
 #[test]
 fn without_requests_only_the_part_of_the_slack_is_there() {
     let mut budget = RetryBudget::new(RULE);
-    let taken = (0..100).filter(|_| budget.take("x", 1_000)).count();
+    let taken = (0..100).filter(|_| budget.try_take("x", 1_000)).count();
     assert_eq!(taken, 3, "0.8 of 52 / 13");
     assert!(
-        budget.take("y", 1_000),
+        budget.try_take("y", 1_000),
         "services have budgets of their own"
     );
 }
@@ -22,9 +22,9 @@
 #[test]
 fn the_window_slides() {
     let mut budget = RetryBudget::new(RULE);
-    while budget.take("x", 1_000) {}
-    assert!(!budget.take("x", 10_999));
-    assert!(budget.take("x", 11_001));
+    while budget.try_take("x", 1_000) {}
+    assert!(!budget.try_take("x", 10_999));
+    assert!(budget.try_take("x", 11_001));
 }
 
 proptest! {
@@ -34,20 +34,20 @@
         events in prop::collection::vec((0_usize..13, 0_u64..40, any::<bool>()), 1..2_000),
     ) {
         let mut boxes: Vec<RetryBudget> = (0..13).map(|_| RetryBudget::new(RULE)).collect();
-        let (mut now_ms, mut requests, mut repeats) = (1_000, Vec::new(), Vec::new());
+        let (mut now_ms, mut requests, mut retries) = (1_000, Vec::new(), Vec::new());
         for (index, pause, repeat) in events {
             now_ms += pause;
             match repeat {
-                true if boxes[index].take("x", now_ms) => repeats.push(now_ms),
+                true if boxes[index].try_take("x", now_ms) => retries.push(now_ms),
                 true => {}
                 false => {
-                    boxes[index].note_request("x", now_ms);
+                    boxes[index].record_request("x", now_ms);
                     requests.push(now_ms);
                 }
             }
             let since = now_ms.saturating_sub(RULE.window_ms);
             let within = |times: &[u64]| times.iter().filter(|at| **at >= since).count() as f64;
-            prop_assert!(within(&repeats) <= within(&requests) * RULE.ratio + RULE.slack);
+            prop_assert!(within(&retries) <= within(&requests) * RULE.ratio + RULE.slack);
         }
     }
 }
--- a/dockgate-core/src/gateway/share_reports.rs
+++ b/dockgate-core/src/gateway/share_reports.rs
@@ -6,7 +6,7 @@
 //! that has just begun knows all from one digest.
 
 use super::box_beat::DomainKey;
-use super::share_sums::{ShareRow, ShareSum, ShareSums, add_sums};
+use super::decaying_usage::{UsageRow, UsageTable, WorkspaceUsage, add_sums};
 use crate::ids::{BoxKey, Incarnation};
 use std::collections::{BTreeMap, HashMap};
 
@@ -23,7 +23,7 @@
 
 /// Who tells of which sums, and when.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct ShareTeller {
+pub struct ShareHeader {
     /// The box.
     pub peer: BoxKey,
     /// Its life.
@@ -38,16 +38,16 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ShareSource {
     /// It added them up itself.
-    Counted,
+    Computed,
     /// A coordinator told them so many milliseconds ago.
-    Told(u64),
+    Reported(u64),
 }
 
 #[derive(Debug, Clone)]
 struct PeerReport {
     incarnation: Incarnation,
     sequence: u32,
-    sums: ShareSums,
+    sums: UsageTable,
     heard_ms: u64,
 }
 
@@ -68,7 +68,7 @@
     const COUNTS_MS: u64 = 2_000;
 
     /// Takes in what another box tells, unless something newer of it is known.
-    pub(super) fn merge(&mut self, teller: ShareTeller, rows: &[ShareRow], now_ms: u64) {
+    pub(super) fn merge(&mut self, teller: ShareHeader, rows: &[UsageRow], now_ms: u64) {
         let key = (teller.scope, teller.peer);
         let is_old = self.reports.get(&key).is_some_and(|report| {
             report.incarnation == teller.incarnation && report.sequence >= teller.sequence
@@ -77,7 +77,7 @@
             return;
         }
         let sums = rows.iter();
-        let sums = sums.map(|row| (row.workspace, ShareSum::from(*row)));
+        let sums = sums.map(|row| (row.workspace, WorkspaceUsage::from(*row)));
         let report = PeerReport {
             incarnation: teller.incarnation,
             sequence: teller.sequence,
@@ -100,7 +100,7 @@
     }
 
     /// Adds the boxes of the own failure domain to this box's `own` sums.
-    pub(super) fn domain_sums(&self, own: ShareSums, now_ms: u64) -> ShareSums {
+    pub(super) fn domain_sums(&self, own: UsageTable, now_ms: u64) -> UsageTable {
         let mut total = own;
         let fresh = self.fresh(now_ms);
         for (_, report) in fresh.filter(|(scope, _)| *scope == ShareScope::Own) {
@@ -110,7 +110,7 @@
     }
 
     /// Adds up the own failure domain and what is told of the others.
-    pub(super) fn counted_sums(&self, own: ShareSums, now_ms: u64) -> ShareSums {
+    pub(super) fn counted_sums(&self, own: UsageTable, now_ms: u64) -> UsageTable {
         let mut total = self.domain_sums(own, now_ms);
         let mut domains: BTreeMap<DomainKey, &PeerReport> = BTreeMap::new();
         for (scope, report) in self.fresh(now_ms) {
@@ -128,7 +128,7 @@
 
     /// Returns the sums of the fleet: those that this box adds up, which are the newest, or those of a
     /// coordinator that knows of clearly more.
-    pub(super) fn fleet_sums(&self, own: ShareSums, now_ms: u64) -> ShareSums {
+    pub(super) fn fleet_sums(&self, own: UsageTable, now_ms: u64) -> UsageTable {
         let counted = self.counted_sums(own, now_ms);
         match self.fuller_report(&counted, now_ms) {
             Some(told) => told.sums.clone(),
@@ -137,16 +137,16 @@
     }
 
     /// Tells where the sums of the fleet come from.
-    pub(super) fn source(&self, own: ShareSums, now_ms: u64) -> ShareSource {
+    pub(super) fn source(&self, own: UsageTable, now_ms: u64) -> ShareSource {
         let counted = self.counted_sums(own, now_ms);
         match self.fuller_report(&counted, now_ms) {
-            Some(told) => ShareSource::Told(now_ms.saturating_sub(told.heard_ms)),
-            None => ShareSource::Counted,
+            Some(told) => ShareSource::Reported(now_ms.saturating_sub(told.heard_ms)),
+            None => ShareSource::Computed,
         }
     }
 
     /// Returns what a coordinator tells of the fleet, if that is clearly more than what is counted here.
-    fn fuller_report(&self, counted: &ShareSums, now_ms: u64) -> Option<&PeerReport> {
+    fn fuller_report(&self, counted: &UsageTable, now_ms: u64) -> Option<&PeerReport> {
         let fleet = self.fresh(now_ms);
         let fleet = fleet.filter(|(scope, _)| *scope == ShareScope::Fleet);
         let told = fleet.map(|(_, report)| report).reduce(fuller);
@@ -154,8 +154,8 @@
     }
 }
 
-fn asked_of(sums: &ShareSums) -> f64 {
-    sums.values().map(|sum| sum.asked).sum()
+fn asked_of(sums: &UsageTable) -> f64 {
+    sums.values().map(|sum| sum.requested).sum()
 }
 
 /// Tells whether one sum is so much larger that the other one lacks boxes: sums that are a beat or two
--- a/dockgate-core/src/gateway/share_tally.rs
+++ b/dockgate-core/src/gateway/share_tally.rs
@@ -4,8 +4,8 @@
 //! use dockgate_core::gateway::{ShareOutcome, ShareTally};
 //!
 //! let mut tally = ShareTally::default();
-//! tally.note_asked(7, "library", 500);
-//! tally.note(7, ShareOutcome::BeyondShare, 500);
+//! tally.record_request(7, "library", 500);
+//! tally.record_outcome(7, ShareOutcome::BeyondShare, 500);
 //! let rows = tally.take_refused();
 //! assert_eq!((rows[0].asked, rows[0].beyond_share), (500, 500));
 //! ```
@@ -18,7 +18,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ShareOutcome {
     /// An engine takes it.
-    Given,
+    Admitted,
     /// It is refused, and its workspace has had its share.
     BeyondShare,
     /// It is refused, and its workspace is owed more.
@@ -61,10 +61,10 @@
 
 impl ShareTally {
     /// How many workspaces are told of at most, so that a line stays short.
-    const MOST_ROWS: usize = 8;
+    const MAX_ROWS: usize = 8;
 
     /// Counts a prompt.
-    pub fn note_asked(&mut self, workspace: u64, name: &str, units: u64) {
+    pub fn record_request(&mut self, workspace: u64, name: &str, units: u64) {
         let row = self.rows.entry(workspace).or_insert_with(|| TallyRow {
             key: workspace,
             workspace: name.to_owned(),
@@ -74,12 +74,12 @@
     }
 
     /// Counts what became of a prompt that was counted as asked for.
-    pub fn note(&mut self, workspace: u64, outcome: ShareOutcome, units: u64) {
+    pub fn record_outcome(&mut self, workspace: u64, outcome: ShareOutcome, units: u64) {
         let Some(row) = self.rows.get_mut(&workspace) else {
             return;
         };
         let sum = match outcome {
-            ShareOutcome::Given => &mut row.given,
+            ShareOutcome::Admitted => &mut row.given,
             ShareOutcome::BeyondShare => &mut row.beyond_share,
             ShareOutcome::WouldBeLate => &mut row.would_be_late,
             ShareOutcome::NoProcessor => &mut row.no_processor,
@@ -93,7 +93,7 @@
         let rows = std::mem::take(&mut self.rows).into_values();
         let mut rows: Vec<TallyRow> = rows.filter(|row| row.refused() > 0).collect();
         rows.sort_unstable_by_key(|row| Reverse((row.asked, row.key)));
-        rows.truncate(Self::MOST_ROWS);
+        rows.truncate(Self::MAX_ROWS);
         rows
     }
 }
--- a/dockgate-core/src/gateway/share_window/turn_tests.rs
+++ b/dockgate-core/src/gateway/share_tracker/fairness_tests.rs
@@ -1,6 +1,6 @@
 //! Workspaces that wait beside each other, as their callers see it.
 
-use super::share_play::{BOXES, Flood, PlayOutcome, PlayRule, play};
+use super::share_simulation::{BOXES, Flood, PlayOutcome, PlayRule, play};
 use std::ops::Range;
 use std::sync::LazyLock;
 
--- a/dockgate-core/src/gateway/share_window/share_play.rs
+++ b/dockgate-core/src/gateway/share_tracker/share_simulation.rs
@@ -1,12 +1,12 @@
 //! A fleet without a network, whose workspaces ask for more than its engines read.
 //!
-//! The boxes of each of three failure domains count and tell each other what was asked and given, as late as a play
+//! The boxes of each of three failure domains count and tell each other what was requested and admitted, as late as a play
 //! says; engines read prompts in order of arrival.
 
-use super::ShareWindow;
+use super::ShareTracker;
 use crate::gateway::{
     AdmissionRule, DomainKey, EngineAsk, EngineLoad, EngineSpec, EngineVerdict, PromptPart,
-    ReadSpeed, RunKey, ShareRow, ShareScope, ShareTeller,
+    ReadSpeed, RunKey, ShareHeader, ShareScope, UsageRow,
 };
 use crate::ids::{BoxKey, Incarnation};
 use std::cmp::Reverse;
@@ -77,7 +77,7 @@
     }
 }
 
-/// How a play goes beside what is asked for.
+/// How a play goes beside what is requested for.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct PlayRule {
     /// What is drawn.
@@ -88,11 +88,11 @@
     pub(super) stated: f64,
 }
 
-/// What one workspace asked for and got in one second, in tokens.
+/// What one workspace requested for and got in one second, in tokens.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct PlaySecond {
-    pub(super) asked: u64,
-    pub(super) given: u64,
+    pub(super) requested: u64,
+    pub(super) admitted: u64,
     pub(super) refused: u64,
 }
 
@@ -105,21 +105,21 @@
 
 impl PlayOutcome {
     /// Returns the least that a workspace got over so many seconds in each of which it was refused something: as a
-    /// part of what it asked for, or of what the best served got if that is less, and three prompts aside.
+    /// part of what it requested for, or of what the best served got if that is less, and three prompts aside.
     pub(super) fn least_part(&self, seconds: usize) -> f64 {
         let starts = 1..=LENGTH_S - seconds;
         let parts = starts.flat_map(|start| {
             let span = start..start + seconds;
             let sum = move |row: &[PlaySecond]| -> u64 {
-                row[span.clone()].iter().map(|second| second.given).sum()
+                row[span.clone()].iter().map(|second| second.admitted).sum()
             };
             let best = self.rows.iter().map(|row| sum(row)).max().unwrap_or(0);
             let rows = self.rows.iter().zip(&self.tokens);
             rows.filter_map(move |(row, tokens)| {
                 let waited = &row[start..start + seconds];
-                let asked: u64 = waited.iter().map(|second| second.asked).sum();
-                let most = asked.min(best).max(1) as f64;
-                let got: u64 = waited.iter().map(|second| second.given).sum();
+                let requested: u64 = waited.iter().map(|second| second.requested).sum();
+                let most = requested.min(best).max(1) as f64;
+                let got: u64 = waited.iter().map(|second| second.admitted).sum();
                 let got = got + 3 * u64::from(*tokens);
                 let waits = waited.iter().all(|second| second.refused > 0);
                 waits.then_some(got as f64 / most)
@@ -130,9 +130,9 @@
 
     /// Returns which part of what the engines can read was read of all prompts in these seconds.
     pub(super) fn used_part(&self, seconds: Range<usize>) -> f64 {
-        let given = self.rows.iter().flat_map(|row| &row[seconds.clone()]);
-        let given: u64 = given.map(|second| second.given).sum();
-        given as f64 / (CAPACITY * seconds.len() as f64)
+        let admitted = self.rows.iter().flat_map(|row| &row[seconds.clone()]);
+        let admitted: u64 = admitted.map(|second| second.admitted).sum();
+        admitted as f64 / (CAPACITY * seconds.len() as f64)
     }
 }
 
@@ -157,7 +157,7 @@
     now_ms: u64,
     events: BinaryHeap<Reverse<(u64, u64, PlayEvent)>>,
     count: u64,
-    windows: Vec<ShareWindow>,
+    windows: Vec<ShareTracker>,
     sequences: Vec<u32>,
     engines: Vec<EngineLoad>,
     floods: Vec<Flood>,
@@ -191,7 +191,7 @@
             now_ms: 0,
             events: BinaryHeap::new(),
             count: 0,
-            windows: (0..BOXES).map(|_| ShareWindow::new(WINDOW_MS)).collect(),
+            windows: (0..BOXES).map(|_| ShareTracker::new(WINDOW_MS)).collect(),
             sequences: vec![0; BOXES],
             engines: vec![EngineLoad::new(SPEC, speed.into()); ENGINES],
             floods: floods.to_vec(),
@@ -269,11 +269,16 @@
         self.at(now_ms + wait_ms, PlayEvent::Beat(at));
     }
 
-    fn send(&mut self, from: usize, to: usize, scope: ShareScope, rows: &[ShareRow]) {
+    fn send(&mut self, from: usize, to: usize, scope: ShareScope, rows: &[UsageRow]) {
         self.sequences[from] += 1;
-        let rows = rows
-            .iter()
-            .map(|row| (row.workspace, row.asked, row.asked_long, row.given));
+        let rows = rows.iter().map(|row| {
+            (
+                row.workspace,
+                row.requested,
+                row.requested_long,
+                row.admitted,
+            )
+        });
         let event = PlayEvent::Rows {
             to,
             from,
@@ -293,20 +298,22 @@
         sequence: u32,
         rows: &[(u64, u64, u64, u64)],
     ) {
-        let teller = ShareTeller {
+        let teller = ShareHeader {
             peer: BoxKey(from as u32),
             incarnation: Incarnation(1),
             sequence,
             scope,
         };
-        let rows: Vec<ShareRow> = rows
+        let rows: Vec<UsageRow> = rows
             .iter()
-            .map(|(workspace, asked, asked_long, given)| ShareRow {
-                workspace: *workspace,
-                asked: *asked,
-                asked_long: *asked_long,
-                given: *given,
-            })
+            .map(
+                |(workspace, requested, requested_long, admitted)| UsageRow {
+                    workspace: *workspace,
+                    requested: *requested,
+                    requested_long: *requested_long,
+                    admitted: *admitted,
+                },
+            )
             .collect();
         self.windows[to].merge(teller, &rows, self.now_ms);
         if scope == ShareScope::Own {
@@ -334,8 +341,8 @@
         let units = u64::from(tokens);
         let workspace = flood as u64 + 1;
         let second = self.now_ms as usize / 1_000;
-        self.outcome.rows[flood][second].asked += units;
-        self.windows[at].note_asked(workspace, units, self.now_ms);
+        self.outcome.rows[flood][second].requested += units;
+        self.windows[at].record_request(workspace, units, self.now_ms);
         let level = self.windows[at].level(workspace, units, self.now_ms);
         let number = self.count as u32;
         let ask = EngineAsk {
@@ -363,8 +370,8 @@
             self.outcome.rows[flood][second].refused += units;
             return;
         };
-        self.windows[at].note_given(workspace, units, level, self.now_ms);
-        self.outcome.rows[flood][second].given += units;
+        self.windows[at].record_admission(workspace, units, level, self.now_ms);
+        self.outcome.rows[flood][second].admitted += units;
         let first_ms = self.engines[home].first_event_ms(&ask, self.now_ms) as u64;
         self.engines[home].place(run_key(number), &ask, self.now_ms);
         let started_ms = self.now_ms + first_ms;
--- a/dockgate-proto/src/gateway.rs
+++ b/dockgate-proto/src/gateway.rs
@@ -5,7 +5,7 @@
 
 use dockgate_core::gateway::{
     BoxBeat, EndpointId, EndpointNews, EngineAsk, EngineVerdict, FleetDigest, PromptPart,
-    ReadSpeed, RouteConfig, ShareRow, StoreRevision, SuspectRow,
+    ReadSpeed, RouteConfig, StoreRevision, SuspectRow, UsageRow,
 };
 use dockgate_core::{BoxKey, Incarnation};
 use serde::{Deserialize, Serialize};
@@ -54,7 +54,7 @@
         /// What it says of itself.
         beat: BoxBeat,
         /// What its workspaces asked for and were given within the window.
-        shares: Vec<ShareRow>,
+        shares: Vec<UsageRow>,
     },
     /// Answers a beat, and goes from coordinators to those of other domains: what the sender knows of
     /// the fleet.
@@ -62,7 +62,7 @@
         /// The boxes.
         digest: FleetDigest,
         /// What workspaces asked for and were given; of which boxes, the digest's scope says.
-        shares: Vec<ShareRow>,
+        shares: Vec<UsageRow>,
     },
     /// Entry to owner: may this prompt go to the endpoint?
     Seek {
--- a/dockgate/src/gateway.rs
+++ b/dockgate/src/gateway.rs
@@ -33,13 +33,13 @@
 mod reload;
 mod run_guard;
 mod settings;
-mod share_sight;
 mod sockets;
 mod store_contact;
 mod store_probe;
 mod tracked_io;
 mod upstream;
 mod waking;
+mod workspace_report;
 
 pub(crate) use gateway_runtime::GatewayRuntime;
 pub(crate) use settings::{GatewaySettings, is_gateway};
--- a/dockgate/src/gateway/call/admitted.rs
+++ b/dockgate/src/gateway/call/admitted.rs
@@ -228,14 +228,16 @@
     let engine = table.service(service).engine;
     let prompt = head.prompt.as_ref().filter(|_| engine.is_some());
     let units = prompt.map_or(0, PromptShape::units);
-    state.with(|beliefs| beliefs.tally.note_asked(name_hash(name), name, units));
+    state.with(|beliefs| beliefs.tally.record_request(name_hash(name), name, units));
     shed(&state, name_hash(name), units).map_err(found_away)?;
     let timeout = route_spec.timeout;
     let budget = head.budget.unwrap_or(timeout).min(timeout);
     state.with(|beliefs| {
         let service = &table.service(service).name;
-        beliefs.retries.note_request(service, now_ms());
-        beliefs.shares.note_asked(name_hash(name), units, now_ms());
+        beliefs.retries.record_request(service, now_ms());
+        beliefs
+            .shares
+            .record_request(name_hash(name), units, now_ms());
     });
     Ok(AdmittedCall {
         state,
@@ -263,19 +265,19 @@
 fn shed(state: &GatewayState, workspace: u64, units: u64) -> Result<(), CallRefusal> {
     state.with(|beliefs| {
         let shed = &mut beliefs.shed;
-        shed.note_request(workspace);
-        let part = shed.refused_part(workspace);
+        shed.record_request(workspace);
+        let part = shed.refused_fraction(workspace);
         if part <= 0.0 || !rand::random_bool(part) {
             return Ok(());
         }
-        shed.note_refused();
+        shed.record_refusal();
         let outcome = ShareOutcome::NoProcessor;
-        beliefs.tally.note(workspace, outcome, units);
-        let reason = match shed.is_avoided() {
+        beliefs.tally.record_outcome(workspace, outcome, units);
+        let reason = match shed.is_out_of_rotation() {
             true => RefusalReason::SentElsewhere,
             false => RefusalReason::Overloaded,
         };
-        let after = shed.return_time(rand::random());
+        let after = shed.retry_after(rand::random());
         Err(CallRefusal::come_back(reason, after))
     })
 }
--- a/dockgate/src/gateway/call/placing.rs
+++ b/dockgate/src/gateway/call/placing.rs
@@ -67,9 +67,9 @@
                 let found = found.map_err(|none| self.refuse_prompt(none, &ask, units))?;
                 self.state.with(|beliefs| {
                     let shares = &mut beliefs.shares;
-                    shares.note_given(ask.workspace, units, ask.level, now_ms());
-                    let outcome = ShareOutcome::Given;
-                    beliefs.tally.note(ask.workspace, outcome, units);
+                    shares.record_admission(ask.workspace, units, ask.level, now_ms());
+                    let outcome = ShareOutcome::Admitted;
+                    beliefs.tally.record_outcome(ask.workspace, outcome, units);
                 });
                 Ok(CallPlace {
                     target: found.target,
@@ -103,12 +103,12 @@
             false => (RefusalReason::WouldBeLate, ShareOutcome::WouldBeLate),
         };
         self.state
-            .with(|beliefs| beliefs.tally.note(workspace, outcome, units));
+            .with(|beliefs| beliefs.tally.record_outcome(workspace, outcome, units));
         CallRefusal {
             reason,
             retry_after: Some(return_time(cause, self.left(), rand::random())),
             asked: none.asked,
-            share: Some(level.times()),
+            share: Some(level.share_ratio()),
         }
     }
 
--- a/dockgate/src/gateway/call/sending.rs
+++ b/dockgate/src/gateway/call/sending.rs
@@ -92,7 +92,7 @@
         let left = wanted
             && self
                 .state
-                .with(|beliefs| beliefs.retries.take(service, now_ms()));
+                .with(|beliefs| beliefs.retries.try_take(service, now_ms()));
         if left {
             METRICS.retries.inc();
         }
--- a/dockgate/src/gateway/events.rs
+++ b/dockgate/src/gateway/events.rs
@@ -2,7 +2,7 @@
 
 use super::gateway_metrics::GATEWAY_METRICS;
 use super::settings::GatewaySettings;
-use super::share_sight::WorkspaceSight;
+use super::workspace_report::WorkspaceReport;
 use crate::clock::now_ms;
 use crate::logging::{LineBudget, log_line};
 use dockgate_core::gateway::{EndpointChange, EndpointRecord, EndpointState, name_hash};
@@ -130,7 +130,7 @@
     Shares {
         /// How long ago a coordinator told the sums that decide; none where this box adds them up.
         told_ms: Option<u64>,
-        workspaces: &'a [WorkspaceSight],
+        workspaces: &'a [WorkspaceReport],
     },
     /// So many lines about requests were not written, as there were too many in a second.
     LinesHeldBack { count: u64 },
--- a/dockgate/src/gateway/gateway_gauges.rs
+++ b/dockgate/src/gateway/gateway_gauges.rs
@@ -91,7 +91,7 @@
         state.with(|beliefs| {
             let coordinates = beliefs.fleet.coordinates(now);
             self.coordinates.set(i64::from(coordinates));
-            let taken_part = beliefs.shed.taken_part();
+            let taken_part = beliefs.shed.admitted_fraction();
             self.taken_part.set((taken_part * 1_000.0) as i64);
             let proof_age_ms = beliefs.fleet.store_proof_age_ms(now);
             self.store_proof_age_ms
--- a/dockgate/src/gateway/gateway_state.rs
+++ b/dockgate/src/gateway/gateway_state.rs
@@ -13,9 +13,9 @@
 use arc_swap::ArcSwap;
 use dockgate_core::gateway::{
     BoxBeat, BoxStanding, BrokenEndpoints, EndpointBook, EndpointChange, EndpointId, EndpointNews,
-    EngineAsk, EngineBook, EngineVerdict, EraBook, FleetView, LoopLag, ReadLog, RetryBudget,
-    RouteConfig, RouteTable, RunKey, ShareTally, ShareWindow, StoreDuty, StoreProbe, StoreRevision,
-    SuspectBook, WakeGate, WatchCheck, WorkShed,
+    EngineAsk, EngineBook, EngineVerdict, EraBook, FleetView, LoadShedder, LoopLag, ReadLog,
+    RetryBudget, RouteConfig, RouteTable, RunKey, ShareTally, ShareTracker, StoreDuty, StoreProbe,
+    StoreRevision, SuspectBook, WakeGate, WatchCheck,
 };
 use dockgate_core::{BoxKey, Incarnation};
 use dockgate_platform::PlatformClient;
@@ -50,7 +50,7 @@
     /// What the engines are busy with.
     pub(super) engines: EngineBook,
     /// What the workspaces asked for and were given.
-    pub(super) shares: ShareWindow,
+    pub(super) shares: ShareTracker,
     /// What became of their prompts here, for the log.
     pub(super) tally: ShareTally,
     /// What may be sent to a second endpoint.
@@ -72,7 +72,7 @@
     /// Whether this box keeps up with its work.
     pub(super) lag: LoopLag,
     /// Which part of its requests this box takes.
-    pub(super) shed: WorkShed,
+    pub(super) shed: LoadShedder,
     /// Seeks that wait for a verdict, by the same counter.
     pub(super) seeks: HashMap<u32, oneshot::Sender<EngineVerdict>>,
     /// Whether this box follows the store by itself.
@@ -128,7 +128,7 @@
         let beliefs = GatewayBeliefs {
             endpoints: EndpointBook::default(),
             engines: EngineBook::default(),
-            shares: ShareWindow::new(settings.share_window.as_millis() as u64),
+            shares: ShareTracker::new(settings.share_window.as_millis() as u64),
             tally: ShareTally::default(),
             retries: RetryBudget::new(settings.retry_rule()),
             eras: EraBook::default(),
@@ -139,7 +139,7 @@
             suspects: SuspectBook::default(),
             reads: ReadLog::default(),
             lag: LoopLag::default(),
-            shed: WorkShed::default(),
+            shed: LoadShedder::default(),
             seeks: HashMap::new(),
             store: StoreDuty::default(),
             probe: StoreProbe::default(),
@@ -429,7 +429,7 @@
     pub(super) fn is_ready(&self) -> bool {
         let configured = self.table.load().config().version > 0;
         let able = self.with(|beliefs| {
-            let is_busy = beliefs.lag.is_overloaded() || beliefs.shed.is_away(now_ms());
+            let is_busy = beliefs.lag.is_overloaded() || beliefs.shed.diverts_connections(now_ms());
             beliefs.endpoints.iter().next().is_some() && !is_busy
         });
         configured && able && !self.is_stopping() && self.is_fresh()
--- a/dockgate/src/gateway/membership.rs
+++ b/dockgate/src/gateway/membership.rs
@@ -12,11 +12,11 @@
 use super::events::{GatewayEvent, log_gateway};
 use super::gateway_state::{GatewayBeliefs, GatewayState};
 use super::quarantine;
-use super::share_sight::{SIGHT_MS, log_shares};
+use super::workspace_report::{REPORT_INTERVAL_MS, log_shares};
 use crate::clock::now_ms;
 use dockgate_core::gateway::{
     BoxBeat, BoxNews, DigestScope, DomainKey, DueReads, EndpointId, FleetDigest, FleetView,
-    ShareRow, ShareScope, ShareTeller,
+    ShareHeader, ShareScope, UsageRow,
 };
 use dockgate_core::{BoxKey, Incarnation};
 use dockgate_proto::GatewayMessage;
@@ -116,7 +116,7 @@
 fn own_digest(
     beliefs: &mut GatewayBeliefs,
     scope: DigestScope,
-    shares: Vec<ShareRow>,
+    shares: Vec<UsageRow>,
     now_ms: u64,
 ) -> GatewayMessage {
     beliefs.fleet.count_saying(now_ms);
@@ -207,7 +207,7 @@
             let behind = beliefs.lag.is_overloaded();
             beliefs.fleet.set_behind(behind);
         });
-        if now >= logged_ms + SIGHT_MS {
+        if now >= logged_ms + REPORT_INTERVAL_MS {
             log_shares(&state);
             logged_ms = now;
         }
@@ -265,12 +265,12 @@
     from: SocketAddr,
     beat: BoxBeat,
     incarnation: Incarnation,
-    shares: &[ShareRow],
+    shares: &[UsageRow],
 ) {
     let now = now_ms();
     let peer = beat.key();
     let is_near = beat.domain == state.settings().domain;
-    let teller = ShareTeller {
+    let teller = ShareHeader {
         peer,
         incarnation,
         sequence: beat.sequence,
@@ -295,7 +295,7 @@
     state: &GatewayState,
     digest: FleetDigest,
     incarnation: Incarnation,
-    shares: &[ShareRow],
+    shares: &[UsageRow],
 ) {
     let now = now_ms();
     let scope = match digest.scope {
@@ -306,7 +306,7 @@
         }
         DigestScope::Welcome => None,
     };
-    let teller = scope.map(|scope| ShareTeller {
+    let teller = scope.map(|scope| ShareHeader {
         peer: digest.sender.key(),
         incarnation,
         sequence: digest.sender.sequence,
--- a/dockgate/src/gateway/membership/tests.rs
+++ b/dockgate/src/gateway/membership/tests.rs
@@ -50,11 +50,11 @@
     let state = state_with_seed(own, other.local_addr().unwrap());
     let from = other.local_addr().unwrap();
     state.datagrams.writable().await.unwrap();
-    let row = ShareRow {
+    let row = UsageRow {
         workspace: 7,
-        asked: 30,
-        asked_long: 30,
-        given: 20,
+        requested: 30,
+        requested_long: 30,
+        admitted: 20,
     };
     for (name, domain, scope) in [
         ("a2", "a", DigestScope::Near),
--- a/dockgate/src/gateway/overload.rs
+++ b/dockgate/src/gateway/overload.rs
@@ -4,13 +4,13 @@
 use super::gateway_state::GatewayState;
 use super::waking;
 use crate::clock::{ClockInstant, now_ms};
-use dockgate_core::gateway::{LagChange, WorkShed};
+use dockgate_core::gateway::{LagChange, LoadShedder};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::runtime::Handle;
 
 /// How often work and delay are measured: each time is a wake-up, and overload takes three.
-const SAMPLE: Duration = Duration::from_millis(WorkShed::SAMPLE_MS);
+const SAMPLE: Duration = Duration::from_millis(LoadShedder::SAMPLE_MS);
 
 /// For how long the one thread had work, as of some moment.
 #[derive(Debug, Clone, Copy)]
@@ -49,8 +49,8 @@
         before = mark;
         let (change, lag_ms) = state.with(|beliefs| {
             let now = now_ms();
-            beliefs.shed.note_work(busy_part, late_ms, now);
-            let change = beliefs.lag.note(late_ms, now);
+            beliefs.shed.record_sample(busy_part, late_ms, now);
+            let change = beliefs.lag.record(late_ms, now);
             (change, beliefs.lag.lag_ms())
         });
         match change {
--- a/dockgate/src/gateway/share_sight.rs
+++ b/dockgate/src/gateway/workspace_report.rs
@@ -7,11 +7,11 @@
 use serde::Serialize;
 
 /// How often what workspaces got is logged, in milliseconds.
-pub(super) const SIGHT_MS: u64 = 1_000;
+pub(super) const REPORT_INTERVAL_MS: u64 = 1_000;
 
 /// What became of the prompts of one workspace here, and how much of its share it has had.
 #[derive(Debug, Serialize)]
-pub(super) struct WorkspaceSight {
+pub(super) struct WorkspaceReport {
     #[serde(flatten)]
     sums: TallyRow,
     times: f64,
@@ -21,14 +21,14 @@
 /// Logs what the workspaces got of which something was refused since the last line.
 pub(super) fn log_shares(state: &GatewayState) {
     let now = now_ms();
-    let rows: Vec<WorkspaceSight> = state.with(|beliefs| {
+    let rows: Vec<WorkspaceReport> = state.with(|beliefs| {
         let rows = beliefs.tally.take_refused().into_iter();
         let rows = rows.map(|sums| {
             let level = beliefs.shares.level(sums.key, 0, now);
-            WorkspaceSight {
+            WorkspaceReport {
                 sums,
-                times: level.times(),
-                taken: level.taken_part(),
+                times: level.share_ratio(),
+                taken: level.fair_ratio(),
             }
         });
         rows.collect()
@@ -39,8 +39,8 @@
     let source = state.with(|beliefs| beliefs.shares.source(now));
     log_gateway(&GatewayEvent::Shares {
         told_ms: match source {
-            ShareSource::Told(age_ms) => Some(age_ms),
-            ShareSource::Counted => None,
+            ShareSource::Reported(age_ms) => Some(age_ms),
+            ShareSource::Computed => None,
         },
         workspaces: &rows,
     });
