--- a/dockgate-core/src/gateway/decaying_usage.rs
+++ b/dockgate-core/src/gateway/decaying_usage.rs
@@ -1,50 +1,50 @@
-//! Sums of service by workspace that fade with time.
+//! Exponentially decaying counters of service, by workspace.
 
 use serde::{Deserialize, Serialize};
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-/// One workspace's sums as boxes tell them, in service units.
+/// Usage of one workspace as boxes report it, in service units.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UsageRow {
-    /// The workspace, as a hash of its name.
+    /// Hash of the workspace's name.
     pub workspace: u64,
-    /// What was requested for lately.
+    /// Service requested within the short decay time.
     pub requested: u64,
-    /// What was requested for over about the window in which shares are owed.
+    /// Service requested within the long decay time.
     pub requested_long: u64,
-    /// What was admitted lately.
+    /// Service admitted within the short decay time.
     pub admitted: u64,
 }
 
 impl UsageRow {
-    const fn new(workspace: u64, sum: WorkspaceUsage) -> Self {
+    const fn new(workspace: u64, usage: WorkspaceUsage) -> Self {
         Self {
             workspace,
-            requested: sum.requested.round() as u64,
-            requested_long: sum.requested_long.round() as u64,
-            admitted: sum.admitted.round() as u64,
+            requested: usage.requested.round() as u64,
+            requested_long: usage.requested_long.round() as u64,
+            admitted: usage.admitted.round() as u64,
         }
     }
 }
 
-/// One workspace's sums, in service units.
+/// Usage of one workspace, in service units.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub(super) struct WorkspaceUsage {
-    /// What was requested for lately.
+    /// Service requested within the short decay time.
     pub(super) requested: f64,
-    /// What was requested for over about the window in which shares are owed.
+    /// Service requested within the long decay time.
     pub(super) requested_long: f64,
-    /// What was admitted lately.
+    /// Service admitted within the short decay time.
     pub(super) admitted: f64,
 }
 
 impl WorkspaceUsage {
-    /// Below this it counts as nothing, in service units.
-    const LEAST: f64 = 0.5;
+    /// Usage below this is dropped, in service units.
+    const MIN_UNITS: f64 = 0.5;
 
-    /// Counts what is requested for.
-    pub(super) const fn ask(&mut self, units: f64) {
+    /// Adds a request.
+    pub(super) const fn add_request(&mut self, units: f64) {
         self.requested += units;
         self.requested_long += units;
     }
@@ -57,16 +57,16 @@
         }
     }
 
-    const fn fade(self, kept: DecayFactors) -> Self {
+    const fn scaled(self, factors: DecayFactors) -> Self {
         Self {
-            requested: self.requested * kept.short,
-            requested_long: self.requested_long * kept.long,
-            admitted: self.admitted * kept.short,
+            requested: self.requested * factors.short,
+            requested_long: self.requested_long * factors.long,
+            admitted: self.admitted * factors.short,
         }
     }
 
-    const fn is_nothing(&self) -> bool {
-        self.requested_long < Self::LEAST && self.admitted < Self::LEAST
+    const fn is_negligible(&self) -> bool {
+        self.requested_long < Self::MIN_UNITS && self.admitted < Self::MIN_UNITS
     }
 }
 
@@ -80,112 +80,113 @@
     }
 }
 
-/// The sums of each workspace, by the hash of its name.
+/// Usage by workspace, keyed by the hash of its name.
 pub(super) type UsageTable = BTreeMap<u64, WorkspaceUsage>;
 
-/// Adds sums to others.
-pub(super) fn add_sums(total: &mut UsageTable, sums: &UsageTable) {
-    for (workspace, sum) in sums {
+/// Adds `table` to `total`.
+pub(super) fn add_usage(total: &mut UsageTable, table: &UsageTable) {
+    for (workspace, usage) in table {
         let known = total.entry(*workspace).or_default();
-        *known = known.plus(*sum);
+        *known = known.plus(*usage);
     }
 }
 
-/// Adds sums up in a row that stands for no workspace.
-pub(super) fn total_row(sums: &UsageTable) -> UsageRow {
-    let total = sums.values().copied().reduce(WorkspaceUsage::plus);
+/// Returns the total of all workspaces, as a row with workspace 0.
+pub(super) fn total_row(table: &UsageTable) -> UsageRow {
+    let total = table.values().copied().reduce(WorkspaceUsage::plus);
     UsageRow::new(0, total.unwrap_or_default())
 }
 
-/// Lists sums, those that ask for most where there are too many for a datagram: who asks for less than
-/// the others is held back last.
-pub(super) fn share_rows(sums: &UsageTable) -> Vec<UsageRow> {
-    /// How many rows a datagram holds; each has about 20 bytes.
-    const MOST_ROWS: usize = 200;
-    let rows = sums.iter();
-    let rows = rows.map(|(workspace, sum)| UsageRow::new(*workspace, *sum));
+/// Returns the table as rows. If they exceed a datagram, the workspaces with the lowest demand are
+/// left out, since they are within their share.
+pub(super) fn usage_rows(table: &UsageTable) -> Vec<UsageRow> {
+    /// Number of rows that fit into a datagram, at about 20 bytes each.
+    const MAX_ROWS: usize = 200;
+    let rows = table.iter();
+    let rows = rows.map(|(workspace, usage)| UsageRow::new(*workspace, *usage));
     let mut rows: Vec<UsageRow> = rows.collect();
-    if rows.len() > MOST_ROWS {
+    if rows.len() > MAX_ROWS {
         rows.sort_unstable_by_key(|row| Reverse(row.requested));
-        rows.truncate(MOST_ROWS);
+        rows.truncate(MAX_ROWS);
     }
     rows
 }
 
-/// Over how long sums fade to 1/e, in milliseconds.
+/// Time constants of the exponential decay, in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct DecayTimes {
-    /// Those of the last moments.
+    /// Time constant of recent usage.
     pub(super) short_ms: f64,
-    /// Those over about the window in which shares are owed.
+    /// Time constant of sustained demand.
     pub(super) long_ms: f64,
 }
 
-/// Which parts of sums are left.
+/// Factors by which usage is scaled as it decays.
 #[derive(Debug, Clone, Copy)]
 struct DecayFactors {
     short: f64,
     long: f64,
 }
 
-/// What a box counts itself.
+/// Usage counted at this box, which decays over time.
 #[derive(Debug, Default)]
 pub(super) struct DecayingUsage {
-    /// What was counted up to the last look.
-    old: UsageTable,
-    /// What was counted since.
-    newest: UsageTable,
-    looked_ms: u64,
+    /// Usage up to the last decay.
+    settled: UsageTable,
+    /// Usage since the last decay.
+    recent: UsageTable,
+    decayed_ms: u64,
 }
 
 impl DecayingUsage {
-    /// Returns the newest sums of a workspace, to count in.
-    pub(super) fn count(&mut self, workspace: u64) -> &mut WorkspaceUsage {
-        self.newest.entry(workspace).or_default()
+    /// Returns the counters of a workspace since the last decay.
+    pub(super) fn recent_mut(&mut self, workspace: u64) -> &mut WorkspaceUsage {
+        self.recent.entry(workspace).or_default()
     }
 
-    /// Returns the sums as of now.
-    pub(super) fn faded(&self, times: DecayTimes, now_ms: u64) -> UsageTable {
-        let passed_ms = now_ms.saturating_sub(self.looked_ms) as f64;
-        let kept = |left: fn(f64) -> f64| DecayFactors {
-            short: left(passed_ms / times.short_ms),
-            long: left(passed_ms / times.long_ms),
+    /// Returns the usage decayed to `now_ms`.
+    pub(super) fn decayed(&self, times: DecayTimes, now_ms: u64) -> UsageTable {
+        let passed_ms = now_ms.saturating_sub(self.decayed_ms) as f64;
+        let factors = |factor: fn(f64) -> f64| DecayFactors {
+            short: factor(passed_ms / times.short_ms),
+            long: factor(passed_ms / times.long_ms),
         };
-        let (old, newest) = (kept(left_of_old), kept(left_of_newest));
-        let fade = |sums: &UsageTable, kept| -> UsageTable {
-            let sums = sums.iter();
-            sums.map(|(workspace, sum)| (*workspace, sum.fade(kept)))
+        let (settled, recent) = (factors(decay_factor), factors(mean_decay_factor));
+        let scale = |table: &UsageTable, factors| -> UsageTable {
+            let table = table.iter();
+            table
+                .map(|(workspace, usage)| (*workspace, usage.scaled(factors)))
                 .collect()
         };
-        let mut faded = fade(&self.old, old);
-        add_sums(&mut faded, &fade(&self.newest, newest));
-        faded
+        let mut decayed = scale(&self.settled, settled);
+        add_usage(&mut decayed, &scale(&self.recent, recent));
+        decayed
     }
 
-    /// Lets the sums fade up to now, and drops those of which nothing is left.
-    pub(super) fn fade(&mut self, times: DecayTimes, now_ms: u64) {
-        self.old = self.faded(times, now_ms);
-        self.old.retain(|_, sum| !sum.is_nothing());
-        self.newest.clear();
-        self.looked_ms = now_ms;
+    /// Decays the usage to `now_ms`, and drops negligible entries.
+    pub(super) fn decay(&mut self, times: DecayTimes, now_ms: u64) {
+        self.settled = self.decayed(times, now_ms);
+        self.settled.retain(|_, usage| !usage.is_negligible());
+        self.recent.clear();
+        self.decayed_ms = now_ms;
     }
 
-    /// Returns the sums of one workspace, as of the last look and all that came since.
-    pub(super) fn of(&self, workspace: u64) -> WorkspaceUsage {
-        let sum = |sums: &UsageTable| sums.get(&workspace).copied().unwrap_or_default();
-        sum(&self.old).plus(sum(&self.newest))
+    /// Returns the usage of a workspace as of the last decay plus all that was counted since.
+    pub(super) fn usage_of(&self, workspace: u64) -> WorkspaceUsage {
+        let usage = |table: &UsageTable| table.get(&workspace).copied().unwrap_or_default();
+        usage(&self.settled).plus(usage(&self.recent))
     }
 }
 
-/// Returns the part that is left after so many fading times.
-fn left_of_old(times: f64) -> f64 {
-    (-times).exp()
+/// Returns the decay factor after `elapsed` time constants.
+fn decay_factor(elapsed: f64) -> f64 {
+    (-elapsed).exp()
 }
 
-/// Returns the part that is left of what came evenly during so many fading times.
-fn left_of_newest(times: f64) -> f64 {
-    match times > 0.0 {
-        true => (1.0 - (-times).exp()) / times,
+/// Returns the mean decay factor of usage spread evenly over the last `elapsed` time constants.
+fn mean_decay_factor(elapsed: f64) -> f64 {
+    match elapsed > 0.0 {
+        true => (1.0 - (-elapsed).exp()) / elapsed,
         false => 1.0,
     }
 }
--- a/dockgate-core/src/gateway/fair_usage.rs
+++ b/dockgate-core/src/gateway/fair_usage.rs
@@ -1,64 +1,64 @@
-//! What a workspace takes at one box, beside the rate that is its fair part.
+//! Service that a workspace is admitted at one box, relative to its fair rate.
 
-/// What was taken lately, and how much may be.
+/// Exponentially decaying admitted service, and the fair rate it is compared with.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct FairUsage {
-    /// Service units that were taken here, fading.
-    taken: f64,
-    /// When that was worked out.
+    /// Decaying total of admitted service units at this box.
+    admitted: f64,
+    /// Time to which the total is decayed.
     at_ms: u64,
-    /// The fair rate, in service units a millisecond.
+    /// Fair rate, in service units per millisecond.
     fair_per_ms: f64,
-    /// What was taken over the whole fleet as a part of what is fair there, some tenths of a second ago.
-    fleet_part: f64,
+    /// Admitted service over fair share in the whole fleet; lags by some tenths of a second.
+    fleet_ratio: f64,
 }
 
 impl FairUsage {
-    /// In how many milliseconds what was taken falls to 1/e.
-    const MEMORY_MS: f64 = 1_000.0;
+    /// Time constant of the decay, in milliseconds.
+    const DECAY_MS: f64 = 1_000.0;
 
-    /// Makes one of a workspace that has taken so many service units a millisecond.
-    pub(super) const fn new(taken_per_ms: f64, now_ms: u64) -> Self {
+    /// Creates the usage of a workspace that was admitted service units at a steady rate.
+    pub(super) const fn new(admitted_per_ms: f64, now_ms: u64) -> Self {
         Self {
-            taken: taken_per_ms * Self::MEMORY_MS,
+            admitted: admitted_per_ms * Self::DECAY_MS,
             at_ms: now_ms,
             fair_per_ms: 0.0,
-            fleet_part: 1.0,
+            fleet_ratio: 1.0,
         }
     }
 
-    /// Sets the fair rate, in service units a millisecond.
+    /// Sets the fair rate, in service units per millisecond.
     #[must_use]
-    pub(super) const fn fair(mut self, per_ms: f64) -> Self {
+    pub(super) const fn with_fair_rate(mut self, per_ms: f64) -> Self {
         self.fair_per_ms = per_ms;
         self
     }
 
-    /// Sets what was taken over the whole fleet as a part of what is fair there.
+    /// Sets the admitted service over the fair share in the whole fleet.
     #[must_use]
-    pub(super) const fn fleet_part(mut self, part: f64) -> Self {
-        self.fleet_part = part;
+    pub(super) const fn with_fleet_ratio(mut self, ratio: f64) -> Self {
+        self.fleet_ratio = ratio;
         self
     }
 
-    fn taken_at(&self, now_ms: u64) -> f64 {
+    fn admitted_at(&self, now_ms: u64) -> f64 {
         let passed_ms = now_ms.saturating_sub(self.at_ms) as f64;
-        self.taken * (-passed_ms / Self::MEMORY_MS).exp()
+        self.admitted * (-passed_ms / Self::DECAY_MS).exp()
     }
 
-    /// Notes that a prompt of so many service units was taken.
+    /// Records an admitted prompt, in service units.
     pub(super) fn record(&mut self, units: f64, now_ms: u64) {
-        self.taken = self.taken_at(now_ms) + units;
+        self.admitted = self.admitted_at(now_ms) + units;
         self.at_ms = now_ms;
     }
 
-    /// Returns what is taken as a part of what is fair, for a prompt of so many service units: what is taken here, as far
-    /// as prompts of that size come often enough to know, else what is taken in the fleet.
-    pub(super) fn part(&self, units: f64, now_ms: u64) -> f64 {
-        let fair = self.fair_per_ms * Self::MEMORY_MS;
+    /// Returns the admitted service over the fair share for a prompt of `units` service units. The
+    /// ratio of the fleet replaces that of this box where prompts of that size are rare.
+    pub(super) fn fair_ratio(&self, units: f64, now_ms: u64) -> f64 {
+        let fair = self.fair_per_ms * Self::DECAY_MS;
         let weight = fair / (fair + units).max(1.0);
-        let here = self.taken_at(now_ms) / fair.max(1.0);
-        here * weight + self.fleet_part * (1.0 - weight)
+        let local = self.admitted_at(now_ms) / fair.max(1.0);
+        local * weight + self.fleet_ratio * (1.0 - weight)
     }
 }
 
--- a/dockgate-core/src/gateway/loop_lag.rs
+++ b/dockgate-core/src/gateway/loop_lag.rs
@@ -1,9 +1,9 @@
-//! Whether a box has more work than processor, told by how late its own timer fires.
+//! Detects CPU overload of a box by the lag of a periodic timer in its event loop.
 //!
-//! All callers of a large workspace may be at one small box. What waits there for the processor is
-//! seen by nobody else, and a request that waits longer than its objective is worth a third at
-//! best. So the box measures its delay, refuses at once what cannot be in time, and asks for its
-//! callers to be sent elsewhere until it has caught up.
+//! Requests that queue for the processor of one box are invisible to other boxes, and all callers
+//! of a large workspace may be connected to the same small box. A box therefore measures its own
+//! lag, refuses requests that would miss their objective, and diverts callers until it has caught
+//! up.
 //!
 //! ```
 //! use dockgate_core::gateway::{LagChange, LoopLag};
@@ -15,49 +15,50 @@
 //! assert_eq!(lag.lag_ms(), 250);
 //! ```
 
-/// How late the box is, and whether callers should go elsewhere.
+/// Lag of the event loop, and whether the box is overloaded.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct LoopLag {
-    /// How late the timer fired the last few times, in milliseconds; the oldest is replaced next.
+    /// Ring buffer of the latest timer delays, in milliseconds.
     late_ms: [u64; Self::SAMPLES],
     next: usize,
-    /// Since when the box is overloaded, and until when it says so at least.
+    /// Current overload, if any.
     overload: Option<Overload>,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct Overload {
     since_ms: u64,
+    /// Earliest end.
     until_ms: u64,
 }
 
-/// What a sample changed.
+/// Change of the overload state by a sample.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LagChange {
-    /// Nothing.
+    /// The state is unchanged.
     None,
     /// The box has become overloaded.
     Overloaded,
-    /// It has caught up, after so many milliseconds.
+    /// The box has caught up; holds the duration of the overload in milliseconds.
     CaughtUp(u64),
 }
 
 impl LoopLag {
-    /// How many samples must be late. One alone is a pause: the box was frozen, or its share of the
-    /// processor was spent for the rest of a tenth of a second.
+    /// Number of consecutive late samples that indicate lag. A single one may be a suspension, or
+    /// CPU throttling within one scheduler period.
     const SAMPLES: usize = 3;
-    /// From which delay on the box is overloaded, in milliseconds. Above the 90 that a spent share
-    /// makes, below a quarter of the shortest objective of prompts.
+    /// Lag at which an overload begins, in milliseconds. It is above the 90 ms that CPU throttling
+    /// can cause, and below a quarter of the shortest objective of prompts.
     const OVERLOADED_MS: u64 = 120;
-    /// Below which delay it has caught up, in milliseconds.
+    /// Lag below which an overload may end, in milliseconds.
     const CAUGHT_UP_MS: u64 = 30;
-    /// For how long it asks for callers to be sent elsewhere, in milliseconds: whoever sends them
-    /// looks once a second, and acts on the second answer.
+    /// Minimum duration of an overload, in milliseconds. The load balancer polls readiness once per
+    /// second and acts on the second answer.
     const HOLD_MS: u64 = 3_000;
-    /// Up to which part of its objective a request may wait for the processor before it is refused.
+    /// Maximum wait for the processor, as a fraction of the request's objective.
     const MAX_WAIT_FRACTION: f64 = 0.5;
 
-    /// Notes by how many milliseconds the timer fired late.
+    /// Records the delay of the timer in milliseconds.
     pub fn record(&mut self, late_ms: u64, now_ms: u64) -> LagChange {
         self.late_ms[self.next] = late_ms;
         self.next = (self.next + 1) % Self::SAMPLES;
@@ -83,17 +84,17 @@
         }
     }
 
-    /// Returns for how many milliseconds work waits for the processor.
+    /// Returns the lag in milliseconds: the least delay among the latest samples.
     pub fn lag_ms(&self) -> u64 {
         self.late_ms.iter().copied().min().unwrap_or(0)
     }
 
-    /// Tells whether callers should be sent elsewhere.
+    /// Returns whether callers should be diverted to other boxes.
     pub const fn is_overloaded(&self) -> bool {
         self.overload.is_some()
     }
 
-    /// Tells whether a request with this objective would wait too long here to be taken.
+    /// Returns whether a request with this objective would wait too long for the processor.
     pub fn is_too_late_for(&self, objective_ms: u64) -> bool {
         self.is_overloaded() && self.lag_ms() as f64 > objective_ms as f64 * Self::MAX_WAIT_FRACTION
     }
--- a/dockgate-core/src/gateway/loop_lag/tests.rs
+++ b/dockgate-core/src/gateway/loop_lag/tests.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn a_freeze_or_a_spent_share_is_no_overload() {
+fn suspension_and_throttling_are_not_overload() {
     let mut lag = LoopLag::default();
     for (step, late_ms) in [4_000, 0, 95, 90, 95, 3_000, 90, 0].into_iter().enumerate() {
         assert_eq!(lag.record(late_ms, step as u64 * 100), LagChange::None);
@@ -20,34 +20,34 @@
 }
 
 #[test]
-fn what_would_wait_past_half_of_its_objective_is_refused() {
+fn requests_that_wait_past_half_of_their_objective_are_too_late() {
     let lag = overloaded();
     assert!(lag.is_too_late_for(600));
     assert!(!lag.is_too_late_for(1_000));
 }
 
 #[test]
-fn it_stays_overloaded_until_it_has_caught_up_and_the_callers_could_go() {
+fn overload_lasts_until_caught_up_and_hold_time_has_passed() {
     let mut lag = overloaded();
     assert_eq!(lag.record(0, 2_000), LagChange::None);
-    assert!(lag.is_overloaded(), "callers are still being sent here");
-    assert!(!lag.is_too_late_for(600), "what comes now is in time");
+    assert!(lag.is_overloaded(), "the hold time has not passed");
+    assert!(!lag.is_too_late_for(600), "new requests are in time");
     for step in 0..3 {
         assert_eq!(lag.record(60, 4_300 + step * 100), LagChange::None);
     }
     assert_eq!(
         lag.record(60, 4_600),
         LagChange::None,
-        "60 ms late is not caught up"
+        "a lag of 60 ms is above the threshold"
     );
     assert_eq!(lag.record(5, 4_900), LagChange::CaughtUp(3_400));
     assert!(!lag.is_overloaded());
 }
 
 proptest! {
-    /// Overload begins and ends in turn, holds for its time, and nothing is refused without it.
+    /// Overloads must not overlap or end early, and requests are in time outside of them.
     #[test]
-    fn overload_begins_and_ends_in_turn(
+    fn overloads_begin_and_end_in_turn(
         samples in prop::collection::vec((0_u64..1_000, 50_u64..500), 1..200),
     ) {
         let mut lag = LoopLag::default();
--- a/dockgate-core/src/gateway/retry_budget.rs
+++ b/dockgate-core/src/gateway/retry_budget.rs
@@ -1,21 +1,21 @@
-//! How many requests this box may send to a second endpoint, as its part of the fleet's budget.
+//! Budget of retries to a second endpoint, as this box's part of the fleet's budget.
 //!
-//! The fleet may send, within any window, a ratio of the requests for a service and a fixed slack
-//! on top. The ratio is safe to spend box by box; the slack is divided by the number of boxes that
-//! the fleet could have, not by those seen now, so that a partition cannot spend it twice.
+//! Within any window, the fleet may retry a ratio of the requests for a service plus a fixed slack.
+//! Each box may apply the ratio to its own requests. The slack is divided by the maximum number of
+//! boxes rather than by those currently known, so that a partition cannot spend it twice.
 
 use std::collections::{HashMap, VecDeque};
 
-/// The budget of the whole fleet.
+/// Retry budget of the whole fleet.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryRule {
-    /// Further sends for each request.
+    /// Retries per request.
     pub ratio: f64,
-    /// The window in which both are counted, in milliseconds.
+    /// Length of the sliding window, in milliseconds.
     pub window_ms: u64,
-    /// Further sends in each window on top, over the fleet.
+    /// Additional retries per window for the whole fleet.
     pub slack: f64,
-    /// How many boxes the fleet could have.
+    /// Maximum number of boxes in the fleet.
     pub boxes: u32,
 }
 
@@ -28,13 +28,13 @@
 impl ServiceWindow {
     fn expire(&mut self, before_ms: u64) {
         for times in [&mut self.requests, &mut self.retries] {
-            let gone = times.iter().take_while(|at| **at < before_ms).count();
-            times.drain(..gone);
+            let expired = times.iter().take_while(|at| **at < before_ms).count();
+            times.drain(..expired);
         }
     }
 }
 
-/// Counts requests and further sends of each service over a sliding window.
+/// Counts requests and retries by service over a sliding window.
 #[derive(Debug, Clone)]
 pub struct RetryBudget {
     rule: RetryRule,
@@ -42,10 +42,10 @@
 }
 
 impl RetryBudget {
-    /// How much of the allowance is used: the rest covers clocks and counts that differ a little.
+    /// Fraction of the allowance that is used; the rest covers differences in clocks and counts.
     const USED_FRACTION: f64 = 0.8;
 
-    /// Makes a budget with nothing counted.
+    /// Creates a budget without any requests or retries.
     pub fn new(rule: RetryRule) -> Self {
         Self {
             rule,
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Sets the budget of the whole fleet; what was counted stays.
+    /// Sets the budget of the whole fleet, and keeps the counts.
     pub const fn set_rule(&mut self, rule: RetryRule) {
         self.rule = rule;
     }
@@ -63,24 +63,24 @@
         self.rule.boxes = boxes.max(1);
     }
 
-    /// Counts a request for a service.
+    /// Records a request for a service.
     pub fn record_request(&mut self, service: &str, now_ms: u64) {
         let window = self.window(service, now_ms);
         window.requests.push_back(now_ms);
     }
 
-    /// Takes one further send out of the budget; returns false where none is left.
+    /// Takes one retry out of the budget; returns false if it is exhausted.
     pub fn try_take(&mut self, service: &str, now_ms: u64) -> bool {
         let rule = self.rule;
         let window = self.window(service, now_ms);
         let earned = window.requests.len() as f64 * rule.ratio;
         let slack = rule.slack / f64::from(rule.boxes.max(1));
         let allowed = (earned + slack) * Self::USED_FRACTION;
-        let left = (window.retries.len() as f64) + 1.0 <= allowed;
-        if left {
+        let is_allowed = (window.retries.len() as f64) + 1.0 <= allowed;
+        if is_allowed {
             window.retries.push_back(now_ms);
         }
-        left
+        is_allowed
     }
 
     fn window(&mut self, service: &str, now_ms: u64) -> &mut ServiceWindow {
--- a/dockgate-core/src/gateway/retry_budget/tests.rs
+++ b/dockgate-core/src/gateway/retry_budget/tests.rs
@@ -9,18 +9,18 @@
 };
 
 #[test]
-fn without_requests_only_the_part_of_the_slack_is_there() {
+fn slack_is_divided_among_boxes_without_requests() {
     let mut budget = RetryBudget::new(RULE);
     let taken = (0..100).filter(|_| budget.try_take("x", 1_000)).count();
     assert_eq!(taken, 3, "0.8 of 52 / 13");
     assert!(
         budget.try_take("y", 1_000),
-        "services have budgets of their own"
+        "each service has its own budget"
     );
 }
 
 #[test]
-fn the_window_slides() {
+fn retries_expire_after_the_window() {
     let mut budget = RetryBudget::new(RULE);
     while budget.try_take("x", 1_000) {}
     assert!(!budget.try_take("x", 10_999));
@@ -28,16 +28,16 @@
 }
 
 proptest! {
-    /// In any window, all boxes together stay within ratio and slack.
+    /// All boxes together must stay within ratio and slack in every window.
     #[test]
-    fn the_fleet_stays_within_its_budget(
+    fn fleet_stays_within_its_budget(
         events in prop::collection::vec((0_usize..13, 0_u64..40, any::<bool>()), 1..2_000),
     ) {
         let mut boxes: Vec<RetryBudget> = (0..13).map(|_| RetryBudget::new(RULE)).collect();
         let (mut now_ms, mut requests, mut retries) = (1_000, Vec::new(), Vec::new());
-        for (index, pause, repeat) in events {
-            now_ms += pause;
-            match repeat {
+        for (index, gap_ms, is_retry) in events {
+            now_ms += gap_ms;
+            match is_retry {
                 true if boxes[index].try_take("x", now_ms) => retries.push(now_ms),
                 true => {}
                 false => {
--- a/dockgate-core/src/gateway/share_credit.rs
+++ b/dockgate-core/src/gateway/share_credit.rs
@@ -1,58 +1,59 @@
-//! What a workspace is owed at one box: a rate, and what it has not taken of it lately.
+//! Credit of a workspace at one box, refilled at its guaranteed rate.
 
-/// A rate of service, and what is left of it.
+/// Token bucket in service units that may be overdrawn by one prompt.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct ShareCredit {
-    /// Service units that are left; below zero, those taken in advance.
-    left: f64,
-    /// When that was worked out.
+    /// Balance in service units; negative if overdrawn.
+    balance: f64,
+    /// Time of the balance.
     at_ms: u64,
-    /// The rate, in service units a millisecond.
+    /// Refill rate, in service units per millisecond.
     per_ms: f64,
-    /// How much is left at most.
-    most: f64,
+    /// Upper bound of the balance.
+    max: f64,
 }
 
 impl ShareCredit {
-    /// Makes a credit of which so many service units are left.
-    pub(super) const fn new(left: f64, now_ms: u64) -> Self {
+    /// Creates a credit with a balance of service units and no refill.
+    pub(super) const fn new(balance: f64, now_ms: u64) -> Self {
         Self {
-            left,
+            balance,
             at_ms: now_ms,
             per_ms: 0.0,
-            most: f64::INFINITY,
+            max: f64::INFINITY,
         }
     }
 
-    /// Sets how many service units are left at most: what is not taken is not kept for ever.
+    /// Sets the upper bound of the balance, in service units.
     #[must_use]
-    pub(super) const fn most(mut self, units: f64) -> Self {
-        self.most = units;
+    pub(super) const fn with_max(mut self, units: f64) -> Self {
+        self.max = units;
         self
     }
 
-    /// Sets the rate from now on, in service units a millisecond.
+    /// Sets the refill rate from `now_ms` on, in service units per millisecond.
     #[must_use]
-    pub(super) fn rate(mut self, per_ms: f64, now_ms: u64) -> Self {
-        self.left = self.left_at(now_ms);
+    pub(super) fn with_rate(mut self, per_ms: f64, now_ms: u64) -> Self {
+        self.balance = self.balance_at(now_ms);
         self.at_ms = now_ms;
         self.per_ms = per_ms;
         self
     }
 
-    fn left_at(&self, now_ms: u64) -> f64 {
+    fn balance_at(&self, now_ms: u64) -> f64 {
         let passed_ms = now_ms.saturating_sub(self.at_ms) as f64;
-        (self.left + passed_ms * self.per_ms).min(self.most)
+        (self.balance + passed_ms * self.per_ms).min(self.max)
     }
 
-    /// Tells whether anything is left: a prompt of any size may be taken then, in advance.
-    pub(super) fn is_left(&self, now_ms: u64) -> bool {
-        self.left_at(now_ms) >= 0.0
+    /// Returns whether a prompt may be admitted. Its size does not matter, as it may overdraw the
+    /// balance.
+    pub(super) fn is_available(&self, now_ms: u64) -> bool {
+        self.balance_at(now_ms) >= 0.0
     }
 
-    /// Takes so many service units.
+    /// Deducts service units from the balance.
     pub(super) fn spend(&mut self, units: f64, now_ms: u64) {
-        self.left = self.left_at(now_ms) - units;
+        self.balance = self.balance_at(now_ms) - units;
         self.at_ms = now_ms;
     }
 }
--- a/dockgate-core/src/gateway/share_level.rs
+++ b/dockgate-core/src/gateway/share_level.rs
@@ -1,4 +1,4 @@
-//! How a workspace stands beside the others when a prompt of it is decided on.
+//! Standing of a workspace relative to its share when one of its prompts is decided on.
 //!
 //! ```
 //! use dockgate_core::gateway::ShareLevel;
@@ -12,24 +12,25 @@
 
 use serde::{Deserialize, Serialize};
 
-/// How much of their share those have had who ask for more, and what a workspace takes beside the others.
+/// Standing of a workspace relative to its guaranteed and its fair share.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShareLevel {
-    /// Given over owed, in thousandths: 1,000 is all that is owed.
+    /// Service admitted for all contending workspaces over their guaranteed shares, in thousandths.
     share_permille: u32,
-    /// What it takes here over its fair part, in thousandths: 1,000 is even with the others.
+    /// Service admitted for this workspace at this box over its fair share, in thousandths.
     fair_permille: u32,
 }
 
 impl ShareLevel {
-    /// It is owed more.
+    /// Level of a workspace within its share.
     pub const WITHIN: Self = Self::new(0.0);
-    /// How steeply one is held back that takes more than its fair part: the exponent for one fair part more.
+    /// Growth of the pressure with the fair ratio: the exponent per fair share in excess.
     const PRESSURE_EXPONENT: f64 = 4.0;
-    /// Beyond how many fair parts more makes no difference.
+    /// Fair ratio above which the pressure no longer grows.
     const MAX_FAIR_RATIO: f64 = 3.0;
 
-    /// Makes the level of a workspace, where those who ask for more have had this many times their share.
+    /// Creates the level of a workspace that gets exactly its fair share, where contending
+    /// workspaces get `share_ratio` times their guaranteed shares.
     pub const fn new(share_ratio: f64) -> Self {
         Self {
             share_permille: (share_ratio * 1_000.0) as u32,
@@ -37,32 +38,33 @@
         }
     }
 
-    /// Sets what it takes here, as a part of what is fair.
+    /// Sets the service admitted for the workspace at this box over its fair share.
     #[must_use]
     pub const fn with_fair_ratio(mut self, ratio: f64) -> Self {
         self.fair_permille = (ratio * 1_000.0) as u32;
         self
     }
 
-    /// Tells whether it has had what it is owed.
+    /// Returns whether the workspace has used up its guaranteed share.
     pub const fn is_beyond(self) -> bool {
         self.share_permille >= 1_000
     }
 
-    /// Returns how many times their share those who ask for more have had.
+    /// Returns the service admitted for all contending workspaces over their guaranteed shares.
     pub fn share_ratio(self) -> f64 {
         f64::from(self.share_permille) / 1_000.0
     }
 
-    /// Returns what it takes here over its fair part.
+    /// Returns the service admitted for the workspace at this box over its fair share.
     pub fn fair_ratio(self) -> f64 {
         f64::from(self.fair_permille) / 1_000.0
     }
 
-    /// Returns what holds it back: the square of how far all are beyond their share, and more, the more it takes of what is fair
+    /// Returns the factor by which admission is tightened: the square of the share ratio, times an
+    /// exponential of the service in excess of the fair share
     /// (`docs/decisions/0020-shares-without-turns.md`).
     pub fn pressure(self) -> f64 {
-        let ahead = self.fair_ratio().min(Self::MAX_FAIR_RATIO) - 1.0;
-        self.share_ratio().powi(2) * (Self::PRESSURE_EXPONENT * ahead).exp()
+        let excess = self.fair_ratio().min(Self::MAX_FAIR_RATIO) - 1.0;
+        self.share_ratio().powi(2) * (Self::PRESSURE_EXPONENT * excess).exp()
     }
 }
--- a/dockgate-core/src/gateway/share_reports.rs
+++ b/dockgate-core/src/gateway/share_reports.rs
@@ -1,45 +1,46 @@
-//! What boxes tell each other of the sums of service.
+//! Usage reports that boxes exchange.
 //!
-//! Every box tells the coordinators of its failure domain its own sums with each beat. They tell each
-//! other the sums of their domains, and all boxes of theirs the sums of the fleet. A report replaces
-//! the one before of the same teller, so that one that is lost or doubled changes nothing, and a box
-//! that has just begun knows all from one digest.
+//! Every box reports its usage to the coordinators of its failure domain with each heartbeat.
+//! Coordinators report the usage of their domain to each other, and the usage of the fleet to the
+//! boxes of their domain. A report replaces the previous one of the same sender, so a lost or
+//! duplicated report leaves no error behind, and a box that has just started is up to date after
+//! one digest.
 
 use super::box_beat::DomainKey;
-use super::decaying_usage::{UsageRow, UsageTable, WorkspaceUsage, add_sums};
+use super::decaying_usage::{UsageRow, UsageTable, WorkspaceUsage, add_usage};
 use crate::ids::{BoxKey, Incarnation};
 use std::collections::{BTreeMap, HashMap};
 
-/// What a report adds up.
+/// Boxes that a report covers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum ShareScope {
-    /// What its teller counted itself.
+    /// The sender alone.
     Own,
-    /// All boxes of the teller's failure domain.
+    /// All boxes of the sender's failure domain.
     Domain(DomainKey),
     /// All boxes of the fleet.
     Fleet,
 }
 
-/// Who tells of which sums, and when.
+/// Sender, order and scope of a usage report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ShareHeader {
-    /// The box.
+    /// The sending box.
     pub peer: BoxKey,
-    /// Its life.
+    /// Incarnation of the sender.
     pub incarnation: Incarnation,
-    /// The number of its saying.
+    /// Sequence number within the incarnation.
     pub sequence: u32,
-    /// What it adds up.
+    /// Boxes that the report covers.
     pub scope: ShareScope,
 }
 
-/// Where the sums come from that a box goes by.
+/// Source of the fleet's usage.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ShareSource {
-    /// It added them up itself.
+    /// Computed by this box from the reports of others.
     Computed,
-    /// A coordinator told them so many milliseconds ago.
+    /// Reported by a coordinator; holds the age of the report in milliseconds.
     Reported(u64),
 }
 
@@ -47,132 +48,134 @@
 struct PeerReport {
     incarnation: Incarnation,
     sequence: u32,
-    sums: UsageTable,
-    heard_ms: u64,
+    usage: UsageTable,
+    received_ms: u64,
 }
 
 impl PeerReport {
-    fn asked(&self) -> f64 {
-        asked_of(&self.sums)
+    fn requested(&self) -> f64 {
+        total_requested(&self.usage)
     }
 }
 
-/// The newest report of each teller.
+/// Latest report of each sender and scope.
 #[derive(Debug, Default)]
 pub(super) struct ShareReports {
     reports: HashMap<(ShareScope, BoxKey), PeerReport>,
 }
 
 impl ShareReports {
-    /// How long a report counts, in milliseconds: a few beats.
-    const COUNTS_MS: u64 = 2_000;
+    /// Lifetime of a report in milliseconds; spans several heartbeats.
+    const LIFETIME_MS: u64 = 2_000;
 
-    /// Takes in what another box tells, unless something newer of it is known.
-    pub(super) fn merge(&mut self, teller: ShareHeader, rows: &[UsageRow], now_ms: u64) {
-        let key = (teller.scope, teller.peer);
+    /// Stores a report; ignores it if a newer one of the same incarnation was received.
+    pub(super) fn merge(&mut self, header: ShareHeader, rows: &[UsageRow], now_ms: u64) {
+        let key = (header.scope, header.peer);
         let is_old = self.reports.get(&key).is_some_and(|report| {
-            report.incarnation == teller.incarnation && report.sequence >= teller.sequence
+            report.incarnation == header.incarnation && report.sequence >= header.sequence
         });
         if is_old {
             return;
         }
-        let sums = rows.iter();
-        let sums = sums.map(|row| (row.workspace, WorkspaceUsage::from(*row)));
+        let usage = rows.iter();
+        let usage = usage.map(|row| (row.workspace, WorkspaceUsage::from(*row)));
         let report = PeerReport {
-            incarnation: teller.incarnation,
-            sequence: teller.sequence,
-            sums: sums.collect(),
-            heard_ms: now_ms,
+            incarnation: header.incarnation,
+            sequence: header.sequence,
+            usage: usage.collect(),
+            received_ms: now_ms,
         };
         self.reports.insert(key, report);
     }
 
-    /// Drops what no longer counts.
+    /// Removes expired reports.
     pub(super) fn expire(&mut self, now_ms: u64) {
         self.reports
-            .retain(|_, report| report.heard_ms + Self::COUNTS_MS > now_ms);
+            .retain(|_, report| report.received_ms + Self::LIFETIME_MS > now_ms);
     }
 
     fn fresh(&self, now_ms: u64) -> impl Iterator<Item = (ShareScope, &PeerReport)> {
         let reports = self.reports.iter();
-        let fresh = reports.filter(move |(_, report)| report.heard_ms + Self::COUNTS_MS > now_ms);
+        let fresh =
+            reports.filter(move |(_, report)| report.received_ms + Self::LIFETIME_MS > now_ms);
         fresh.map(|((scope, _), report)| (*scope, report))
     }
 
-    /// Adds the boxes of the own failure domain to this box's `own` sums.
-    pub(super) fn domain_sums(&self, own: UsageTable, now_ms: u64) -> UsageTable {
-        let mut total = own;
+    /// Returns the usage of this box's failure domain: `local` usage plus the reports of single
+    /// boxes.
+    pub(super) fn domain_usage(&self, local: UsageTable, now_ms: u64) -> UsageTable {
+        let mut total = local;
         let fresh = self.fresh(now_ms);
         for (_, report) in fresh.filter(|(scope, _)| *scope == ShareScope::Own) {
-            add_sums(&mut total, &report.sums);
+            add_usage(&mut total, &report.usage);
         }
         total
     }
 
-    /// Adds up the own failure domain and what is told of the others.
-    pub(super) fn counted_sums(&self, own: UsageTable, now_ms: u64) -> UsageTable {
-        let mut total = self.domain_sums(own, now_ms);
+    /// Returns the usage of this box's failure domain plus the reports of other domains.
+    pub(super) fn computed_usage(&self, local: UsageTable, now_ms: u64) -> UsageTable {
+        let mut total = self.domain_usage(local, now_ms);
         let mut domains: BTreeMap<DomainKey, &PeerReport> = BTreeMap::new();
         for (scope, report) in self.fresh(now_ms) {
             let ShareScope::Domain(domain) = scope else {
                 continue;
             };
             let best = domains.entry(domain).or_insert(report);
-            *best = fuller(best, report);
+            *best = more_complete(best, report);
         }
         for report in domains.values() {
-            add_sums(&mut total, &report.sums);
+            add_usage(&mut total, &report.usage);
         }
         total
     }
 
-    /// Returns the sums of the fleet: those that this box adds up, which are the newest, or those of a
-    /// coordinator that knows of clearly more.
-    pub(super) fn fleet_sums(&self, own: UsageTable, now_ms: u64) -> UsageTable {
-        let counted = self.counted_sums(own, now_ms);
-        match self.fuller_report(&counted, now_ms) {
-            Some(told) => told.sums.clone(),
-            None => counted,
+    /// Returns the usage of the fleet: a coordinator's report if it covers clearly more than this
+    /// box can compute, otherwise the computed usage, which is more recent.
+    pub(super) fn fleet_usage(&self, local: UsageTable, now_ms: u64) -> UsageTable {
+        let computed = self.computed_usage(local, now_ms);
+        match self.more_complete_report(&computed, now_ms) {
+            Some(report) => report.usage.clone(),
+            None => computed,
         }
     }
 
-    /// Tells where the sums of the fleet come from.
-    pub(super) fn source(&self, own: UsageTable, now_ms: u64) -> ShareSource {
-        let counted = self.counted_sums(own, now_ms);
-        match self.fuller_report(&counted, now_ms) {
-            Some(told) => ShareSource::Reported(now_ms.saturating_sub(told.heard_ms)),
+    /// Returns the source of [`Self::fleet_usage`].
+    pub(super) fn source(&self, local: UsageTable, now_ms: u64) -> ShareSource {
+        let computed = self.computed_usage(local, now_ms);
+        match self.more_complete_report(&computed, now_ms) {
+            Some(report) => ShareSource::Reported(now_ms.saturating_sub(report.received_ms)),
             None => ShareSource::Computed,
         }
     }
 
-    /// Returns what a coordinator tells of the fleet, if that is clearly more than what is counted here.
-    fn fuller_report(&self, counted: &UsageTable, now_ms: u64) -> Option<&PeerReport> {
+    /// Returns the best report of the fleet if it is clearly larger than the `computed` usage.
+    fn more_complete_report(&self, computed: &UsageTable, now_ms: u64) -> Option<&PeerReport> {
         let fleet = self.fresh(now_ms);
         let fleet = fleet.filter(|(scope, _)| *scope == ShareScope::Fleet);
-        let told = fleet.map(|(_, report)| report).reduce(fuller);
-        told.filter(|told| is_clearly_more(told.asked(), asked_of(counted)))
+        let best = fleet.map(|(_, report)| report).reduce(more_complete);
+        best.filter(|best| is_clearly_larger(best.requested(), total_requested(computed)))
     }
 }
 
-fn asked_of(sums: &UsageTable) -> f64 {
-    sums.values().map(|sum| sum.requested).sum()
+fn total_requested(usage: &UsageTable) -> f64 {
+    usage.values().map(|usage| usage.requested).sum()
 }
 
-/// Tells whether one sum is so much larger that the other one lacks boxes: sums that are a beat or two
-/// apart differ as well, and the newer one is better then.
-fn is_clearly_more(one: f64, other: f64) -> bool {
-    const CLEARLY: f64 = 1.25;
-    one > other * CLEARLY
+/// Returns whether `one` is so much larger that `other` must lack boxes. Smaller differences arise
+/// between reports that are a few heartbeats apart.
+fn is_clearly_larger(one: f64, other: f64) -> bool {
+    const MIN_RATIO: f64 = 1.25;
+    one > other * MIN_RATIO
 }
 
-/// Returns the newer of two reports of the same boxes, unless it lacks some: its teller may have just
-/// begun to coordinate.
-fn fuller<'a>(one: &'a PeerReport, other: &'a PeerReport) -> &'a PeerReport {
-    let (older, newer) = match one.heard_ms <= other.heard_ms {
+/// Returns the newer of two reports of the same boxes, unless it lacks some of them because its
+/// sender has only just become a coordinator.
+fn more_complete<'a>(one: &'a PeerReport, other: &'a PeerReport) -> &'a PeerReport {
+    let (older, newer) = match one.received_ms <= other.received_ms {
         true => (one, other),
         false => (other, one),
     };
-    match is_clearly_more(older.asked(), newer.asked()) {
+    match is_clearly_larger(older.requested(), newer.requested()) {
         true => older,
         false => newer,
     }
--- a/dockgate-core/src/gateway/share_tally.rs
+++ b/dockgate-core/src/gateway/share_tally.rs
@@ -1,4 +1,4 @@
-//! What became of the prompts of each workspace at one box, in service units.
+//! Outcomes of prompts by workspace at one box, in service units.
 //!
 //! ```
 //! use dockgate_core::gateway::{ShareOutcome, ShareTally};
@@ -14,36 +14,36 @@
 use std::cmp::Reverse;
 use std::collections::HashMap;
 
-/// What becomes of a prompt.
+/// Outcome of a prompt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ShareOutcome {
-    /// An engine takes it.
+    /// Admitted by an engine.
     Admitted,
-    /// It is refused, and its workspace has had its share.
+    /// Refused because its workspace has used up its share.
     BeyondShare,
-    /// It is refused, and its workspace is owed more.
+    /// Refused although its workspace is within its share.
     WouldBeLate,
-    /// It is refused unseen: the box has no processor for it.
+    /// Refused before it was considered, as the box is short of processor time.
     NoProcessor,
 }
 
-/// Sums of one workspace since the last look, in service units.
+/// Counters of one workspace since they were last taken, in service units.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
 pub struct TallyRow {
-    /// The workspace, as a hash of its name.
+    /// Hash of the workspace's name.
     #[serde(skip)]
     pub key: u64,
-    /// Its name.
+    /// Name of the workspace.
     pub workspace: String,
-    /// What its prompts asked for.
+    /// Requested service.
     pub asked: u64,
-    /// What engines took.
+    /// Admitted service.
     pub given: u64,
-    /// What was refused as it has had its share.
+    /// Service refused because the workspace had used up its share.
     pub beyond_share: u64,
-    /// What was refused although it is owed more.
+    /// Service refused although the workspace was within its share.
     pub would_be_late: u64,
-    /// What was refused for want of processor.
+    /// Service refused because the box was short of processor time.
     pub no_processor: u64,
 }
 
@@ -53,17 +53,17 @@
     }
 }
 
-/// Counts what became of the prompts of each workspace at this box.
+/// Counts the outcomes of prompts by workspace at this box.
 #[derive(Debug, Default)]
 pub struct ShareTally {
     rows: HashMap<u64, TallyRow>,
 }
 
 impl ShareTally {
-    /// How many workspaces are told of at most, so that a line stays short.
+    /// Maximum number of workspaces that are returned, so that log lines stay short.
     const MAX_ROWS: usize = 8;
 
-    /// Counts a prompt.
+    /// Records a requested prompt.
     pub fn record_request(&mut self, workspace: u64, name: &str, units: u64) {
         let row = self.rows.entry(workspace).or_insert_with(|| TallyRow {
             key: workspace,
@@ -73,22 +73,23 @@
         row.asked += units;
     }
 
-    /// Counts what became of a prompt that was counted as asked for.
+    /// Records the outcome of a prompt; ignores it if its request was not recorded since the
+    /// counters were last taken.
     pub fn record_outcome(&mut self, workspace: u64, outcome: ShareOutcome, units: u64) {
         let Some(row) = self.rows.get_mut(&workspace) else {
             return;
         };
-        let sum = match outcome {
+        let counter = match outcome {
             ShareOutcome::Admitted => &mut row.given,
             ShareOutcome::BeyondShare => &mut row.beyond_share,
             ShareOutcome::WouldBeLate => &mut row.would_be_late,
             ShareOutcome::NoProcessor => &mut row.no_processor,
         };
-        *sum += units;
+        *counter += units;
     }
 
-    /// Starts anew, and returns the sums of the workspaces of which something was refused, those that
-    /// asked for most first.
+    /// Resets all counters, and returns those of workspaces with refused prompts, by descending
+    /// demand.
     pub fn take_refused(&mut self) -> Vec<TallyRow> {
         let rows = std::mem::take(&mut self.rows).into_values();
         let mut rows: Vec<TallyRow> = rows.filter(|row| row.refused() > 0).collect();
--- a/dockgate-core/src/gateway/share_tally/tests.rs
+++ b/dockgate-core/src/gateway/share_tally/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn sums_are_told_once_and_only_where_something_was_refused() {
+fn refused_workspaces_are_returned_once() {
     let mut tally = ShareTally::default();
     tally.record_request(1, "library", 300);
     tally.record_outcome(1, ShareOutcome::Admitted, 300);
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_line_tells_of_few_workspaces() {
+fn number_of_rows_is_bounded() {
     let mut tally = ShareTally::default();
     for workspace in 0..50 {
         tally.record_request(workspace, "some", workspace + 1);
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn an_outcome_of_before_the_last_look_is_not_counted_alone() {
+fn outcomes_without_a_recorded_request_are_ignored() {
     let mut tally = ShareTally::default();
     tally.record_outcome(1, ShareOutcome::BeyondShare, 10);
     assert!(tally.take_refused().is_empty());
--- a/dockgate-core/src/gateway/share_tracker.rs
+++ b/dockgate-core/src/gateway/share_tracker.rs
@@ -1,34 +1,37 @@
-//! Who has had its share of the fleet, and what others beyond theirs may take.
+//! Max-min fair shares of the fleet's capacity, by workspace.
 //!
-//! Where more is asked than the endpoints make, a workspace is owed its max-min share: what it asks, or an
-//! equal level with all who ask for more. Who asks for less is within its share. Who asks for more has two
-//! rates, divided among its boxes by what they are asked for:
+//! When demand exceeds capacity, each workspace is guaranteed its max-min share: its demand, or an
+//! equal level with all workspaces whose demand is higher. Workspaces below that level are within
+//! their share. A workspace above it has two rates, which are divided among boxes in proportion to
+//! the demand at each box:
 //!
-//! - what it is owed, taken by whatever prompts come as long as any is left. Such a prompt counts as within the
-//!   share, so no size and no box is shut out;
-//! - its fair part of all that is given. Beyond what is owed the fleet holds back each prompt, the more so the more
-//!   of the fair part its box takes already ([`ShareLevel::pressure`]).
+//! - The guaranteed rate is a credit that any prompt may use while it lasts. Such a prompt counts
+//!   as within the share, so no workspace is shut out by the size of its prompts or by its box.
+//! - The fair rate is its part of the throughput. Once the credit is spent, prompts are admitted
+//!   under increasing pressure, the more the box admits relative to the fair rate
+//!   ([`ShareLevel::pressure`]).
 //!
-//! Both rates follow from what all ask for. What a workspace itself was given counts only at the box that
-//! gave it, where it is known at once: sums of the whole fleet are some tenths of a second old, and what
-//! is held back by old sums is let go too late as well, so that workspaces are served in turns.
+//! Both rates follow from the demand in the fleet. The service admitted for a workspace is
+//! counted at the box that admitted it, without delay. Totals of the fleet lag by some tenths of a
+//! second; limiting admission by them would make workspaces oscillate between starvation and
+//! excess.
 //!
 //! ```
 //! use dockgate_core::gateway::ShareTracker;
 //!
-//! let mut window = ShareTracker::new(4_000);
-//! window.tick(1_000, 100.0);
-//! window.record_request(1, 1_000, 1_300);
-//! window.record_request(2, 10, 1_300);
-//! window.tick(1_300, 100.0);
-//! let flood = window.level(1, 10, 1_300);
-//! window.record_admission(1, 500, flood, 1_300);
-//! assert!(window.level(1, 10, 1_400).is_beyond());
-//! assert!(!window.level(2, 10, 1_400).is_beyond());
+//! let mut tracker = ShareTracker::new(4_000);
+//! tracker.tick(1_000, 100.0);
+//! tracker.record_request(1, 1_000, 1_300);
+//! tracker.record_request(2, 10, 1_300);
+//! tracker.tick(1_300, 100.0);
+//! let level = tracker.level(1, 10, 1_300);
+//! tracker.record_admission(1, 500, level, 1_300);
+//! assert!(tracker.level(1, 10, 1_400).is_beyond());
+//! assert!(!tracker.level(2, 10, 1_400).is_beyond());
 //! ```
 
 use super::decaying_usage::{
-    DecayTimes, DecayingUsage, UsageRow, UsageTable, WorkspaceUsage, share_rows, total_row,
+    DecayTimes, DecayingUsage, UsageRow, UsageTable, WorkspaceUsage, total_row, usage_rows,
 };
 use super::fair_usage::FairUsage;
 use super::load_shedder::max_min_level;
@@ -37,237 +40,255 @@
 use super::share_reports::{ShareHeader, ShareReports, ShareSource};
 use std::collections::HashMap;
 
-/// What the endpoints make, divided among all: service units of one workspace within the short fading time.
+/// Thresholds that apply to every workspace, in service units within the short decay time.
 #[derive(Debug, Clone, Copy)]
 struct ShareThresholds {
-    /// What is owed to each that asks for more, of what the configuration states.
-    owed: f64,
-    /// What each gets that asks for more, of what is given lately.
+    /// Max-min level of the configured capacity: the guaranteed share of a contending workspace.
+    guaranteed: f64,
+    /// Max-min level of the recent throughput: the fair share of a contending workspace.
     fair: f64,
-    /// Beyond which sums over the long fading time are a flood.
+    /// Max-min level over the long decay time; a short burst stays below it.
     long: f64,
-    /// How many times what they are owed those get together that ask for more.
-    times: f64,
+    /// Service admitted for all contending workspaces over their guaranteed shares.
+    share_ratio: f64,
 }
 
 impl ShareThresholds {
-    /// There is enough for all.
-    const ENDLESS: Self = Self {
-        owed: f64::INFINITY,
+    /// Thresholds while capacity exceeds demand.
+    const UNLIMITED: Self = Self {
+        guaranteed: f64::INFINITY,
         fair: f64::INFINITY,
         long: f64::INFINITY,
-        times: 0.0,
+        share_ratio: 0.0,
     };
 
-    /// Tells whether so much is more than is owed, now and over a while: prompts that come together are no flood.
-    fn is_greedy(&self, sum: &WorkspaceUsage) -> bool {
-        sum.requested > self.owed.min(self.fair) && sum.requested_long > self.long
+    /// Returns whether demand exceeds the share over both decay times.
+    fn is_exceeded_by(&self, usage: &WorkspaceUsage) -> bool {
+        usage.requested > self.guaranteed.min(self.fair) && usage.requested_long > self.long
     }
 }
 
-/// How a workspace stands that asks for more than it is owed.
+/// Share of a contending workspace, whose demand exceeds its guaranteed share.
 #[derive(Debug, Clone, Copy)]
 struct ContendingShare {
-    /// How many times what they are owed all such get together.
-    times: f64,
-    /// What it is owed at this box.
-    owed: ShareCredit,
-    /// What it takes at this box beside its fair part.
-    taking: FairUsage,
+    /// Service admitted for all contending workspaces over their guaranteed shares.
+    share_ratio: f64,
+    /// Guaranteed service at this box.
+    credit: ShareCredit,
+    /// Service admitted at this box, relative to the fair rate.
+    usage: FairUsage,
 }
 
-/// Adds up service over boxes and over the last moments.
+/// Tracks demand and admitted service by workspace, and derives each workspace's share.
 #[derive(Debug)]
 pub struct ShareTracker {
-    /// Over how many milliseconds shares are owed.
+    /// Period over which shares are balanced, in milliseconds.
     window_ms: f64,
-    own: DecayingUsage,
+    local: DecayingUsage,
     reports: ShareReports,
-    /// Whether so much is asked for that some may soon be owed less than they ask.
-    is_tight: bool,
-    levels: ShareThresholds,
-    /// Those who ask for more than they are owed.
-    greedy: HashMap<u64, ContendingShare>,
+    /// Whether demand is high enough that some workspace may soon exceed its share.
+    is_contended: bool,
+    thresholds: ShareThresholds,
+    /// Workspaces whose demand exceeds their guaranteed share.
+    contending: HashMap<u64, ContendingShare>,
 }
 
 impl ShareTracker {
-    /// The short fading time, in parts of the window.
-    const SHORT_PART: f64 = 0.2;
-    /// The long fading time, in parts of the window.
-    const LONG_PART: f64 = 0.5;
-    /// For which part of the window what is owed and not taken is kept.
-    const KEPT_PART: f64 = 0.25;
-    /// What all may take together, in parts of what they took lately: engines that become faster are found out by
-    /// what is above one.
-    const GROWTH: f64 = 1.15;
-    /// From which part of the stated rate on what is given limits anybody: after a moment without endpoints next to
-    /// nothing was.
-    const LEAST_SERVED: f64 = 0.5;
-    /// Which part of the stated rate workspaces within their share have to ask for, so that engines are kept free
-    /// enough for them to be in time.
-    const PROTECTED_PART: f64 = 0.2;
-    /// From which part of the stated rate on domains tell each other of each workspace. Below, nobody can
-    /// ask for more than it is owed; between domains that are told of one beat apart, asks do not double.
-    const TIGHT_PART: f64 = 0.5;
+    /// Short decay time, as a fraction of the window.
+    const SHORT_FRACTION: f64 = 0.2;
+    /// Long decay time, as a fraction of the window.
+    const LONG_FRACTION: f64 = 0.5;
+    /// Fraction of the window for which unused credit is kept.
+    const CREDIT_FRACTION: f64 = 0.25;
+    /// Upper bound of total admission relative to recent throughput. It is above 1 so that an
+    /// increase in engine speed is discovered.
+    const GROWTH_FACTOR: f64 = 1.15;
+    /// Lower bound of the assumed throughput, as a fraction of the configured capacity: the
+    /// measured throughput is close to 0 after an outage of all endpoints.
+    const MIN_SERVED_FRACTION: f64 = 0.5;
+    /// Demand of workspaces within their share, as a fraction of the configured capacity, at which
+    /// engines are fully kept free for them.
+    const PROTECTED_FRACTION: f64 = 0.2;
+    /// Demand, as a fraction of the configured capacity, from which domains exchange usage by
+    /// workspace. Below it no workspace can exceed its share, even if demand grows until the next
+    /// heartbeat.
+    const CONTENDED_FRACTION: f64 = 0.5;
 
-    /// Makes a window in which nothing was counted, for shares that are owed over so many milliseconds.
+    /// Creates a tracker that balances shares over `window_ms` milliseconds.
     pub fn new(window_ms: u64) -> Self {
         Self {
             window_ms: window_ms as f64,
-            own: DecayingUsage::default(),
+            local: DecayingUsage::default(),
             reports: ShareReports::default(),
-            is_tight: false,
-            levels: ShareThresholds::ENDLESS,
-            greedy: HashMap::new(),
+            is_contended: false,
+            thresholds: ShareThresholds::UNLIMITED,
+            contending: HashMap::new(),
         }
     }
 
-    /// Sets over how many milliseconds shares are owed.
+    /// Sets the period over which shares are balanced, in milliseconds.
     pub const fn set_window(&mut self, window_ms: u64) {
         self.window_ms = window_ms as f64;
     }
 
-    const fn times(&self) -> DecayTimes {
+    const fn decay_times(&self) -> DecayTimes {
         DecayTimes {
-            short_ms: self.window_ms * Self::SHORT_PART,
-            long_ms: self.window_ms * Self::LONG_PART,
+            short_ms: self.window_ms * Self::SHORT_FRACTION,
+            long_ms: self.window_ms * Self::LONG_FRACTION,
         }
     }
 
-    /// Counts a request of a workspace.
+    /// Records a request of a workspace, in service units.
     pub fn record_request(&mut self, workspace: u64, units: u64, now_ms: u64) {
-        self.own.count(workspace).ask(units as f64);
-        // A flood at one box is known here before any other box tells of it.
-        let here = self.own.of(workspace);
-        if self.levels.is_greedy(&here) && !self.greedy.contains_key(&workspace) {
-            let share = self.greedy_share(workspace, here, now_ms);
-            self.greedy.insert(workspace, share);
+        self.local.recent_mut(workspace).add_request(units as f64);
+        // Detects excess demand at this box before the next tick and before other boxes report it.
+        let usage = self.local.usage_of(workspace);
+        if self.thresholds.is_exceeded_by(&usage) && !self.contending.contains_key(&workspace) {
+            let share = self.contending_share(workspace, usage, now_ms);
+            self.contending.insert(workspace, share);
         }
     }
 
-    /// Counts a request of a workspace that was admitted at this level.
+    /// Records a request that was admitted at `level`, in service units.
     pub fn record_admission(&mut self, workspace: u64, units: u64, level: ShareLevel, now_ms: u64) {
         let units = units as f64;
-        self.own.count(workspace).admitted += units;
-        let Some(share) = self.greedy.get_mut(&workspace) else {
+        self.local.recent_mut(workspace).admitted += units;
+        let Some(share) = self.contending.get_mut(&workspace) else {
             return;
         };
-        share.taking.record(units, now_ms);
+        share.usage.record(units, now_ms);
         if !level.is_beyond() {
-            share.owed.spend(units, now_ms);
+            share.credit.spend(units, now_ms);
         }
     }
 
-    fn recent(&self, now_ms: u64) -> UsageTable {
-        self.own.faded(self.times(), now_ms)
+    fn local_usage(&self, now_ms: u64) -> UsageTable {
+        self.local.decayed(self.decay_times(), now_ms)
     }
 
-    /// Returns this box's sums, for its coordinators.
+    /// Returns the usage at this box, to be reported to the coordinators of its failure domain.
     pub fn rows(&self, now_ms: u64) -> Vec<UsageRow> {
-        share_rows(&self.recent(now_ms))
+        usage_rows(&self.local_usage(now_ms))
     }
 
-    /// Returns the sums of this box and those that beat to it, for other failure domains: of each
-    /// workspace, or in one row while all get what they ask for.
+    /// Returns the usage in this box's failure domain, to be reported to other domains: by
+    /// workspace under contention, otherwise as a single total.
     pub fn domain_rows(&self, now_ms: u64) -> Vec<UsageRow> {
-        let sums = self.reports.domain_sums(self.recent(now_ms), now_ms);
-        match self.is_tight {
-            true => share_rows(&sums),
-            false => vec![total_row(&sums)],
+        let usage = self.reports.domain_usage(self.local_usage(now_ms), now_ms);
+        match self.is_contended {
+            true => usage_rows(&usage),
+            false => vec![total_row(&usage)],
         }
     }
 
-    /// Returns the sums of the fleet as a coordinator knows them, for its failure domain.
+    /// Returns the usage in the fleet as computed by this coordinator, to be reported to its
+    /// failure domain.
     pub fn fleet_rows(&self, now_ms: u64) -> Vec<UsageRow> {
-        share_rows(&self.reports.counted_sums(self.recent(now_ms), now_ms))
+        usage_rows(
+            &self
+                .reports
+                .computed_usage(self.local_usage(now_ms), now_ms),
+        )
     }
 
-    /// Takes in what another box tells, unless something newer of it is known.
-    pub fn merge(&mut self, teller: ShareHeader, rows: &[UsageRow], now_ms: u64) {
-        self.reports.merge(teller, rows, now_ms);
+    /// Merges a report of another box; ignores it if a newer one was received.
+    pub fn merge(&mut self, header: ShareHeader, rows: &[UsageRow], now_ms: u64) {
+        self.reports.merge(header, rows, now_ms);
     }
 
-    /// Tells where the sums come from that levels are worked out of.
+    /// Returns the source of the fleet's usage from which shares are derived.
     pub fn source(&self, now_ms: u64) -> ShareSource {
-        self.reports.source(self.recent(now_ms), now_ms)
+        self.reports.source(self.local_usage(now_ms), now_ms)
     }
 
-    /// Works out who asks for more than it is owed of `units_per_s`, and what each of them may take here.
+    /// Updates all shares for a configured capacity of `units_per_s` service units per second.
     pub fn tick(&mut self, now_ms: u64, units_per_s: f64) {
-        self.own.fade(self.times(), now_ms);
+        self.local.decay(self.decay_times(), now_ms);
         self.reports.expire(now_ms);
-        let total = self.reports.fleet_sums(self.recent(now_ms), now_ms);
-        let stated = units_per_s * self.times().short_ms / 1_000.0;
-        let asked: f64 = total.values().map(|sum| sum.requested).sum();
-        self.is_tight = asked > stated * Self::TIGHT_PART;
-        self.levels = self.common_levels(&total, stated);
-        let greedy = total.iter();
-        let greedy = greedy.filter(|(_, sum)| self.levels.is_greedy(sum));
-        let shares = greedy.map(|(workspace, sum)| {
-            let share = self.greedy_share(*workspace, *sum, now_ms);
+        let total = self.reports.fleet_usage(self.local_usage(now_ms), now_ms);
+        let capacity = units_per_s * self.decay_times().short_ms / 1_000.0;
+        let requested: f64 = total.values().map(|usage| usage.requested).sum();
+        self.is_contended = requested > capacity * Self::CONTENDED_FRACTION;
+        self.thresholds = self.compute_thresholds(&total, capacity);
+        let contending = total.iter();
+        let contending = contending.filter(|(_, usage)| self.thresholds.is_exceeded_by(usage));
+        let shares = contending.map(|(workspace, usage)| {
+            let share = self.contending_share(*workspace, *usage, now_ms);
             (*workspace, share)
         });
-        self.greedy = shares.collect();
+        self.contending = shares.collect();
     }
 
-    /// Works out the levels of all, where the endpoints make `stated` units within the short fading time.
-    fn common_levels(&self, total: &UsageTable, stated: f64) -> ShareThresholds {
-        let given: f64 = total.values().map(|sum| sum.admitted).sum();
-        let served = (given * Self::GROWTH).max(stated * Self::LEAST_SERVED);
-        let lately: Vec<f64> = total.values().map(|sum| sum.requested).collect();
-        let long: Vec<f64> = total.values().map(|sum| sum.requested_long).collect();
-        let DecayTimes { short_ms, long_ms } = self.times();
-        let levels = ShareThresholds {
-            owed: max_min_level(&lately, stated),
-            fair: max_min_level(&lately, served),
-            long: max_min_level(&long, stated.min(served) * long_ms / short_ms),
-            times: 0.0,
+    /// Computes the thresholds for a configured `capacity` in service units per short decay time.
+    fn compute_thresholds(&self, total: &UsageTable, capacity: f64) -> ShareThresholds {
+        let admitted: f64 = total.values().map(|usage| usage.admitted).sum();
+        let served = (admitted * Self::GROWTH_FACTOR).max(capacity * Self::MIN_SERVED_FRACTION);
+        let short: Vec<f64> = total.values().map(|usage| usage.requested).collect();
+        let long: Vec<f64> = total.values().map(|usage| usage.requested_long).collect();
+        let DecayTimes { short_ms, long_ms } = self.decay_times();
+        let thresholds = ShareThresholds {
+            guaranteed: max_min_level(&short, capacity),
+            fair: max_min_level(&short, served),
+            long: max_min_level(&long, capacity.min(served) * long_ms / short_ms),
+            share_ratio: 0.0,
         };
-        let (greedy, within): (Vec<WorkspaceUsage>, Vec<WorkspaceUsage>) =
-            total.values().partition(|sum| levels.is_greedy(sum));
-        let within: f64 = within.iter().map(|sum| sum.requested).sum();
-        let protected = (within / (stated * Self::PROTECTED_PART)).min(1.0);
-        let taken: f64 = greedy.iter().map(|sum| sum.admitted).sum();
-        let times = taken / (levels.owed * greedy.len().max(1) as f64);
+        let (contending, within): (Vec<WorkspaceUsage>, Vec<WorkspaceUsage>) = total
+            .values()
+            .partition(|usage| thresholds.is_exceeded_by(usage));
+        let within: f64 = within.iter().map(|usage| usage.requested).sum();
+        let protected = (within / (capacity * Self::PROTECTED_FRACTION)).min(1.0);
+        let admitted: f64 = contending.iter().map(|usage| usage.admitted).sum();
+        let share_ratio = admitted / (thresholds.guaranteed * contending.len().max(1) as f64);
         ShareThresholds {
-            times: times.min(1.0) + (times - 1.0).max(0.0) * protected,
-            ..levels
+            share_ratio: share_ratio.min(1.0) + (share_ratio - 1.0).max(0.0) * protected,
+            ..thresholds
         }
     }
 
-    /// Works out what a workspace that asks for so much in the whole fleet may take here.
-    fn greedy_share(&self, workspace: u64, total: WorkspaceUsage, now_ms: u64) -> ContendingShare {
+    /// Computes this box's part of the share of a workspace with `total` usage in the fleet.
+    fn contending_share(
+        &self,
+        workspace: u64,
+        total: WorkspaceUsage,
+        now_ms: u64,
+    ) -> ContendingShare {
         let ShareThresholds {
-            owed, fair, times, ..
-        } = self.levels;
-        let short_ms = self.times().short_ms;
-        let here = self.own.of(workspace);
-        let part = here.requested / total.requested.max(here.requested).max(1.0);
-        let owed_per_ms = owed.min(fair).min(total.requested) * part / short_ms;
-        let kept = owed_per_ms * self.window_ms * Self::KEPT_PART;
-        let known = self.greedy.get(&workspace);
-        let (credit, taking) = known.map_or_else(
+            guaranteed,
+            fair,
+            share_ratio,
+            ..
+        } = self.thresholds;
+        let short_ms = self.decay_times().short_ms;
+        let local = self.local.usage_of(workspace);
+        let local_fraction = local.requested / total.requested.max(local.requested).max(1.0);
+        let guaranteed_per_ms =
+            guaranteed.min(fair).min(total.requested) * local_fraction / short_ms;
+        let max_credit = guaranteed_per_ms * self.window_ms * Self::CREDIT_FRACTION;
+        let known = self.contending.get(&workspace);
+        let (credit, usage) = known.map_or_else(
             || {
-                let credit = ShareCredit::new(kept - here.admitted, now_ms);
-                (credit, FairUsage::new(here.admitted / short_ms, now_ms))
+                let credit = ShareCredit::new(max_credit - local.admitted, now_ms);
+                (credit, FairUsage::new(local.admitted / short_ms, now_ms))
             },
-            |share| (share.owed, share.taking),
+            |share| (share.credit, share.usage),
         );
         ContendingShare {
-            times: times.min(total.requested / owed).max(1.0),
-            owed: credit.rate(owed_per_ms, now_ms).most(kept),
-            taking: taking
-                .fair(fair * part / short_ms)
-                .fleet_part(total.admitted / fair.max(1.0)),
+            share_ratio: share_ratio.min(total.requested / guaranteed).max(1.0),
+            credit: credit
+                .with_rate(guaranteed_per_ms, now_ms)
+                .with_max(max_credit),
+            usage: usage
+                .with_fair_rate(fair * local_fraction / short_ms)
+                .with_fleet_ratio(total.admitted / fair.max(1.0)),
         }
     }
 
-    /// Returns how a workspace stands that has a prompt of so many service units.
+    /// Returns the level at which a prompt of `units` service units is admitted.
     pub fn level(&self, workspace: u64, units: u64, now_ms: u64) -> ShareLevel {
-        match self.greedy.get(&workspace) {
-            Some(share) if !share.owed.is_left(now_ms) => {
-                let taken = share.taking.part(units as f64, now_ms);
-                ShareLevel::new(share.times).with_fair_ratio(taken)
+        match self.contending.get(&workspace) {
+            Some(share) if !share.credit.is_available(now_ms) => {
+                let fair_ratio = share.usage.fair_ratio(units as f64, now_ms);
+                ShareLevel::new(share.share_ratio).with_fair_ratio(fair_ratio)
             }
             _ => ShareLevel::WITHIN,
         }
--- a/dockgate-core/src/gateway/share_tracker/fairness_tests.rs
+++ b/dockgate-core/src/gateway/share_tracker/fairness_tests.rs
@@ -1,14 +1,14 @@
-//! Workspaces that wait beside each other, as their callers see it.
+//! Fairness between workspaces under simulated load.
 
-use super::share_simulation::{BOXES, Flood, PlayOutcome, PlayRule, play};
+use super::share_simulation::{BOXES, Flood, SimulationConfig, SimulationOutcome, simulate};
 use std::ops::Range;
 use std::sync::LazyLock;
 
 const SEEDS: Range<u64> = 1..3;
-/// How long a message between boxes takes, in milliseconds.
-const HOPS_MS: [u64; 3] = [0, 100, 250];
-/// What the configuration states, in parts of what the engines read.
-const STATED: f64 = 0.56;
+/// Latency of messages between boxes, in milliseconds.
+const LATENCIES_MS: [u64; 3] = [0, 100, 250];
+/// Configured capacity over the throughput of all engines.
+const CAPACITY_RATIO: f64 = 0.56;
 
 fn equal_floods() -> Vec<Flood> {
     vec![Flood::new(2.0, 4_500), Flood::new(2.0, 4_500).since(8.0)]
@@ -72,91 +72,103 @@
         .to_vec()
 }
 
-/// What some workspaces ask for, and what the configuration states.
+/// Load of several workspaces, and the configured capacity.
 struct FloodCase {
     name: &'static str,
     floods: Vec<Flood>,
-    stated: f64,
+    capacity_ratio: f64,
 }
 
 fn flood_cases() -> Vec<FloodCase> {
-    let case = |name, floods, stated| FloodCase {
+    let case = |name, floods, capacity_ratio| FloodCase {
         name,
         floods,
-        stated,
+        capacity_ratio,
     };
     vec![
-        case("two equal", equal_floods(), STATED),
-        case("large, then small", large_then_small_floods(), STATED),
-        case("small, then large", small_then_large_floods(), STATED),
-        case("four in succession", successive_floods(4), STATED),
-        case("six in succession", successive_floods(6), STATED),
-        case("eight at once", eight_floods(), STATED),
-        case("one asks for more", uneven_floods(), STATED),
-        case("two in turn", alternating_floods(), STATED),
-        case("one box beside few", one_box_beside_few_floods(), STATED),
+        case("two equal", equal_floods(), CAPACITY_RATIO),
+        case(
+            "large, then small",
+            large_then_small_floods(),
+            CAPACITY_RATIO,
+        ),
+        case(
+            "small, then large",
+            small_then_large_floods(),
+            CAPACITY_RATIO,
+        ),
+        case("four in succession", successive_floods(4), CAPACITY_RATIO),
+        case("six in succession", successive_floods(6), CAPACITY_RATIO),
+        case("eight at once", eight_floods(), CAPACITY_RATIO),
+        case("uneven", uneven_floods(), CAPACITY_RATIO),
+        case("two alternating", alternating_floods(), CAPACITY_RATIO),
+        case(
+            "one box beside few",
+            one_box_beside_few_floods(),
+            CAPACITY_RATIO,
+        ),
         case(
             "few boxes beside all",
             few_boxes_beside_all_floods(),
-            STATED,
+            CAPACITY_RATIO,
         ),
-        case("all boxes", all_boxes_floods(), STATED),
+        case("all boxes", all_boxes_floods(), CAPACITY_RATIO),
         case("fast engines", successive_floods(4), 0.25),
         case("slow engines", successive_floods(4), 1.5),
         case("slow engines, uneven", uneven_floods(), 1.5),
     ]
 }
 
-/// One play, as its outcome and what to call it by.
-struct PlayedCase {
+/// Outcome of one simulation and its name.
+struct SimulatedCase {
     name: String,
-    outcome: PlayOutcome,
+    outcome: SimulationOutcome,
 }
 
-/// Every case, with several seeds and with sums of others that are younger and older.
-static PLAYED: LazyLock<Vec<PlayedCase>> = LazyLock::new(|| {
+/// Every case with several seeds and message latencies.
+static SIMULATED: LazyLock<Vec<SimulatedCase>> = LazyLock::new(|| {
     let cases = flood_cases();
-    let played = cases.iter().flat_map(|case| {
-        let rules = SEEDS.flat_map(|seed| HOPS_MS.map(|hop_ms| (seed, hop_ms)));
-        rules.map(|(seed, hop_ms)| PlayedCase {
-            name: format!("{}, seed {seed}, {hop_ms} ms a message", case.name),
-            outcome: play(
+    let simulated = cases.iter().flat_map(|case| {
+        let configs = SEEDS.flat_map(|seed| LATENCIES_MS.map(|latency_ms| (seed, latency_ms)));
+        configs.map(|(seed, latency_ms)| SimulatedCase {
+            name: format!("{}, seed {seed}, {latency_ms} ms latency", case.name),
+            outcome: simulate(
                 &case.floods,
-                PlayRule {
+                SimulationConfig {
                     seed,
-                    hop_ms,
-                    stated: case.stated,
+                    latency_ms,
+                    capacity_ratio: case.capacity_ratio,
                 },
             ),
         })
     });
-    played.collect()
+    simulated.collect()
 });
 
-/// Lists the plays of which `value` is below `least`.
-fn plays_below(least: f64, value: impl Fn(&PlayOutcome) -> f64) -> Vec<String> {
-    let played = PLAYED.iter();
-    let played = played.map(|case| (&case.name, value(&case.outcome)));
-    let below = played.filter(|(_, value)| *value < least);
+/// Returns the names and values of the simulations in which `value` is below `min`.
+fn cases_below(min: f64, value: impl Fn(&SimulationOutcome) -> f64) -> Vec<String> {
+    let simulated = SIMULATED.iter();
+    let simulated = simulated.map(|case| (&case.name, value(&case.outcome)));
+    let below = simulated.filter(|(_, value)| *value < min);
     below
         .map(|(name, value)| format!("{name}: {value:.2}"))
         .collect()
 }
 
 #[test]
-fn who_waits_six_seconds_gets_half_of_what_the_best_served_gets() {
-    let unfair = plays_below(0.5, |outcome| outcome.least_part(6));
+fn waiting_workspaces_get_half_of_the_best_service_within_six_seconds() {
+    let unfair = cases_below(0.5, |outcome| outcome.min_fair_ratio(6));
     assert_eq!(unfair, Vec::<String>::new());
 }
 
 #[test]
-fn nobody_is_shut_out_for_two_seconds_while_others_are_served() {
-    let shut_out = plays_below(0.25, |outcome| outcome.least_part(2));
-    assert_eq!(shut_out, Vec::<String>::new());
+fn no_workspace_is_starved_for_two_seconds() {
+    let starved = cases_below(0.25, |outcome| outcome.min_fair_ratio(2));
+    assert_eq!(starved, Vec::<String>::new());
 }
 
 #[test]
-fn engines_are_not_idle_while_workspaces_wait() {
-    let idle = plays_below(0.9, |outcome| outcome.used_part(4..24));
+fn engines_are_utilized_while_requests_are_refused() {
+    let idle = cases_below(0.9, |outcome| outcome.utilization(4..24));
     assert_eq!(idle, Vec::<String>::new());
 }
--- a/dockgate-core/src/gateway/share_tracker/share_simulation.rs
+++ b/dockgate-core/src/gateway/share_tracker/share_simulation.rs
@@ -1,7 +1,7 @@
-//! A fleet without a network, whose workspaces ask for more than its engines read.
+//! Simulation of a fleet in which the demand of workspaces exceeds the capacity of the engines.
 //!
-//! The boxes of each of three failure domains count and tell each other what was requested and admitted, as late as a play
-//! says; engines read prompts in order of arrival.
+//! The boxes of three failure domains exchange usage reports with a configurable latency, and
+//! engines process prompts in order of arrival.
 
 use super::ShareTracker;
 use crate::gateway::{
@@ -16,48 +16,49 @@
 const DOMAINS: usize = 3;
 const DOMAIN_BOXES: usize = 16;
 pub(super) const BOXES: usize = DOMAINS * DOMAIN_BOXES;
-/// At how many boxes the callers of a workspace are, unless a play says otherwise.
-const FEW_BOXES: usize = 6;
+/// Default number of boxes that receive the requests of a workspace.
+const DEFAULT_BOXES: usize = 6;
 const ENGINES: usize = 10;
-/// What an engine reads in a millisecond, in tokens.
+/// Throughput of an engine, in tokens per millisecond.
 const ENGINE_SPEED: f64 = 40.0;
-/// What all engines read in a second, in tokens.
+/// Throughput of all engines, in tokens per second.
 pub(super) const CAPACITY: f64 = ENGINE_SPEED * ENGINES as f64 * 1_000.0;
 const WINDOW_MS: u64 = 4_000;
-const BEAT_MS: Range<u64> = 270..330;
+const HEARTBEAT_MS: Range<u64> = 270..330;
 const RUN_MS: u64 = 1_000;
-/// For how long a play lasts, in seconds.
-const LENGTH_S: usize = 24;
+/// Simulated time in seconds.
+const DURATION_S: usize = 24;
 const SPEC: EngineSpec = EngineSpec {
     slots: 64,
     memory: 10_000_000,
 };
 
-/// A workspace that asks without a pause while it does.
+/// Load of one workspace, with exponentially distributed gaps between requests.
 #[derive(Debug, Clone)]
 pub(super) struct Flood {
-    /// What it asks for, in parts of what all engines read.
-    pub(super) part: f64,
-    /// Tokens of a prompt.
+    /// Demand as a fraction of the throughput of all engines.
+    pub(super) demand: f64,
+    /// Tokens per prompt.
     pub(super) tokens: u32,
-    /// The seconds in which it asks.
+    /// Active periods in seconds.
     pub(super) spans: Vec<Range<f64>>,
-    /// At how many boxes its callers are.
+    /// Number of boxes that receive its requests.
     pub(super) boxes: usize,
 }
 
 impl Flood {
-    pub(super) fn new(part: f64, tokens: u32) -> Self {
+    pub(super) fn new(demand: f64, tokens: u32) -> Self {
         Self {
-            part,
+            demand,
             tokens,
-            spans: vec![0.0..LENGTH_S as f64],
-            boxes: FEW_BOXES,
+            spans: vec![0.0..DURATION_S as f64],
+            boxes: DEFAULT_BOXES,
         }
     }
 
+    /// Starts the load at `second` instead of 0.
     pub(super) fn since(mut self, second: f64) -> Self {
-        self.spans = vec![second..LENGTH_S as f64];
+        self.spans = vec![second..DURATION_S as f64];
         self
     }
 
@@ -71,65 +72,66 @@
         self
     }
 
-    fn asks_at(&self, ms: u64) -> bool {
+    fn is_active_at(&self, ms: u64) -> bool {
         let second = ms as f64 / 1_000.0;
         self.spans.iter().any(|span| span.contains(&second))
     }
 }
 
-/// How a play goes beside what is requested for.
+/// Parameters of a simulation.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct PlayRule {
-    /// What is drawn.
+pub(super) struct SimulationConfig {
+    /// Seed of the random numbers.
     pub(super) seed: u64,
-    /// How long a message between boxes takes, in milliseconds.
-    pub(super) hop_ms: u64,
-    /// What the configuration says that the engines make, in parts of what they read.
-    pub(super) stated: f64,
+    /// Latency of messages between boxes, in milliseconds.
+    pub(super) latency_ms: u64,
+    /// Configured capacity over the throughput of all engines.
+    pub(super) capacity_ratio: f64,
 }
 
-/// What one workspace requested for and got in one second, in tokens.
+/// Usage of one workspace in one second, in tokens.
 #[derive(Debug, Clone, Copy, Default)]
-pub(super) struct PlaySecond {
+pub(super) struct UsageSecond {
     pub(super) requested: u64,
     pub(super) admitted: u64,
     pub(super) refused: u64,
 }
 
-/// What each workspace got in each second.
+/// Usage by workspace and second.
 #[derive(Debug)]
-pub(super) struct PlayOutcome {
-    pub(super) rows: Vec<Vec<PlaySecond>>,
+pub(super) struct SimulationOutcome {
+    pub(super) rows: Vec<Vec<UsageSecond>>,
     tokens: Vec<u32>,
 }
 
-impl PlayOutcome {
-    /// Returns the least that a workspace got over so many seconds in each of which it was refused something: as a
-    /// part of what it requested for, or of what the best served got if that is less, and three prompts aside.
-    pub(super) fn least_part(&self, seconds: usize) -> f64 {
-        let starts = 1..=LENGTH_S - seconds;
-        let parts = starts.flat_map(|start| {
+impl SimulationOutcome {
+    /// Returns the lowest service of any workspace over any `seconds` in each of which it was
+    /// refused requests, relative to its demand or to the best served workspace, whichever is less.
+    /// Three prompts are added to the service as a tolerance.
+    pub(super) fn min_fair_ratio(&self, seconds: usize) -> f64 {
+        let starts = 1..=DURATION_S - seconds;
+        let ratios = starts.flat_map(|start| {
             let span = start..start + seconds;
-            let sum = move |row: &[PlaySecond]| -> u64 {
+            let sum = move |row: &[UsageSecond]| -> u64 {
                 row[span.clone()].iter().map(|second| second.admitted).sum()
             };
             let best = self.rows.iter().map(|row| sum(row)).max().unwrap_or(0);
             let rows = self.rows.iter().zip(&self.tokens);
             rows.filter_map(move |(row, tokens)| {
-                let waited = &row[start..start + seconds];
-                let requested: u64 = waited.iter().map(|second| second.requested).sum();
-                let most = requested.min(best).max(1) as f64;
-                let got: u64 = waited.iter().map(|second| second.admitted).sum();
-                let got = got + 3 * u64::from(*tokens);
-                let waits = waited.iter().all(|second| second.refused > 0);
-                waits.then_some(got as f64 / most)
+                let seconds = &row[start..start + seconds];
+                let requested: u64 = seconds.iter().map(|second| second.requested).sum();
+                let expected = requested.min(best).max(1) as f64;
+                let admitted: u64 = seconds.iter().map(|second| second.admitted).sum();
+                let admitted = admitted + 3 * u64::from(*tokens);
+                let is_refused = seconds.iter().all(|second| second.refused > 0);
+                is_refused.then_some(admitted as f64 / expected)
             })
         });
-        parts.fold(f64::INFINITY, f64::min)
+        ratios.fold(f64::INFINITY, f64::min)
     }
 
-    /// Returns which part of what the engines can read was read of all prompts in these seconds.
-    pub(super) fn used_part(&self, seconds: Range<usize>) -> f64 {
+    /// Returns the utilization of the engines in a period.
+    pub(super) fn utilization(&self, seconds: Range<usize>) -> f64 {
         let admitted = self.rows.iter().flat_map(|row| &row[seconds.clone()]);
         let admitted: u64 = admitted.map(|second| second.admitted).sum();
         admitted as f64 / (CAPACITY * seconds.len() as f64)
@@ -137,9 +139,9 @@
 }
 
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum PlayEvent {
-    Beat(usize),
-    Ask(usize),
+enum SimulationEvent {
+    Heartbeat(usize),
+    Request(usize),
     Rows {
         to: usize,
         from: usize,
@@ -151,122 +153,122 @@
     End(usize, u32),
 }
 
-struct SharePlay {
-    rule: PlayRule,
-    draws: u64,
+struct ShareSimulation {
+    config: SimulationConfig,
+    random_state: u64,
     now_ms: u64,
-    events: BinaryHeap<Reverse<(u64, u64, PlayEvent)>>,
-    count: u64,
-    windows: Vec<ShareTracker>,
+    events: BinaryHeap<Reverse<(u64, u64, SimulationEvent)>>,
+    event_count: u64,
+    trackers: Vec<ShareTracker>,
     sequences: Vec<u32>,
     engines: Vec<EngineLoad>,
     floods: Vec<Flood>,
-    outcome: PlayOutcome,
+    outcome: SimulationOutcome,
 }
 
-/// Plays floods against a fleet.
-pub(super) fn play(floods: &[Flood], rule: PlayRule) -> PlayOutcome {
-    SharePlay::new(floods, rule).run()
+/// Simulates a fleet under the given load.
+pub(super) fn simulate(floods: &[Flood], config: SimulationConfig) -> SimulationOutcome {
+    ShareSimulation::new(floods, config).run()
 }
 
-const fn domain_of(at: usize) -> usize {
-    at / DOMAIN_BOXES
+const fn domain_of(index: usize) -> usize {
+    index / DOMAIN_BOXES
 }
 
-/// The box that coordinates a domain.
+/// Returns the box that coordinates a domain.
 const fn coordinator(domain: usize) -> usize {
     domain * DOMAIN_BOXES
 }
 
-impl SharePlay {
-    fn new(floods: &[Flood], rule: PlayRule) -> Self {
+impl ShareSimulation {
+    fn new(floods: &[Flood], config: SimulationConfig) -> Self {
         let speed = ReadSpeed {
             fixed_us: 20_000,
             kilotoken_us: (1_000_000.0 / ENGINE_SPEED) as u32,
             megapair_us: 0,
         };
-        let mut play = Self {
-            rule,
-            draws: rule.seed,
+        let mut simulation = Self {
+            config,
+            random_state: config.seed,
             now_ms: 0,
             events: BinaryHeap::new(),
-            count: 0,
-            windows: (0..BOXES).map(|_| ShareTracker::new(WINDOW_MS)).collect(),
+            event_count: 0,
+            trackers: (0..BOXES).map(|_| ShareTracker::new(WINDOW_MS)).collect(),
             sequences: vec![0; BOXES],
             engines: vec![EngineLoad::new(SPEC, speed.into()); ENGINES],
             floods: floods.to_vec(),
-            outcome: PlayOutcome {
-                rows: vec![vec![PlaySecond::default(); LENGTH_S]; floods.len()],
+            outcome: SimulationOutcome {
+                rows: vec![vec![UsageSecond::default(); DURATION_S]; floods.len()],
                 tokens: floods.iter().map(|flood| flood.tokens).collect(),
             },
         };
-        for at in 0..BOXES {
-            let first_ms = play.draw_in(0..300);
-            play.at(first_ms, PlayEvent::Beat(at));
+        for index in 0..BOXES {
+            let first_ms = simulation.random_in(0..300);
+            simulation.schedule(first_ms, SimulationEvent::Heartbeat(index));
         }
-        (0..floods.len()).for_each(|flood| play.at(0, PlayEvent::Ask(flood)));
-        play
+        (0..floods.len()).for_each(|flood| simulation.schedule(0, SimulationEvent::Request(flood)));
+        simulation
     }
 
-    fn draw(&mut self) -> f64 {
-        self.draws = self.draws.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        let mut mixed = self.draws;
+    fn random(&mut self) -> f64 {
+        self.random_state = self.random_state.wrapping_add(0x9e37_79b9_7f4a_7c15);
+        let mut mixed = self.random_state;
         mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
         ((mixed ^ (mixed >> 31)) >> 11) as f64 / (1_u64 << 53) as f64
     }
 
-    fn draw_in(&mut self, range: Range<u64>) -> u64 {
-        range.start + (self.draw() * (range.end - range.start) as f64) as u64
+    fn random_in(&mut self, range: Range<u64>) -> u64 {
+        range.start + (self.random() * (range.end - range.start) as f64) as u64
     }
 
-    fn at(&mut self, at_ms: u64, event: PlayEvent) {
-        self.count += 1;
-        self.events.push(Reverse((at_ms, self.count, event)));
+    fn schedule(&mut self, at_ms: u64, event: SimulationEvent) {
+        self.event_count += 1;
+        self.events.push(Reverse((at_ms, self.event_count, event)));
     }
 
-    fn run(mut self) -> PlayOutcome {
+    fn run(mut self) -> SimulationOutcome {
         while let Some(Reverse((at_ms, _, event))) = self.events.pop() {
-            if at_ms >= LENGTH_S as u64 * 1_000 {
+            if at_ms >= DURATION_S as u64 * 1_000 {
                 break;
             }
             self.now_ms = at_ms;
             match event {
-                PlayEvent::Beat(at) => self.beat(at),
-                PlayEvent::Ask(flood) => self.next_ask(flood),
-                PlayEvent::Rows {
+                SimulationEvent::Heartbeat(index) => self.heartbeat(index),
+                SimulationEvent::Request(flood) => self.next_request(flood),
+                SimulationEvent::Rows {
                     to,
                     from,
                     scope,
                     sequence,
                     rows,
-                } => self.hear(to, from, scope, sequence, &rows),
-                PlayEvent::Start(engine, run) => {
+                } => self.receive(to, from, scope, sequence, &rows),
+                SimulationEvent::Start(engine, run) => {
                     self.engines[engine].start(run_key(run), at_ms, false);
                 }
-                PlayEvent::End(engine, run) => self.engines[engine].end(run_key(run)),
+                SimulationEvent::End(engine, run) => self.engines[engine].end(run_key(run)),
             }
         }
         self.outcome
     }
 
-    fn beat(&mut self, at: usize) {
+    fn heartbeat(&mut self, index: usize) {
         let now_ms = self.now_ms;
-        self.windows[at].tick(now_ms, CAPACITY * self.rule.stated);
-        let near = coordinator(domain_of(at));
-        let rows = self.windows[at].rows(now_ms);
-        if near == at {
-            let domain = DomainKey(domain_of(at) as u32);
-            let rows = self.windows[at].domain_rows(now_ms);
-            let others = (0..DOMAINS).filter(|other| *other != domain_of(at));
+        self.trackers[index].tick(now_ms, CAPACITY * self.config.capacity_ratio);
+        let coordinator_index = coordinator(domain_of(index));
+        let rows = self.trackers[index].rows(now_ms);
+        if coordinator_index == index {
+            let domain = DomainKey(domain_of(index) as u32);
+            let rows = self.trackers[index].domain_rows(now_ms);
+            let others = (0..DOMAINS).filter(|other| *other != domain_of(index));
             for other in others {
-                self.send(at, coordinator(other), ShareScope::Domain(domain), &rows);
+                self.send(index, coordinator(other), ShareScope::Domain(domain), &rows);
             }
         } else {
-            self.send(at, near, ShareScope::Own, &rows);
+            self.send(index, coordinator_index, ShareScope::Own, &rows);
         }
-        let wait_ms = self.draw_in(BEAT_MS);
-        self.at(now_ms + wait_ms, PlayEvent::Beat(at));
+        let wait_ms = self.random_in(HEARTBEAT_MS);
+        self.schedule(now_ms + wait_ms, SimulationEvent::Heartbeat(index));
     }
 
     fn send(&mut self, from: usize, to: usize, scope: ShareScope, rows: &[UsageRow]) {
@@ -279,18 +281,18 @@
                 row.admitted,
             )
         });
-        let event = PlayEvent::Rows {
+        let event = SimulationEvent::Rows {
             to,
             from,
             scope,
             sequence: self.sequences[from],
             rows: rows.collect(),
         };
-        let arrives_ms = self.now_ms + 1 + self.rule.hop_ms;
-        self.at(arrives_ms, event);
+        let arrives_ms = self.now_ms + 1 + self.config.latency_ms;
+        self.schedule(arrives_ms, event);
     }
 
-    fn hear(
+    fn receive(
         &mut self,
         to: usize,
         from: usize,
@@ -298,7 +300,7 @@
         sequence: u32,
         rows: &[(u64, u64, u64, u64)],
     ) {
-        let teller = ShareHeader {
+        let header = ShareHeader {
             peer: BoxKey(from as u32),
             incarnation: Incarnation(1),
             sequence,
@@ -315,36 +317,36 @@
                 },
             )
             .collect();
-        self.windows[to].merge(teller, &rows, self.now_ms);
+        self.trackers[to].merge(header, &rows, self.now_ms);
         if scope == ShareScope::Own {
-            let rows = self.windows[to].fleet_rows(self.now_ms);
+            let rows = self.trackers[to].fleet_rows(self.now_ms);
             self.send(to, from, ShareScope::Fleet, &rows);
         }
     }
 
-    fn next_ask(&mut self, flood: usize) {
+    fn next_request(&mut self, flood: usize) {
         let spec = self.floods[flood].clone();
-        if spec.asks_at(self.now_ms) {
-            // The boxes are taken of all domains in turn.
-            let drawn = (self.draw() * spec.boxes as f64) as usize;
-            let at = drawn % DOMAINS * DOMAIN_BOXES + drawn / DOMAINS;
-            self.ask(flood, at, spec.tokens);
+        if spec.is_active_at(self.now_ms) {
+            // Boxes are selected from all domains in turn.
+            let position = (self.random() * spec.boxes as f64) as usize;
+            let index = position % DOMAINS * DOMAIN_BOXES + position / DOMAINS;
+            self.request(flood, index, spec.tokens);
         }
-        let gap_ms = f64::from(spec.tokens) * 1_000.0 / (CAPACITY * spec.part);
-        let wait_ms = -gap_ms * (1.0 - self.draw()).ln();
-        // Times are whole milliseconds; what is cut off is drawn.
-        let wait_ms = (wait_ms + self.draw()) as u64;
-        self.at(self.now_ms + wait_ms, PlayEvent::Ask(flood));
+        let gap_ms = f64::from(spec.tokens) * 1_000.0 / (CAPACITY * spec.demand);
+        let wait_ms = -gap_ms * (1.0 - self.random()).ln();
+        // Rounds to whole milliseconds at random, to keep the mean.
+        let wait_ms = (wait_ms + self.random()) as u64;
+        self.schedule(self.now_ms + wait_ms, SimulationEvent::Request(flood));
     }
 
-    fn ask(&mut self, flood: usize, at: usize, tokens: u32) {
+    fn request(&mut self, flood: usize, index: usize, tokens: u32) {
         let units = u64::from(tokens);
         let workspace = flood as u64 + 1;
         let second = self.now_ms as usize / 1_000;
         self.outcome.rows[flood][second].requested += units;
-        self.windows[at].record_request(workspace, units, self.now_ms);
-        let level = self.windows[at].level(workspace, units, self.now_ms);
-        let number = self.count as u32;
+        self.trackers[index].record_request(workspace, units, self.now_ms);
+        let level = self.trackers[index].level(workspace, units, self.now_ms);
+        let number = self.event_count as u32;
         let ask = EngineAsk {
             workspace,
             objective_ms: 1_000,
@@ -358,8 +360,8 @@
                 tokens,
             }],
         };
-        let first = (self.draw() * ENGINES as f64) as usize;
-        let next = 1 + (self.draw() * (ENGINES - 1) as f64) as usize;
+        let first = (self.random() * ENGINES as f64) as usize;
+        let next = 1 + (self.random() * (ENGINES - 1) as f64) as usize;
         let homes = [first, (first + next) % ENGINES];
         let rule = AdmissionRule::default();
         let home = homes.into_iter().find(|home| {
@@ -370,13 +372,13 @@
             self.outcome.rows[flood][second].refused += units;
             return;
         };
-        self.windows[at].record_admission(workspace, units, level, self.now_ms);
+        self.trackers[index].record_admission(workspace, units, level, self.now_ms);
         self.outcome.rows[flood][second].admitted += units;
         let first_ms = self.engines[home].first_event_ms(&ask, self.now_ms) as u64;
         self.engines[home].place(run_key(number), &ask, self.now_ms);
         let started_ms = self.now_ms + first_ms;
-        self.at(started_ms, PlayEvent::Start(home, number));
-        self.at(started_ms + RUN_MS, PlayEvent::End(home, number));
+        self.schedule(started_ms, SimulationEvent::Start(home, number));
+        self.schedule(started_ms + RUN_MS, SimulationEvent::End(home, number));
     }
 }
 
--- a/dockgate/src/gateway/workspace_report.rs
+++ b/dockgate/src/gateway/workspace_report.rs
@@ -1,4 +1,4 @@
-//! Says what workspaces asked for and were given here, and which sums decided.
+//! Periodic log of the usage of workspaces with refused prompts.
 
 use super::events::{GatewayEvent, log_gateway};
 use super::gateway_state::GatewayState;
@@ -6,27 +6,29 @@
 use dockgate_core::gateway::{ShareSource, TallyRow};
 use serde::Serialize;
 
-/// How often what workspaces got is logged, in milliseconds.
+/// Interval of the log, in milliseconds.
 pub(super) const REPORT_INTERVAL_MS: u64 = 1_000;
 
-/// What became of the prompts of one workspace here, and how much of its share it has had.
+/// Outcomes of the prompts of one workspace at this box, and its standing relative to its share.
 #[derive(Debug, Serialize)]
 pub(super) struct WorkspaceReport {
     #[serde(flatten)]
-    sums: TallyRow,
+    counters: TallyRow,
+    /// Share ratio of the contending workspaces.
     times: f64,
+    /// Service admitted at this box over the fair share.
     taken: f64,
 }
 
-/// Logs what the workspaces got of which something was refused since the last line.
+/// Logs the workspaces with prompts refused since the last call, if any.
 pub(super) fn log_shares(state: &GatewayState) {
     let now = now_ms();
     let rows: Vec<WorkspaceReport> = state.with(|beliefs| {
         let rows = beliefs.tally.take_refused().into_iter();
-        let rows = rows.map(|sums| {
-            let level = beliefs.shares.level(sums.key, 0, now);
+        let rows = rows.map(|counters| {
+            let level = beliefs.shares.level(counters.key, 0, now);
             WorkspaceReport {
-                sums,
+                counters,
                 times: level.share_ratio(),
                 taken: level.fair_ratio(),
             }
