--- a/dockgate-core/src/gateway/share_tracker/fairness_tests.rs
+++ b/dockgate-core/src/gateway/share_tracker/fairness_tests.rs
@@ -100,7 +100,7 @@
         case("four in succession", successive_floods(4), CAPACITY_RATIO),
         case("six in succession", successive_floods(6), CAPACITY_RATIO),
         case("eight at once", eight_floods(), CAPACITY_RATIO),
-        case("uneven", uneven_floods(), CAPACITY_RATIO),
+        case("one with more demand", uneven_floods(), CAPACITY_RATIO),
         case("two alternating", alternating_floods(), CAPACITY_RATIO),
         case(
             "one box beside few",
