--- a/dockgate-core/src/gateway/share_tracker/share_simulation.rs
+++ b/dockgate-core/src/gateway/share_tracker/share_simulation.rs
@@ -118,12 +118,12 @@
             let best = self.rows.iter().map(|row| sum(row)).max().unwrap_or(0);
             let rows = self.rows.iter().zip(&self.tokens);
             rows.filter_map(move |(row, tokens)| {
-                let seconds = &row[start..start + seconds];
-                let requested: u64 = seconds.iter().map(|second| second.requested).sum();
+                let period = &row[start..start + seconds];
+                let requested: u64 = period.iter().map(|second| second.requested).sum();
                 let expected = requested.min(best).max(1) as f64;
-                let admitted: u64 = seconds.iter().map(|second| second.admitted).sum();
+                let admitted: u64 = period.iter().map(|second| second.admitted).sum();
                 let admitted = admitted + 3 * u64::from(*tokens);
-                let is_refused = seconds.iter().all(|second| second.refused > 0);
+                let is_refused = period.iter().all(|second| second.refused > 0);
                 is_refused.then_some(admitted as f64 / expected)
             })
         });
