--- a/dockgate-core/src/gateway.rs
+++ b/dockgate-core/src/gateway.rs
@@ -20,7 +20,6 @@
 mod admission;
 mod answer_rule;
 mod box_beat;
-mod broken_endpoints;
 mod domain_reach;
 mod endpoint_book;
 mod endpoint_health;
@@ -32,13 +31,14 @@
 mod fair_taking;
 mod fleet_view;
 mod home_order;
+mod interruption_tracker;
 mod loop_lag;
-mod notice_book;
+mod notice_registry;
 mod prefix_cache;
 mod prompt_shape;
 mod read_log;
 mod read_model;
-mod request_print;
+mod request_fingerprint;
 mod retry_budget;
 mod return_time;
 mod route_table;
@@ -51,7 +51,7 @@
 mod store_duty;
 mod store_probe;
 mod store_revision;
-mod suspect_book;
+mod suspect_registry;
 mod wake_gate;
 mod watch_check;
 mod work_shed;
@@ -61,13 +61,12 @@
 pub use box_beat::{
     BoxBeat, BoxKnowledge, BoxReport, BoxRow, BoxStanding, DigestScope, DomainKey, FleetDigest,
 };
-pub use broken_endpoints::{BreakNews, BrokenEndpoints};
 pub use domain_reach::DomainReach;
 pub use endpoint_book::{
     EndpointBook, EndpointChange, EndpointEntry, EndpointNews, ExpiredNews, LearnedNews,
     ReadyEndpoint, RemovedEndpoint, ServiceOutlook, ToldDoubt, ToldEndpoint,
 };
-pub use endpoint_health::{EndpointHealth, EndpointSign};
+pub use endpoint_health::{EndpointHealth, EndpointOutcome};
 pub use endpoint_notice::EndpointNotice;
 pub use engine_book::{AskTimes, EngineAsk, EngineBook, RunKey};
 pub use engine_load::{EngineLoad, EngineRun};
@@ -75,13 +74,14 @@
 pub use event_splitter::{EventSplitter, SplitEvent};
 pub use fleet_view::{BoxNews, FleetView, InformedBox};
 pub use home_order::{best_homes, home_subject, name_hash, owner_of_endpoint};
+pub use interruption_tracker::{InterruptionStatus, InterruptionTracker};
 pub use loop_lag::{LagChange, LoopLag};
-pub use notice_book::{NoticeBook, NoticeNews};
+pub use notice_registry::{NoticeRegistry, NoticeUpdate};
 pub use prefix_cache::PrefixCache;
 pub use prompt_shape::{PromptPart, PromptShape};
 pub use read_log::{DueReads, ReadLog};
 pub use read_model::{PromptWork, ReadModel, ReadSample, ReadSpeed};
-pub use request_print::{BadPrint, PrintSource, RequestPrint};
+pub use request_fingerprint::{FingerprintInput, InvalidFingerprint, RequestFingerprint};
 pub use retry_budget::{RetryBudget, RetryRule};
 pub use return_time::{ReturnCause, return_time};
 pub use route_table::{
@@ -97,8 +97,8 @@
 pub use store_duty::{OwnReach, StoreDuty, StoreWatchers};
 pub use store_probe::{ProbeNews, ProbeRule, StoreProbe};
 pub use store_revision::StoreRevision;
-pub use suspect_book::{
-    Quarantine, QuarantineStage, SuspectBook, SuspectNews, SuspectRow, SuspectSign,
+pub use suspect_registry::{
+    Quarantine, QuarantineChange, QuarantineStage, SuspectEvent, SuspectRegistry, SuspectReport,
 };
 pub use wake_gate::WakeGate;
 pub use watch_check::WatchCheck;
--- a/dockgate-core/src/gateway/endpoint_book.rs
+++ b/dockgate-core/src/gateway/endpoint_book.rs
@@ -23,9 +23,9 @@
 
 use super::box_beat::DomainKey;
 use super::domain_reach::DomainReach;
-use super::endpoint_health::EndpointSign;
+use super::endpoint_health::EndpointOutcome;
 use super::endpoint_notice::EndpointNotice;
-use super::notice_book::{NoticeBook, NoticeNews};
+use super::notice_registry::{NoticeRegistry, NoticeUpdate};
 use super::route_table::{EndpointId, EndpointName, EndpointRecord, EndpointState};
 use super::store_revision::StoreRevision;
 use life_memory::{LastLife, LifeMemory};
@@ -101,7 +101,7 @@
     /// Those that take work, by service: worked out with each change, looked up with each request.
     ready: HashMap<String, Vec<ReadyEndpoint>>,
     memory: LifeMemory,
-    notices: NoticeBook,
+    notices: NoticeRegistry,
     reach: DomainReach,
     revision: StoreRevision,
     /// The revision of the last whole list that was taken in: what was removed before is not known.
@@ -148,7 +148,7 @@
         let notices = &self.notices;
         let entries = self.endpoints.iter().filter(|(id, entry)| {
             // Records tell late, or not at all while the store is away, what an answer has told already.
-            entry.record.state == EndpointState::Ready && !notices.leaves(**id)
+            entry.record.state == EndpointState::Ready && !notices.is_leaving(**id)
         });
         for (id, entry) in entries {
             let service = self.ready.entry(entry.record.service.clone()).or_default();
@@ -384,7 +384,7 @@
     pub fn is_open(&self, id: EndpointId, now_ms: u64) -> bool {
         let entry = self.endpoints.get(&id);
         let is_trusted = entry.is_some_and(|entry| {
-            entry.health.is_open(now_ms) && !self.reach.is_cut(&entry.record.domain)
+            entry.health.is_available(now_ms) && !self.reach.is_cut(&entry.record.domain)
         });
         is_trusted && self.notices.may_send(id, now_ms)
     }
@@ -394,7 +394,7 @@
         let ready = self.ready(service);
         let rests = ready
             .iter()
-            .map(|ready| self.notices.rest_left(ready.id, now_ms));
+            .map(|ready| self.notices.remaining_backoff(ready.id, now_ms));
         let rests: Option<Vec<Duration>> = rests.collect();
         let mut known = self.endpoints.values();
         match rests.map(|rests| rests.into_iter().min()) {
@@ -447,17 +447,17 @@
     }
 
     /// Notes what was seen of an endpoint.
-    pub fn note_sign(&mut self, id: EndpointId, sign: EndpointSign, now_ms: u64) {
+    pub fn note_sign(&mut self, id: EndpointId, sign: EndpointOutcome, now_ms: u64) {
         let Some(entry) = self.endpoints.get_mut(&id) else {
             return;
         };
         entry.health.note(sign, now_ms);
-        if sign == EndpointSign::Answered {
+        if sign == EndpointOutcome::Answered {
             self.notices.note_answered(id, now_ms);
         }
         // A connection that was open may break off long after a link was cut.
-        if sign != EndpointSign::Failed {
-            self.note_reach(id, sign != EndpointSign::Silent);
+        if sign != EndpointOutcome::Failed {
+            self.note_reach(id, sign != EndpointOutcome::Silent);
         }
     }
 
@@ -469,9 +469,9 @@
         notice: EndpointNotice,
         now_ms: u64,
         draw: f64,
-    ) -> Vec<NoticeNews> {
-        let news = self.notices.hear(id, notice, now_ms, draw);
-        if news.contains(&NoticeNews::Leaves) {
+    ) -> Vec<NoticeUpdate> {
+        let news = self.notices.receive(id, notice, now_ms, draw);
+        if news.contains(&NoticeUpdate::Leaving) {
             self.index();
         }
         news
@@ -487,16 +487,16 @@
         let ready = self.ready(&entry.record.service);
         let told = ready
             .iter()
-            .filter(|ready| ready.id != id && self.notices.is_said_to_leave(ready.id, now_ms));
+            .filter(|ready| ready.id != id && self.notices.is_reported_leaving(ready.id, now_ms));
         let is_believed = (told.count() + 1) * 2 <= ready.len();
         if is_believed {
-            self.notices.hear_told(id, now_ms);
+            self.notices.receive_reported(id, now_ms);
         }
         is_believed
     }
 
     /// Returns what endpoints have said of themselves in their answers.
-    pub const fn notices(&self) -> &NoticeBook {
+    pub const fn notices(&self) -> &NoticeRegistry {
         &self.notices
     }
 
--- a/dockgate-core/src/gateway/endpoint_book/life_tests.rs
+++ b/dockgate-core/src/gateway/endpoint_book/life_tests.rs
@@ -53,13 +53,13 @@
     let mut book = book_of([ready(1, 3)]);
     book.note_sent(key(1), 1_000);
     for _ in 0..6 {
-        book.note_sign(key(1), EndpointSign::Failed, 1_000);
+        book.note_sign(key(1), EndpointOutcome::Failed, 1_000);
     }
     assert_eq!(book.open("x", 1_001).count(), 0, "it rests");
     assert!(book.apply(ready(2, 4), None));
     let entry = book.get(key(2)).unwrap();
     assert_eq!(entry.in_flight, 0);
-    assert!(!entry.health.is_doubtful(1_001));
+    assert!(!entry.health.is_unreliable(1_001));
     assert_eq!(book.open("x", 1_001).count(), 1, "it has never failed");
     assert_eq!((takes_work(&book), book.iter().count()), (vec![key(2)], 1));
 }
@@ -69,7 +69,7 @@
     let mut book = book_of([ready(1, 3), ready(2, 4)]);
     book.note_sent(key(2), 1_000);
     book.note_left(key(1));
-    book.note_sign(key(1), EndpointSign::Failed, 1_000);
+    book.note_sign(key(1), EndpointOutcome::Failed, 1_000);
     for late in [draining(1, 2), ready(1, 5), draining(1, 6)] {
         assert!(!book.apply(late, None));
     }
@@ -276,7 +276,7 @@
                 }
                 LifeStep::Answer(at, one) if !sent[at].is_empty() => {
                     let id = sent[at].swap_remove(one.index(sent[at].len()));
-                    books[at].note_sign(id, EndpointSign::Failed, 1_000);
+                    books[at].note_sign(id, EndpointOutcome::Failed, 1_000);
                     books[at].note_left(id);
                 }
                 LifeStep::Answer(..) => {}
--- a/dockgate-core/src/gateway/endpoint_book/notice_tests.rs
+++ b/dockgate-core/src/gateway/endpoint_book/notice_tests.rs
@@ -2,8 +2,8 @@
 use proptest::prelude::*;
 
 const LEAVES: EndpointNotice = EndpointNotice {
-    leaves: true,
-    rest: None,
+    is_leaving: true,
+    backoff: None,
 };
 
 /// Names a revision of a store that names no era.
@@ -91,11 +91,11 @@
                 }
             }
             prop_assert!(!takes_work(&book, id), "{fault:?}");
-            prop_assert!(!book.notices().is_wanted(id, now_ms));
+            prop_assert!(!book.notices().accepts_requests(id, now_ms));
         }
         let next = record(2, EndpointState::Ready).key();
         book.apply(put(2, revision + 1), None);
-        prop_assert!(takes_work(&book, next) && book.notices().is_wanted(next, now_ms));
+        prop_assert!(takes_work(&book, next) && book.notices().accepts_requests(next, now_ms));
     }
 }
 
@@ -111,8 +111,8 @@
 
 fn rests(ms: u64) -> EndpointNotice {
     EndpointNotice {
-        leaves: false,
-        rest: Some(Duration::from_millis(ms)),
+        is_leaving: false,
+        backoff: Some(Duration::from_millis(ms)),
     }
 }
 
@@ -141,7 +141,7 @@
 /// What may happen while an endpoint rests.
 #[derive(Debug, Clone, Copy)]
 enum RestFault {
-    Sign(EndpointSign),
+    Sign(EndpointOutcome),
     Sent,
     RemovedAndWritten,
     AsksForLess,
@@ -164,10 +164,10 @@
         for (kind, after_ms) in faults {
             now_ms += after_ms;
             let fault = match kind {
-                0 => RestFault::Sign(EndpointSign::Answered),
-                1 => RestFault::Sign(EndpointSign::Full),
-                2 => RestFault::Sign(EndpointSign::Failed),
-                3 => RestFault::Sign(EndpointSign::Unreachable),
+                0 => RestFault::Sign(EndpointOutcome::Answered),
+                1 => RestFault::Sign(EndpointOutcome::Full),
+                2 => RestFault::Sign(EndpointOutcome::Failed),
+                3 => RestFault::Sign(EndpointOutcome::Unreachable),
                 4 => RestFault::Sent,
                 5 => RestFault::AsksForLess,
                 _ => RestFault::RemovedAndWritten,
@@ -184,7 +184,7 @@
             }
             let is_over = now_ms >= end_ms;
             prop_assert!(is_over || !book.is_open(id, now_ms), "{fault:?} at {now_ms}");
-            prop_assert!(is_over || !book.notices().is_wanted(id, now_ms));
+            prop_assert!(is_over || !book.notices().accepts_requests(id, now_ms));
         }
         let next = record(2, EndpointState::Ready).key();
         book.apply(put(2, revision + 1), None);
@@ -232,7 +232,7 @@
     assert!(!book.hear_told(ids[1], 1_000), "one has to go on");
     assert!(!book.is_open(ids[0], 5_999));
     assert!(
-        book.notices().is_wanted(ids[0], 1_000),
+        book.notices().accepts_requests(ids[0], 1_000),
         "what was decided before is sent"
     );
     assert!(book.is_open(ids[0], 6_000));
--- a/dockgate-core/src/gateway/endpoint_book/tests.rs
+++ b/dockgate-core/src/gateway/endpoint_book/tests.rs
@@ -123,10 +123,10 @@
         book.apply(put(id, revision as u64 + 1), None);
     }
     let [e, f, g] = ["e", "f", "g"].map(EndpointId::from_name);
-    book.note_sign(e, EndpointSign::Silent, 1_000);
+    book.note_sign(e, EndpointOutcome::Silent, 1_000);
     assert_eq!(book.open("x", 1_000).count(), 2, "one alone may be down");
-    book.note_sign(f, EndpointSign::Unreachable, 1_000);
-    book.note_sign(f, EndpointSign::Silent, 1_000);
+    book.note_sign(f, EndpointOutcome::Unreachable, 1_000);
+    book.note_sign(f, EndpointOutcome::Silent, 1_000);
     assert_eq!(
         book.open("x", 1_000).count(),
         1,
--- a/dockgate-core/src/gateway/endpoint_health.rs
+++ b/dockgate-core/src/gateway/endpoint_health.rs
@@ -7,7 +7,7 @@
 
 /// What was seen of an endpoint when a request ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum EndpointSign {
+pub enum EndpointOutcome {
     /// It answered.
     Answered,
     /// It said that it is full.
@@ -49,12 +49,12 @@
     const DOUBT_MS: u64 = 1_500;
 
     /// Tells whether the endpoint may get work now.
-    pub const fn is_open(&self, now_ms: u64) -> bool {
+    pub const fn is_available(&self, now_ms: u64) -> bool {
         now_ms >= self.closed_until_ms
     }
 
     /// Tells whether it failed a moment ago, and fails so often that others go first.
-    pub fn is_doubtful(&self, now_ms: u64) -> bool {
+    pub fn is_unreliable(&self, now_ms: u64) -> bool {
         self.failed_part > Self::DOUBTFUL_PART && now_ms < self.failed_ms + Self::DOUBT_MS
     }
 
@@ -66,21 +66,21 @@
     }
 
     /// Notes how a request ended.
-    pub fn note(&mut self, sign: EndpointSign, now_ms: u64) {
+    pub fn note(&mut self, sign: EndpointOutcome, now_ms: u64) {
         let failed = match sign {
-            EndpointSign::Answered => 0.0,
-            EndpointSign::Failed | EndpointSign::Unreachable | EndpointSign::Silent => 1.0,
-            EndpointSign::Full => self.failed_part,
+            EndpointOutcome::Answered => 0.0,
+            EndpointOutcome::Failed | EndpointOutcome::Unreachable | EndpointOutcome::Silent => 1.0,
+            EndpointOutcome::Full => self.failed_part,
         };
         self.failed_part += (failed - self.failed_part) * Self::NEWEST_WEIGHT;
         match sign {
-            EndpointSign::Answered => {
+            EndpointOutcome::Answered => {
                 self.failures_in_a_row = 0;
                 self.closed_until_ms = 0;
             }
-            EndpointSign::Full => self.close(now_ms + Self::FULL_REST_MS),
-            EndpointSign::Failed => self.fail(Self::REST_MS, now_ms),
-            EndpointSign::Unreachable | EndpointSign::Silent => {
+            EndpointOutcome::Full => self.close(now_ms + Self::FULL_REST_MS),
+            EndpointOutcome::Failed => self.fail(Self::REST_MS, now_ms),
+            EndpointOutcome::Unreachable | EndpointOutcome::Silent => {
                 self.fail(Self::UNREACHABLE_REST_MS, now_ms);
             }
         }
--- a/dockgate-core/src/gateway/endpoint_health/tests.rs
+++ b/dockgate-core/src/gateway/endpoint_health/tests.rs
@@ -3,51 +3,51 @@
 #[test]
 fn an_endpoint_that_fails_in_a_row_rests_longer_and_is_trusted_after_an_answer() {
     let mut health = EndpointHealth::default();
-    health.note(EndpointSign::Failed, 1_000);
-    assert!(!health.is_open(1_149));
-    assert!(health.is_open(1_150));
+    health.note(EndpointOutcome::Failed, 1_000);
+    assert!(!health.is_available(1_149));
+    assert!(health.is_available(1_150));
     health.note_sent(1_150);
-    assert!(!health.is_open(1_200), "one probe at a time");
-    health.note(EndpointSign::Failed, 1_200);
-    assert!(!health.is_open(1_499));
-    health.note(EndpointSign::Answered, 1_500);
-    assert!(health.is_open(1_500));
+    assert!(!health.is_available(1_200), "one probe at a time");
+    health.note(EndpointOutcome::Failed, 1_200);
+    assert!(!health.is_available(1_499));
+    health.note(EndpointOutcome::Answered, 1_500);
+    assert!(health.is_available(1_500));
 }
 
 #[test]
 fn an_endpoint_that_fails_every_second_request_is_doubtful_until_it_recovers() {
     let mut health = EndpointHealth::default();
     for at in 0..20 {
-        let sign = [EndpointSign::Failed, EndpointSign::Answered][at % 2];
+        let sign = [EndpointOutcome::Failed, EndpointOutcome::Answered][at % 2];
         health.note(sign, at as u64);
     }
-    assert!(health.is_doubtful(20));
+    assert!(health.is_unreliable(20));
     for at in 20..40 {
-        health.note(EndpointSign::Answered, at);
+        health.note(EndpointOutcome::Answered, at);
     }
-    assert!(!health.is_doubtful(40));
+    assert!(!health.is_unreliable(40));
 }
 
 #[test]
 fn an_endpoint_that_gets_nothing_is_tried_again() {
     let mut health = EndpointHealth::default();
     for at in 0..20 {
-        health.note(EndpointSign::Failed, at);
+        health.note(EndpointOutcome::Failed, at);
     }
-    assert!(health.is_doubtful(1_000));
+    assert!(health.is_unreliable(1_000));
     assert!(
-        !health.is_doubtful(2_000),
+        !health.is_unreliable(2_000),
         "others would be chosen before it for ever"
     );
-    health.note(EndpointSign::Failed, 2_001);
-    assert!(health.is_doubtful(2_002), "one more failure is enough");
+    health.note(EndpointOutcome::Failed, 2_001);
+    assert!(health.is_unreliable(2_002), "one more failure is enough");
 }
 
 #[test]
 fn a_full_endpoint_is_left_alone_for_a_moment_only() {
     let mut health = EndpointHealth::default();
-    health.note(EndpointSign::Full, 100);
-    assert!(!health.is_open(110));
-    assert!(health.is_open(115));
-    assert!(!health.is_doubtful(115));
+    health.note(EndpointOutcome::Full, 100);
+    assert!(!health.is_available(110));
+    assert!(health.is_available(115));
+    assert!(!health.is_unreliable(115));
 }
--- a/dockgate-core/src/gateway/endpoint_notice.rs
+++ b/dockgate-core/src/gateway/endpoint_notice.rs
@@ -6,7 +6,7 @@
 //! ```
 //! use dockgate_core::gateway::{AnswerOwner, AnswerSigns, EndpointNotice};
 //!
-//! let said = EndpointNotice { leaves: true, ..EndpointNotice::default() };
+//! let said = EndpointNotice { is_leaving: true, ..EndpointNotice::default() };
 //! let signs = AnswerSigns {
 //!     status: 200,
 //!     owner: AnswerOwner::Own,
@@ -14,7 +14,7 @@
 //!     not_run: false,
 //!     is_encoded: false,
 //! };
-//! assert!(said.believed(&signs).leaves);
+//! assert!(said.trusted(&signs).is_leaving);
 //! ```
 
 use super::answer_rule::{AnswerOwner, AnswerSigns};
@@ -29,15 +29,15 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct EndpointNotice {
     /// It is about to end, and takes nothing new.
-    pub leaves: bool,
+    pub is_leaving: bool,
     /// It wants nothing from this box for so long.
-    pub rest: Option<Duration>,
+    pub backoff: Option<Duration>,
 }
 
 impl EndpointNotice {
     /// Tells whether nothing is said.
     pub const fn is_empty(&self) -> bool {
-        !self.leaves && self.rest.is_none()
+        !self.is_leaving && self.backoff.is_none()
     }
 
     /// Returns the part of it that the answer gives reason to believe.
@@ -46,14 +46,17 @@
     /// without any request's id may come from whatever listens there, and a misdirected request was answered by
     /// another endpoint. Only one that turns a request away asks for rest.
     #[must_use]
-    pub const fn believed(self, signs: &AnswerSigns) -> Self {
+    pub const fn trusted(self, signs: &AnswerSigns) -> Self {
         match (signs.owner, signs.status) {
             (AnswerOwner::Unnamed, _) | (_, MISDIRECTED) => Self {
-                leaves: false,
-                rest: None,
+                is_leaving: false,
+                backoff: None,
             },
             (_, UNAVAILABLE) => self,
-            _ => Self { rest: None, ..self },
+            _ => Self {
+                backoff: None,
+                ..self
+            },
         }
     }
 }
--- a/dockgate-core/src/gateway/broken_endpoints.rs
+++ b/dockgate-core/src/gateway/interruption_tracker.rs
@@ -5,33 +5,33 @@
 //! more, or when its record names a later start. Until then it is kept which requests were there.
 //!
 //! ```
-//! use dockgate_core::gateway::{BrokenEndpoints, EndpointId, RequestPrint};
+//! use dockgate_core::gateway::{InterruptionTracker, EndpointId, RequestFingerprint};
 //!
-//! let (endpoint, print) = (EndpointId::of_life("e", Some(1)), RequestPrint::new([7; 16]));
-//! let mut broken = BrokenEndpoints::default();
-//! assert!(broken.note_break(print, endpoint, "e", 1_000).is_open());
-//! assert_eq!(broken.note_ended(endpoint, 1_030), [print]);
+//! let (endpoint, fingerprint) = (EndpointId::of_life("e", Some(1)), RequestFingerprint::new([7; 16]));
+//! let mut broken = InterruptionTracker::default();
+//! assert!(broken.note_interruption(fingerprint, endpoint, "e", 1_000).needs_check());
+//! assert_eq!(broken.note_ended(endpoint, 1_030), [fingerprint]);
 //! ```
 
-use super::request_print::RequestPrint;
+use super::request_fingerprint::RequestFingerprint;
 use super::route_table::{EndpointId, EndpointName};
 use std::collections::HashMap;
 
 /// What follows from an answer that broke off.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum BreakNews {
+pub enum InterruptionStatus {
     /// Nobody has looked yet whether the endpoint has ended.
-    Open,
+    Unchecked,
     /// Somebody looks already.
-    Watched,
+    CheckRunning,
     /// It is known to have ended.
     Ended,
 }
 
-impl BreakNews {
+impl InterruptionStatus {
     /// Tells whether somebody has to look whether the endpoint has ended.
-    pub const fn is_open(self) -> bool {
-        matches!(self, Self::Open)
+    pub const fn needs_check(self) -> bool {
+        matches!(self, Self::Unchecked)
     }
 }
 
@@ -40,57 +40,59 @@
 struct BrokenRuns {
     name: EndpointName,
     at_ms: u64,
-    prints: Vec<RequestPrint>,
+    fingerprints: Vec<RequestFingerprint>,
     /// Whether somebody looks whether the endpoint has ended; else it was seen to listen.
     is_watched: bool,
 }
 
 /// The endpoints that broke answers off lately.
 #[derive(Debug, Clone, Default)]
-pub struct BrokenEndpoints {
+pub struct InterruptionTracker {
     open: HashMap<EndpointId, BrokenRuns>,
     ended: HashMap<EndpointId, u64>,
 }
 
-impl BrokenEndpoints {
+impl InterruptionTracker {
     /// For how long, in milliseconds, it is remembered that an endpoint broke an answer off or has ended:
     /// one that fell silent is found out by the timeouts of three connections, and answers that break
     /// off with it are noticed within a deadline. A bound.
-    const KEPT_MS: u64 = 10_000;
+    const RETENTION_MS: u64 = 10_000;
     /// How many requests are kept of one endpoint: what an engine runs at once. A bound.
-    const MOST_PRINTS: usize = 64;
+    const MAX_FINGERPRINTS: usize = 64;
 
     /// Notes that an answer of an endpoint broke off.
-    pub fn note_break(
+    pub fn note_interruption(
         &mut self,
-        print: RequestPrint,
+        fingerprint: RequestFingerprint,
         endpoint: EndpointId,
         name: &str,
         now_ms: u64,
-    ) -> BreakNews {
+    ) -> InterruptionStatus {
         if self.ended.contains_key(&endpoint) {
-            return BreakNews::Ended;
+            return InterruptionStatus::Ended;
         }
         let known = self.open.remove(&endpoint).filter(|runs| runs.is_watched);
         let news = match known {
-            Some(_) => BreakNews::Watched,
-            None => BreakNews::Open,
+            Some(_) => InterruptionStatus::CheckRunning,
+            None => InterruptionStatus::Unchecked,
         };
         let known = known.unwrap_or(BrokenRuns {
             name: EndpointName::new(name),
             at_ms: now_ms,
-            prints: Vec::new(),
+            fingerprints: Vec::new(),
             is_watched: true,
         });
         let runs = self.open.entry(endpoint).or_insert(known);
-        if runs.prints.len() < Self::MOST_PRINTS && !runs.prints.contains(&print) {
-            runs.prints.push(print);
+        if runs.fingerprints.len() < Self::MAX_FINGERPRINTS
+            && !runs.fingerprints.contains(&fingerprint)
+        {
+            runs.fingerprints.push(fingerprint);
         }
         news
     }
 
     /// Notes that somebody listens where an endpoint is: it lives, or has started again already.
-    pub fn note_listens(&mut self, endpoint: EndpointId) {
+    pub fn note_listening(&mut self, endpoint: EndpointId) {
         if let Some(runs) = self.open.get_mut(&endpoint) {
             runs.is_watched = false;
         }
@@ -100,17 +102,17 @@
     ///
     /// One of which no answer broke off here, or which was seen to listen since, is not remembered: it may have
     /// left in order.
-    pub fn note_ended(&mut self, endpoint: EndpointId, now_ms: u64) -> Vec<RequestPrint> {
+    pub fn note_ended(&mut self, endpoint: EndpointId, now_ms: u64) -> Vec<RequestFingerprint> {
         match self.open.get(&endpoint) {
             Some(runs) if runs.is_watched => self.end(endpoint, now_ms),
             _ => Vec::new(),
         }
     }
 
-    fn end(&mut self, endpoint: EndpointId, now_ms: u64) -> Vec<RequestPrint> {
+    fn end(&mut self, endpoint: EndpointId, now_ms: u64) -> Vec<RequestFingerprint> {
         self.ended.insert(endpoint, now_ms);
         let runs = self.open.remove(&endpoint);
-        runs.map(|runs| runs.prints).unwrap_or_default()
+        runs.map(|runs| runs.fingerprints).unwrap_or_default()
     }
 
     /// Lists the endpoints that have started again under their id, by `life_of`, which tells the lifetime of
@@ -119,7 +121,7 @@
         &mut self,
         life_of: impl Fn(EndpointName) -> Option<EndpointId>,
         now_ms: u64,
-    ) -> Vec<(EndpointId, Vec<RequestPrint>)> {
+    ) -> Vec<(EndpointId, Vec<RequestFingerprint>)> {
         let open = self.open.iter();
         let ended = open.filter(|(id, runs)| life_of(runs.name).is_some_and(|life| life != **id));
         let mut ended: Vec<EndpointId> = ended.map(|(id, _)| *id).collect();
@@ -130,7 +132,7 @@
 
     /// Forgets what is too old to matter.
     pub fn expire(&mut self, now_ms: u64) {
-        let is_fresh = |at_ms: u64| at_ms + Self::KEPT_MS > now_ms;
+        let is_fresh = |at_ms: u64| at_ms + Self::RETENTION_MS > now_ms;
         self.open.retain(|_, runs| is_fresh(runs.at_ms));
         self.ended.retain(|_, at_ms| is_fresh(*at_ms));
     }
--- a/dockgate-core/src/gateway/jump_tests.rs
+++ b/dockgate-core/src/gateway/jump_tests.rs
@@ -2,9 +2,9 @@
 //! breaks by it, no bound is passed, and what is told anew is believed as before.
 
 use super::{
-    BoxBeat, BoxStanding, EndpointHealth, EndpointId, EndpointSign, FleetView, LagChange, LoopLag,
-    OwnReach, RequestPrint, RetryBudget, RetryRule, ShareLevel, ShareWindow, StoreDuty,
-    SuspectBook, WakeGate, WorkShed,
+    BoxBeat, BoxStanding, EndpointHealth, EndpointId, EndpointOutcome, FleetView, LagChange,
+    LoopLag, OwnReach, RequestFingerprint, RetryBudget, RetryRule, ShareLevel, ShareWindow,
+    StoreDuty, SuspectRegistry, WakeGate, WorkShed,
 };
 use crate::ids::{BoxKey, Incarnation};
 use proptest::prelude::*;
@@ -39,15 +39,15 @@
     health: EndpointHealth,
     lag: LoopLag,
     shed: WorkShed,
-    suspects: SuspectBook,
+    suspects: SuspectRegistry,
     gate: WakeGate,
 }
 
-const GUILTY: RequestPrint = RequestPrint::new([1; 16]);
+const GUILTY: RequestFingerprint = RequestFingerprint::new([1; 16]);
 
 impl JumpBox {
     fn new() -> Self {
-        let mut suspects = SuspectBook::default();
+        let mut suspects = SuspectRegistry::default();
         for endpoint in 1..=3 {
             suspects.note_ended(GUILTY, EndpointId(endpoint), 1);
         }
@@ -87,9 +87,9 @@
             self.shares.note_given(7, 80, ShareLevel::WITHIN, now);
         }
         let sign = match load % 3 {
-            0 => EndpointSign::Failed,
-            1 => EndpointSign::Silent,
-            _ => EndpointSign::Answered,
+            0 => EndpointOutcome::Failed,
+            1 => EndpointOutcome::Silent,
+            _ => EndpointOutcome::Answered,
         };
         self.health.note(sign, now);
         self.look(0);
@@ -147,7 +147,7 @@
         prop_assert_eq!(own.fleet.live_count(own.now_ms), BOXES);
         (0..12).for_each(|_| own.work(2));
         prop_assert!(own.gate.is_open(None, own.now_ms));
-        prop_assert!(own.health.is_open(own.now_ms));
+        prop_assert!(own.health.is_available(own.now_ms));
         prop_assert!(!own.lag.is_too_late_for(500));
         prop_assert!(own.shed.refused_part(7) < 1.0);
         prop_assert!(own.is_within_budget());
--- a/dockgate-core/src/gateway/notice_book/asked_rest.rs
+++ b/dockgate-core/src/gateway/notice_registry/requested_backoff.rs
@@ -8,7 +8,7 @@
 /// not shorten it. All boxes were told the same time, and callers come back together, so what comes first after it
 /// would be turned away in a wave again. So each box waits a little longer, by chance, and sends one request ahead.
 #[derive(Debug, Clone, Copy, Default)]
-pub(super) struct AskedRest {
+pub(super) struct RequestedBackoff {
     until_ms: u64,
     /// Whether nothing was answered since it ended.
     is_untried: bool,
@@ -16,7 +16,7 @@
     trial_until_ms: u64,
 }
 
-impl AskedRest {
+impl RequestedBackoff {
     /// The longest rest that is given: a bound against an endpoint, or something before it, that asks for what nobody
     /// can have meant. Beyond it one request asks again.
     const MOST: Duration = Duration::from_hours(1);
@@ -29,7 +29,7 @@
     const TRIAL_MS: u64 = 100;
 
     /// Rests for so long from now on, unless that is over before the rest it has; `draw` is a random number from 0 to 1.
-    pub(super) fn ask(&mut self, rest: Duration, now_ms: u64, draw: f64) {
+    pub(super) fn request(&mut self, rest: Duration, now_ms: u64, draw: f64) {
         let rest = rest.min(Self::MOST);
         let spread = rest.mul_f64(Self::SPREAD_PART).min(Self::MOST_SPREAD);
         let rest = rest + spread.mul_f64(draw.clamp(0.0, 1.0));
@@ -39,7 +39,7 @@
     }
 
     /// Returns how much of it is left, where any is.
-    pub(super) fn left(&self, now_ms: u64) -> Option<Duration> {
+    pub(super) fn remaining(&self, now_ms: u64) -> Option<Duration> {
         let left_ms = self.until_ms.saturating_sub(now_ms);
         (left_ms > 0).then(|| Duration::from_millis(left_ms))
     }
--- a/dockgate-core/src/gateway/request_print.rs
+++ b/dockgate-core/src/gateway/request_fingerprint.rs
@@ -1,16 +1,16 @@
 //! What makes two requests the same one, whoever takes them and whatever id they carry.
 //!
 //! A request that comes again has a new id. It is the same if its caller asks the same target for the
-//! same with the same body. The print is a cryptographic hash, so that no caller can make a request
+//! same with the same body. The fingerprint is a cryptographic hash, so that no caller can make a request
 //! that is taken for another one's.
 //!
 //! ```
-//! use dockgate_core::gateway::{PrintSource, RequestPrint};
+//! use dockgate_core::gateway::{FingerprintInput, RequestFingerprint};
 //!
-//! let source = PrintSource { workspace: "captions", method: "POST", host: "h", target: "/a?q=1", body: b"x" };
-//! let print = RequestPrint::of(&source);
-//! assert_eq!(print, RequestPrint::of(&source));
-//! assert_ne!(print, RequestPrint::of(&PrintSource { target: "/a?q=2", ..source }));
+//! let source = FingerprintInput { workspace: "captions", method: "POST", host: "h", target: "/a?q=1", body: b"x" };
+//! let fingerprint = RequestFingerprint::of(&source);
+//! assert_eq!(fingerprint, RequestFingerprint::of(&source));
+//! assert_ne!(fingerprint, RequestFingerprint::of(&FingerprintInput { target: "/a?q=2", ..source }));
 //! ```
 
 use serde::{Deserialize, Serialize};
@@ -19,11 +19,11 @@
 
 /// How many bytes of the hash are kept: two requests that differ have the same with a chance of one in
 /// 2^64 among 2^32 of them.
-const PRINT_BYTES: usize = 16;
+const FINGERPRINT_BYTES: usize = 16;
 
-/// What the print of a request is made of.
+/// What the fingerprint of a request is made of.
 #[derive(Debug, Clone, Copy)]
-pub struct PrintSource<'a> {
+pub struct FingerprintInput<'a> {
     /// The workspace of its caller, or nothing where it has none.
     pub workspace: &'a str,
     /// The method.
@@ -39,11 +39,11 @@
 /// Names all sends of one request, however often it comes.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct RequestPrint([u8; PRINT_BYTES]);
+pub struct RequestFingerprint([u8; FINGERPRINT_BYTES]);
 
-impl RequestPrint {
-    /// Derives the print of a request.
-    pub fn of(source: &PrintSource) -> Self {
+impl RequestFingerprint {
+    /// Derives the fingerprint of a request.
+    pub fn of(source: &FingerprintInput) -> Self {
         let parts = [
             source.workspace.as_bytes(),
             source.method.as_bytes(),
@@ -58,42 +58,42 @@
             hasher.update(part);
         }
         let hash = hasher.finalize();
-        let mut print = [0; PRINT_BYTES];
-        print.copy_from_slice(&hash.as_bytes()[..PRINT_BYTES]);
-        Self(print)
+        let mut fingerprint = [0; FINGERPRINT_BYTES];
+        fingerprint.copy_from_slice(&hash.as_bytes()[..FINGERPRINT_BYTES]);
+        Self(fingerprint)
     }
 
-    /// Makes a print of given bytes.
-    pub const fn new(bytes: [u8; PRINT_BYTES]) -> Self {
+    /// Makes a fingerprint of given bytes.
+    pub const fn new(bytes: [u8; FINGERPRINT_BYTES]) -> Self {
         Self(bytes)
     }
 }
 
-impl fmt::Display for RequestPrint {
+impl fmt::Display for RequestFingerprint {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.0.iter().try_for_each(|byte| write!(f, "{byte:02x}"))
     }
 }
 
-impl fmt::Debug for RequestPrint {
+impl fmt::Debug for RequestFingerprint {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         fmt::Display::fmt(self, f)
     }
 }
 
-/// A text that is no print.
+/// A text that is no fingerprint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct BadPrint;
+pub struct InvalidFingerprint;
 
-impl FromStr for RequestPrint {
-    type Err = BadPrint;
+impl FromStr for RequestFingerprint {
+    type Err = InvalidFingerprint;
 
-    fn from_str(text: &str) -> Result<Self, BadPrint> {
+    fn from_str(text: &str) -> Result<Self, InvalidFingerprint> {
         let is_hex = text.bytes().all(|byte| byte.is_ascii_hexdigit());
-        if text.len() != 2 * PRINT_BYTES || !is_hex {
-            return Err(BadPrint);
+        if text.len() != 2 * FINGERPRINT_BYTES || !is_hex {
+            return Err(InvalidFingerprint);
         }
-        let number = u128::from_str_radix(text, 16).map_err(|_| BadPrint)?;
+        let number = u128::from_str_radix(text, 16).map_err(|_| InvalidFingerprint)?;
         Ok(Self(number.to_be_bytes()))
     }
 }
--- a/dockgate-core/src/gateway/suspect_book/blame_tests.rs
+++ b/dockgate-core/src/gateway/suspect_registry/blame_tests.rs
@@ -4,8 +4,8 @@
 //! and comes again twice a second; others are sent on when their endpoint ends, in the order of their homes, which
 //! requests of one kind share.
 
-use super::SuspectBook;
-use crate::gateway::{EndpointId, RequestPrint, best_homes, home_subject};
+use super::SuspectRegistry;
+use crate::gateway::{EndpointId, RequestFingerprint, best_homes, home_subject};
 use std::collections::{BTreeMap, BTreeSet};
 use yare::parameterized;
 
@@ -62,7 +62,7 @@
     load: BlameLoad,
     seed: u64,
     now_ms: u64,
-    book: SuspectBook,
+    book: SuspectRegistry,
     runs: Vec<BlameRun>,
     /// The lifetime of each endpoint, and from when on it is there.
     lives: BTreeMap<u64, (u64, u64)>,
@@ -71,10 +71,10 @@
     report: BlameReport,
 }
 
-fn print(number: u32) -> RequestPrint {
+fn fingerprint(number: u32) -> RequestFingerprint {
     let mut bytes = [0; 16];
     bytes[..4].copy_from_slice(&number.to_le_bytes());
-    RequestPrint::new(bytes)
+    RequestFingerprint::new(bytes)
 }
 
 impl BlameFleet {
@@ -83,7 +83,7 @@
             load,
             seed,
             now_ms: 1,
-            book: SuspectBook::default(),
+            book: SuspectRegistry::default(),
             runs: Vec::new(),
             lives: (0..load.endpoints).map(|at| (at, (0, 0))).collect(),
             blamed: BTreeSet::new(),
@@ -105,7 +105,7 @@
     fn send(&mut self, run: BlameRun) {
         let is_held = self
             .book
-            .quarantine(print(run.number), self.now_ms)
+            .quarantine(fingerprint(run.number), self.now_ms)
             .is_some();
         if is_held && run.number != GUILTY {
             self.blamed.insert(run.number);
@@ -158,7 +158,7 @@
         for run in &lost {
             self.victims.insert(run.number);
             self.book
-                .note_ended(print(run.number), lifetime, self.now_ms);
+                .note_ended(fingerprint(run.number), lifetime, self.now_ms);
         }
         for run in lost {
             if run.number != GUILTY {
@@ -174,7 +174,7 @@
             .partition(|run| run.ends_ms <= now_ms);
         self.runs = kept;
         for run in over.iter().filter(|run| run.number != GUILTY) {
-            self.book.note_completed(print(run.number), now_ms);
+            self.book.note_completed(fingerprint(run.number), now_ms);
         }
         for run in over.into_iter().filter(|run| run.number == GUILTY) {
             // It is at an endpoint that has not ended by another reason meanwhile.
--- a/dockgate-core/src/gateway/suspect_book/fleet_tests.rs
+++ b/dockgate-core/src/gateway/suspect_registry/fleet_tests.rs
@@ -1,8 +1,8 @@
 //! Several boxes without a network: rows are lost, doubled and late, boxes are cut off and start anew, and a store
 //! that is away at times keeps what must last.
 
-use super::{Quarantine, SuspectBook, SuspectRow};
-use crate::gateway::{EndpointId, RequestPrint};
+use super::{Quarantine, SuspectRegistry, SuspectReport};
+use crate::gateway::{EndpointId, RequestFingerprint};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
@@ -11,7 +11,7 @@
 const BEAT_MS: u64 = 300;
 /// How long all boxes may take to know of a verdict.
 const KNOWN_WITHIN_MS: u64 = 3_000;
-const GUILTY: RequestPrint = RequestPrint::new([1; 16]);
+const GUILTY: RequestFingerprint = RequestFingerprint::new([1; 16]);
 const VICTIMS: u8 = 4;
 
 #[derive(Debug, Clone, Copy)]
@@ -45,14 +45,14 @@
 struct FleetMail {
     to: usize,
     at_ms: u64,
-    rows: Vec<SuspectRow>,
+    rows: Vec<SuspectReport>,
 }
 
 struct TestFleet {
     now_ms: u64,
-    books: Vec<SuspectBook>,
+    books: Vec<SuspectRegistry>,
     cut: [bool; BOXES],
-    store: BTreeMap<RequestPrint, Quarantine>,
+    store: BTreeMap<RequestFingerprint, Quarantine>,
     is_out: bool,
     mail: Vec<FleetMail>,
     draws: Vec<u8>,
@@ -66,7 +66,7 @@
     fn new(draws: Vec<u8>) -> Self {
         Self {
             now_ms: 1_000,
-            books: vec![SuspectBook::default(); BOXES],
+            books: vec![SuspectRegistry::default(); BOXES],
             cut: [false; BOXES],
             store: BTreeMap::new(),
             is_out: false,
@@ -102,7 +102,7 @@
             if to == from || is_cut {
                 continue;
             }
-            let rows = self.books[from].rows(is_whole, self.now_ms);
+            let rows = self.books[from].reports(is_whole, self.now_ms);
             // One in eight is lost, one in eight comes twice, and all are up to a quarter of a second late.
             let (fate, late) = (self.draw(), u64::from(self.draw()));
             let copies = match fate % 8 {
@@ -123,11 +123,11 @@
         if self.is_out {
             return;
         }
-        for (print, known) in &self.store {
-            self.books[at].merge(*print, *known, self.now_ms);
+        for (fingerprint, known) in &self.store {
+            self.books[at].merge(*fingerprint, *known, self.now_ms);
         }
-        for (print, known) in self.books[at].quarantines(self.now_ms) {
-            self.store.entry(print).or_default().merge(known);
+        for (fingerprint, known) in self.books[at].quarantines(self.now_ms) {
+            self.store.entry(fingerprint).or_default().merge(known);
         }
     }
 
@@ -141,7 +141,7 @@
                 .partition(|mail: &FleetMail| mail.at_ms <= now_ms);
             self.mail = waiting;
             for mail in due {
-                self.books[mail.to].hear(&mail.rows, now_ms);
+                self.books[mail.to].receive(&mail.rows, now_ms);
             }
             if now_ms.is_multiple_of(BEAT_MS) {
                 for at in 0..BOXES {
@@ -168,7 +168,7 @@
             }
             FleetStep::Return(_) => {}
             FleetStep::Victim(at, number, ends) => {
-                let victim = RequestPrint::new([number; 16]);
+                let victim = RequestFingerprint::new([number; 16]);
                 match ends {
                     true => {
                         self.next_endpoint += 1;
@@ -180,8 +180,8 @@
                 self.tell(at, false);
             }
             FleetStep::Cut(at, cut) => self.cut[at] = cut,
-            FleetStep::Restart(at) => self.books[at] = SuspectBook::default(),
-            FleetStep::RestartAll => self.books = vec![SuspectBook::default(); BOXES],
+            FleetStep::Restart(at) => self.books[at] = SuspectRegistry::default(),
+            FleetStep::RestartAll => self.books = vec![SuspectRegistry::default(); BOXES],
             FleetStep::Store(out) => self.is_out = out,
         }
     }
@@ -206,11 +206,11 @@
             fleet.play(FleetStep::Return(number % BOXES));
             fleet.pass(600);
         }
-        prop_assert!(reached <= SuspectBook::VERDICT, "{} more", reached);
+        prop_assert!(reached <= SuspectRegistry::VERDICT_THRESHOLD, "{} more", reached);
         prop_assert!((0..BOXES).all(|at| fleet.knows(at)));
 
         // All are killed at once: what stands in the store is enough.
-        fleet.books = vec![SuspectBook::default(); BOXES];
+        fleet.books = vec![SuspectRegistry::default(); BOXES];
         fleet.mail.clear();
         fleet.pass(KNOWN_WITHIN_MS);
         prop_assert!((0..BOXES).all(|at| fleet.knows(at)));
@@ -224,17 +224,17 @@
     ) {
         let mut fleet = TestFleet::after(steps, draws);
         for number in 2..2 + VICTIMS {
-            let victim = RequestPrint::new([number; 16]);
+            let victim = RequestFingerprint::new([number; 16]);
             fleet.books[0].note_completed(victim, fleet.now_ms);
             fleet.tell(0, false);
         }
         fleet.pass(KNOWN_WITHIN_MS);
         for number in 2..2 + VICTIMS {
-            let victim = RequestPrint::new([number; 16]);
+            let victim = RequestFingerprint::new([number; 16]);
             for book in &fleet.books {
                 prop_assert!(book.quarantine(victim, fleet.now_ms).is_none());
             }
-            prop_assert!(fleet.store.get(&victim).is_none_or(|known| !known.stage.is_set()));
+            prop_assert!(fleet.store.get(&victim).is_none_or(|known| !known.stage.is_active()));
         }
     }
 }
--- a/dockgate-core/src/gateway/suspect_book/quarantine.rs
+++ b/dockgate-core/src/gateway/suspect_registry/quarantine.rs
@@ -19,11 +19,11 @@
 
 impl QuarantineStage {
     /// Tells whether the request is in quarantine.
-    pub const fn is_set(self) -> bool {
+    pub const fn is_active(self) -> bool {
         self.verdict > 0 && !self.released
     }
 
-    const fn order(self) -> Self {
+    const fn with_verdict(self) -> Self {
         Self {
             verdict: self.verdict + 1,
             released: false,
@@ -38,7 +38,7 @@
         }
     }
 
-    const fn tried(self) -> Self {
+    const fn with_trial(self) -> Self {
         Self {
             trials: self.trials.saturating_add(1),
             ..self
@@ -63,45 +63,45 @@
     const TRIAL_AFTER_MS: [i64; 2] = [30_000, 300_000];
     /// For how long a stage is kept, in milliseconds: a day, after which what made the request harmful may
     /// be mended. A bound.
-    const KEPT_MS: i64 = 86_400_000;
+    const RETENTION_MS: i64 = 86_400_000;
 
     /// Tells whether the stage is young enough to count.
-    pub(super) const fn is_kept(&self, now_ms: u64) -> bool {
-        self.stage.verdict > 0 && now_ms as i64 - self.at_ms < Self::KEPT_MS
+    pub(super) const fn is_retained(&self, now_ms: u64) -> bool {
+        self.stage.verdict > 0 && now_ms as i64 - self.at_ms < Self::RETENTION_MS
     }
 
     /// Tells whether the request is kept from endpoints now.
-    pub(super) const fn holds(&self, now_ms: u64) -> bool {
-        self.stage.is_set() && self.is_kept(now_ms)
+    pub(super) const fn is_active(&self, now_ms: u64) -> bool {
+        self.stage.is_active() && self.is_retained(now_ms)
     }
 
     /// Returns after how long the next trial may be: zero where it is due, none where there were all.
     pub fn next_trial(&self, now_ms: u64) -> Option<Duration> {
         let after_ms = Self::TRIAL_AFTER_MS.get(usize::from(self.stage.trials))?;
-        Some(self.left(*after_ms, now_ms))
+        Some(self.remaining(*after_ms, now_ms))
     }
 
     /// Tells whether the request is in quarantine and may be let through once.
     pub fn is_trial_due(&self, now_ms: u64) -> bool {
-        self.holds(now_ms) && self.next_trial(now_ms) == Some(Duration::ZERO)
+        self.is_active(now_ms) && self.next_trial(now_ms) == Some(Duration::ZERO)
     }
 
     /// Returns after how long the request is worth another try by its caller.
-    pub fn return_after(&self, now_ms: u64) -> Duration {
-        let ends = self.left(Self::KEPT_MS, now_ms);
+    pub fn retry_after(&self, now_ms: u64) -> Duration {
+        let ends = self.remaining(Self::RETENTION_MS, now_ms);
         self.next_trial(now_ms).unwrap_or(ends)
     }
 
-    fn left(&self, after_ms: i64, now_ms: u64) -> Duration {
+    fn remaining(&self, after_ms: i64, now_ms: u64) -> Duration {
         let left_ms = (self.at_ms + after_ms - now_ms as i64).max(0);
         Duration::from_millis(left_ms as u64)
     }
 
     /// Puts the request into quarantine, unless it is there.
-    pub(super) fn order(&mut self, at_ms: i64) {
-        if !self.stage.is_set() {
+    pub(super) fn impose(&mut self, at_ms: i64) {
+        if !self.stage.is_active() {
             *self = Self {
-                stage: self.stage.order(),
+                stage: self.stage.with_verdict(),
                 at_ms,
             };
         }
@@ -109,7 +109,7 @@
 
     /// Releases the request, if it is in quarantine.
     pub(super) fn release(&mut self, at_ms: i64) {
-        if self.stage.is_set() {
+        if self.stage.is_active() {
             *self = Self {
                 stage: self.stage.release(),
                 at_ms,
@@ -119,9 +119,9 @@
 
     /// Returns the quarantine as it is once a trial has been let through.
     #[must_use]
-    pub const fn tried(&self, now_ms: u64) -> Self {
+    pub const fn with_trial(&self, now_ms: u64) -> Self {
         Self {
-            stage: self.stage.tried(),
+            stage: self.stage.with_trial(),
             at_ms: now_ms as i64,
         }
     }
--- a/dockgate-core/src/gateway/suspect_book/suspect_row.rs
+++ b/dockgate-core/src/gateway/suspect_registry/suspect_report.rs
@@ -1,13 +1,13 @@
 //! One thing that boxes tell each other of a request.
 
 use super::quarantine::QuarantineStage;
-use crate::gateway::request_print::RequestPrint;
+use crate::gateway::request_fingerprint::RequestFingerprint;
 use crate::gateway::route_table::EndpointId;
 use serde::{Deserialize, Serialize};
 
 /// What happened to a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum SuspectSign {
+pub enum SuspectEvent {
     /// This lifetime of an endpoint ended while the request was there.
     Ended(EndpointId),
     /// It ran to its end.
@@ -18,20 +18,20 @@
 
 /// What happened to a request, and when.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SuspectRow {
+pub struct SuspectReport {
     /// The request.
-    pub print: RequestPrint,
+    pub fingerprint: RequestFingerprint,
     /// What happened.
-    pub sign: SuspectSign,
+    pub sign: SuspectEvent,
     /// How long ago, in milliseconds: boxes share no clock.
     pub age_ms: u32,
 }
 
-impl SuspectRow {
+impl SuspectReport {
     /// Makes the row of what happens now.
-    pub const fn new(print: RequestPrint, sign: SuspectSign) -> Self {
+    pub const fn new(fingerprint: RequestFingerprint, sign: SuspectEvent) -> Self {
         Self {
-            print,
+            fingerprint,
             sign,
             age_ms: 0,
         }
--- a/dockgate-proto/src/gateway.rs
+++ b/dockgate-proto/src/gateway.rs
@@ -5,7 +5,7 @@
 
 use dockgate_core::gateway::{
     BoxBeat, EndpointId, EndpointNews, EngineAsk, EngineVerdict, FleetDigest, PromptPart,
-    ReadSpeed, RouteConfig, ShareRow, StoreRevision, SuspectRow,
+    ReadSpeed, RouteConfig, ShareRow, StoreRevision, SuspectReport,
 };
 use dockgate_core::{BoxKey, Incarnation};
 use serde::{Deserialize, Serialize};
@@ -126,7 +126,7 @@
     /// To boxes that pass it on, and in answer to a beat: requests under which endpoints have ended.
     Suspects {
         /// What happened to them.
-        rows: Vec<SuspectRow>,
+        rows: Vec<SuspectReport>,
     },
 }
 
--- a/dockgate-proto/src/gateway/tests.rs
+++ b/dockgate-proto/src/gateway/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use dockgate_core::gateway::{DigestScope, RequestPrint, SuspectSign};
+use dockgate_core::gateway::{DigestScope, RequestFingerprint, SuspectEvent};
 
 fn datagram(message: GatewayMessage) -> GatewayDatagram {
     GatewayDatagram {
@@ -35,9 +35,9 @@
             endpoint: EndpointId(2),
         },
         GatewayMessage::Suspects {
-            rows: vec![SuspectRow::new(
-                RequestPrint::new([7; 16]),
-                SuspectSign::Ended(EndpointId(2)),
+            rows: vec![SuspectReport::new(
+                RequestFingerprint::new([7; 16]),
+                SuspectEvent::Ended(EndpointId(2)),
             )],
         },
     ]
--- a/dockgate/src/gateway/call/placing.rs
+++ b/dockgate/src/gateway/call/placing.rs
@@ -150,7 +150,7 @@
             } else {
                 FAR_HANDICAP
             };
-            let doubt = if entry.health.is_doubtful(now) {
+            let doubt = if entry.health.is_unreliable(now) {
                 DOUBT_HANDICAP
             } else {
                 0.0
--- a/dockgate/src/gateway/call/quarantined.rs
+++ b/dockgate/src/gateway/call/quarantined.rs
@@ -5,14 +5,14 @@
 use super::super::{quarantine, quarantine_store};
 use super::{AdmittedCall, CallRefusal};
 use crate::clock::now_ms;
-use dockgate_core::gateway::{PrintSource, RequestPrint};
+use dockgate_core::gateway::{FingerprintInput, RequestFingerprint};
 use http::{Method, Uri};
 
 impl AdmittedCall {
     /// Returns what it has in common with all its sends, also those of other ids.
     ///
     /// It is worked out when it is asked for: most requests never need it.
-    pub(in super::super) fn print(&self) -> RequestPrint {
+    pub(in super::super) fn print(&self) -> RequestFingerprint {
         let (workspace, host) = (self.workspace_name(), &self.head.host);
         print_of(workspace, &self.method, host, &self.uri, &self.body)
     }
@@ -25,8 +25,8 @@
     host: &str,
     uri: &Uri,
     body: &[u8],
-) -> RequestPrint {
-    RequestPrint::of(&PrintSource {
+) -> RequestFingerprint {
+    RequestFingerprint::of(&FingerprintInput {
         workspace,
         method: method.as_str(),
         host,
@@ -43,7 +43,7 @@
 /// Returns the refusal.
 pub(super) async fn keep_from_endpoints(
     state: &GatewayState,
-    print: impl FnOnce() -> RequestPrint,
+    print: impl FnOnce() -> RequestFingerprint,
 ) -> Result<(), CallRefusal> {
     let Some((print, quarantine)) = quarantine::find(state, print) else {
         return Ok(());
@@ -52,6 +52,6 @@
     if quarantine.is_trial_due(now) && quarantine_store::take_trial(state, print).await {
         return Ok(());
     }
-    let after = quarantine.return_after(now);
+    let after = quarantine.retry_after(now);
     Err(CallRefusal::come_back(RefusalReason::EndsEndpoints, after))
 }
--- a/dockgate/src/gateway/call/send_loss.rs
+++ b/dockgate/src/gateway/call/send_loss.rs
@@ -2,7 +2,7 @@
 
 use super::super::call_body::CallBody;
 use dockgate_core::AttemptState;
-use dockgate_core::gateway::EndpointSign;
+use dockgate_core::gateway::EndpointOutcome;
 use http::Response;
 
 /// What a lost send says of the life of the endpoint.
@@ -21,7 +21,7 @@
     /// How far it had come.
     pub(super) state: AttemptState,
     /// What it says of the endpoint, if anything.
-    pub(super) sign: Option<EndpointSign>,
+    pub(super) sign: Option<EndpointOutcome>,
     /// What is logged.
     pub(super) problem: String,
     /// What is passed on if it is not repeated.
@@ -34,7 +34,11 @@
 
 impl SendLoss {
     /// Makes a loss that says something of the endpoint.
-    pub(super) fn new(state: AttemptState, sign: EndpointSign, problem: impl Into<String>) -> Self {
+    pub(super) fn new(
+        state: AttemptState,
+        sign: EndpointOutcome,
+        problem: impl Into<String>,
+    ) -> Self {
         Self {
             sign: Some(sign),
             ..Self::unsaid(state, problem)
@@ -57,7 +61,7 @@
     pub(super) fn gone(state: AttemptState, problem: impl Into<String>) -> Self {
         Self {
             life: LifeSign::Gone,
-            ..Self::new(state, EndpointSign::Unreachable, problem)
+            ..Self::new(state, EndpointOutcome::Unreachable, problem)
         }
     }
 
@@ -66,7 +70,7 @@
         Self {
             timed_out,
             life: LifeSign::BrokeOff,
-            ..Self::new(AttemptState::Sent, EndpointSign::Failed, problem)
+            ..Self::new(AttemptState::Sent, EndpointOutcome::Failed, problem)
         }
     }
 }
--- a/dockgate/src/gateway/call/sending.rs
+++ b/dockgate/src/gateway/call/sending.rs
@@ -15,7 +15,7 @@
 use crate::clock::{ClockInstant, now_ms, timeout_at};
 use crate::metrics::METRICS;
 use bytes::Bytes;
-use dockgate_core::gateway::{AnswerForm, AnswerVerdict, EndpointSign};
+use dockgate_core::gateway::{AnswerForm, AnswerVerdict, EndpointOutcome};
 use dockgate_core::{AttemptState, Outcome, RetryVerdict};
 use dockgate_platform::{AnswerHead, SendHead, decode_answer, encode_answer, encode_send};
 use http::{HeaderMap, Request, Response, StatusCode};
@@ -242,14 +242,14 @@
         let (response, connection) = sent.map_err(|failure| match failure {
             SendFailure::Refused(problem) => SendLoss::gone(AttemptState::Bound, problem),
             SendFailure::Unreachable(problem) => {
-                SendLoss::new(AttemptState::Bound, EndpointSign::Unreachable, problem)
+                SendLoss::new(AttemptState::Bound, EndpointOutcome::Unreachable, problem)
             }
             SendFailure::Silent(problem) => {
-                SendLoss::new(AttemptState::Bound, EndpointSign::Silent, problem)
+                SendLoss::new(AttemptState::Bound, EndpointOutcome::Silent, problem)
             }
             SendFailure::NoConnection => SendLoss::new(
                 AttemptState::Bound,
-                EndpointSign::Full,
+                EndpointOutcome::Full,
                 "no connection is free",
             ),
             SendFailure::Withheld(reason) => SendLoss::unsaid(
@@ -263,9 +263,9 @@
         })?;
         tries.sent += 1;
         let head = decode_answer(response.status(), response.headers(), &self.head.id);
-        let notice = head.notice.believed(&head.signs);
+        let notice = head.notice.trusted(&head.signs);
         hear(&self.state, &place.target, &self.head.id, notice);
-        if notice.leaves && self.service().engine.is_some() {
+        if notice.is_leaving && self.service().engine.is_some() {
             tell_owner(&self.state, &place.target);
         }
         let verdict = head.signs.judge();
@@ -276,14 +276,14 @@
                 settle(response.into_body(), connection, &head).await;
                 Err(match is_other {
                     true => SendLoss::gone(AttemptState::Refused, problem),
-                    false => SendLoss::new(AttemptState::Refused, EndpointSign::Full, problem),
+                    false => SendLoss::new(AttemptState::Refused, EndpointOutcome::Full, problem),
                 })
             }
             AnswerVerdict::Unusable => {
                 let problem = format!("unusable answer: {:?}", head.signs);
                 Err(SendLoss::new(
                     AttemptState::Sent,
-                    EndpointSign::Failed,
+                    EndpointOutcome::Failed,
                     problem,
                 ))
             }
@@ -331,7 +331,7 @@
         let read =
             read.and_then(|read| read.map_err(|error| SendLoss::broken(error.to_string(), false)));
         let bytes = read
-            .inspect_err(|_| place.guard.note(EndpointSign::Failed))?
+            .inspect_err(|_| place.guard.note(EndpointOutcome::Failed))?
             .to_bytes();
         if !head.closes {
             connection.keep(head.idle);
@@ -339,15 +339,15 @@
         let response = pass_on(parts.status, &parts.headers, whole_body(bytes));
         if verdict == AnswerVerdict::Failed {
             // The endpoint lives: one failed request in seven is usual for some routes.
-            place.guard.note(EndpointSign::Answered);
+            place.guard.note(EndpointOutcome::Answered);
             let problem = format!("status {}", parts.status);
-            let loss = SendLoss::new(AttemptState::Sent, EndpointSign::Failed, problem);
+            let loss = SendLoss::new(AttemptState::Sent, EndpointOutcome::Failed, problem);
             return Err(SendLoss {
                 answer: Some(Box::new(response)),
                 ..loss
             });
         }
-        place.guard.note(EndpointSign::Answered);
+        place.guard.note(EndpointOutcome::Answered);
         self.log_answered(&place.target.name, parts.status, self.age(), 0, tries);
         Ok(response)
     }
@@ -400,7 +400,7 @@
             begins_until,
             ..
         } = answer;
-        place.guard.note(EndpointSign::Answered);
+        place.guard.note(EndpointOutcome::Answered);
         let source = StreamSource {
             target: place.target,
             body,
--- a/dockgate/src/gateway/end_check.rs
+++ b/dockgate/src/gateway/end_check.rs
@@ -9,7 +9,7 @@
 use super::sockets::connect;
 use super::upstream::EndpointTarget;
 use crate::clock::now_ms;
-use dockgate_core::gateway::{BreakNews, EndpointId, RequestPrint};
+use dockgate_core::gateway::{EndpointId, InterruptionStatus, RequestFingerprint};
 use std::io::ErrorKind;
 use std::sync::Arc;
 use std::time::Duration;
@@ -25,16 +25,20 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// Notes that an endpoint broke an answer off, and has somebody look whether it has ended.
-pub(super) fn note_break(state: &Arc<GatewayState>, target: &EndpointTarget, print: RequestPrint) {
+pub(super) fn note_break(
+    state: &Arc<GatewayState>,
+    target: &EndpointTarget,
+    print: RequestFingerprint,
+) {
     let now = now_ms();
     let news = state.with(|beliefs| {
         let broken = &mut beliefs.broken;
-        broken.note_break(print, target.id, &target.name, now)
+        broken.note_interruption(print, target.id, &target.name, now)
     });
     match news {
-        BreakNews::Open => drop(tokio::spawn(look(state.clone(), target.clone()))),
-        BreakNews::Watched => {}
-        BreakNews::Ended => note_ends(state, target.id, &target.name, &[print]),
+        InterruptionStatus::Unchecked => drop(tokio::spawn(look(state.clone(), target.clone()))),
+        InterruptionStatus::CheckRunning => {}
+        InterruptionStatus::Ended => note_ends(state, target.id, &target.name, &[print]),
     }
 }
 
@@ -46,11 +50,11 @@
 }
 
 /// Notes the requests under which an endpoint has ended.
-fn note_ends(state: &GatewayState, endpoint: EndpointId, name: &str, under: &[RequestPrint]) {
+fn note_ends(state: &GatewayState, endpoint: EndpointId, name: &str, under: &[RequestFingerprint]) {
     if under.is_empty() {
         return;
     }
-    let prints: Vec<String> = under.iter().map(RequestPrint::to_string).collect();
+    let prints: Vec<String> = under.iter().map(RequestFingerprint::to_string).collect();
     log_gateway(&GatewayEvent::EndpointEnded {
         endpoint: name,
         under: &prints,
@@ -73,7 +77,7 @@
 }
 
 fn note_listens(state: &GatewayState, endpoint: EndpointId) {
-    state.with(|beliefs| beliefs.broken.note_listens(endpoint));
+    state.with(|beliefs| beliefs.broken.note_listening(endpoint));
 }
 
 /// Notes the endpoints that have started again under their id since they broke answers off.
--- a/dockgate/src/gateway/engine_seek.rs
+++ b/dockgate/src/gateway/engine_seek.rs
@@ -144,7 +144,7 @@
     let entry = |id: EndpointId| beliefs.endpoints.get(id);
     let is_open = |id: EndpointId| beliefs.endpoints.is_open(id, now) && !wish.tried.contains(&id);
     let is_usable = |id: EndpointId| {
-        let doubtful = entry(id).is_none_or(|entry| entry.health.is_doubtful(now));
+        let doubtful = entry(id).is_none_or(|entry| entry.health.is_unreliable(now));
         is_open(id) && !doubtful
     };
     let mut order = pick_homes(wish, ready, near, is_usable);
@@ -182,7 +182,7 @@
     let spec = spec_of(state, endpoint)?;
     state.with(|beliefs| {
         let notices = beliefs.endpoints.notices();
-        if notices.is_said_to_leave(endpoint, now) {
+        if notices.is_reported_leaving(endpoint, now) {
             return Some(EngineVerdict::Leaving);
         }
         let load = beliefs.engines.load_mut(endpoint, spec);
--- a/dockgate/src/gateway/event_stream.rs
+++ b/dockgate/src/gateway/event_stream.rs
@@ -9,7 +9,7 @@
 use super::upstream::{EndpointTarget, UsedConnection};
 use crate::clock::{ClockInstant, timeout_at};
 use bytes::{Bytes, BytesMut};
-use dockgate_core::gateway::{EndpointSign, EventSplitter};
+use dockgate_core::gateway::{EndpointOutcome, EventSplitter};
 use dockgate_core::{AttemptState, RetryVerdict};
 use dockgate_platform::AnswerHead;
 use futures::{FutureExt, stream};
@@ -122,7 +122,7 @@
     /// Notes that the endpoint failed.
     pub(super) fn note_failed(&self) {
         if let Some(source) = &self.source {
-            source.guard.note(EndpointSign::Failed);
+            source.guard.note(EndpointOutcome::Failed);
         }
     }
 
--- a/dockgate/src/gateway/gateway_gauges.rs
+++ b/dockgate/src/gateway/gateway_gauges.rs
@@ -102,7 +102,9 @@
                 match entry.record.state {
                     EndpointState::Draining => draining += 1,
                     EndpointState::Unusable => unusable += 1,
-                    EndpointState::Ready if beliefs.endpoints.notices().leaves(id) => draining += 1,
+                    EndpointState::Ready if beliefs.endpoints.notices().is_leaving(id) => {
+                        draining += 1
+                    }
                     EndpointState::Ready if beliefs.endpoints.is_open(id, now) => ready += 1,
                     EndpointState::Ready => resting += 1,
                 }
@@ -115,7 +117,7 @@
             ] {
                 self.endpoints.with_label_values(&[name]).set(count);
             }
-            let quarantined = beliefs.suspects.quarantined(now);
+            let quarantined = beliefs.suspects.quarantined_count(now);
             self.quarantined.set(quarantined as i64);
             let loads = || beliefs.engines.iter();
             self.unread
--- a/dockgate/src/gateway/gateway_metrics.rs
+++ b/dockgate/src/gateway/gateway_metrics.rs
@@ -203,7 +203,10 @@
 
     /// Counts an answer that says something of its endpoint.
     pub(super) fn note_notice(&self, notice: EndpointNotice) {
-        let said = [("leaves", notice.leaves), ("rest", notice.rest.is_some())];
+        let said = [
+            ("leaves", notice.is_leaving),
+            ("rest", notice.backoff.is_some()),
+        ];
         for (name, _) in said.into_iter().filter(|(_, is_said)| *is_said) {
             self.notices.with_label_values(&[name]).inc();
         }
--- a/dockgate/src/gateway/gateway_state.rs
+++ b/dockgate/src/gateway/gateway_state.rs
@@ -12,10 +12,10 @@
 use crate::stop::StopFlag;
 use arc_swap::ArcSwap;
 use dockgate_core::gateway::{
-    BoxBeat, BoxStanding, BrokenEndpoints, EndpointBook, EndpointChange, EndpointId, EndpointNews,
-    EngineAsk, EngineBook, EngineVerdict, EraBook, FleetView, LoopLag, ReadLog, RetryBudget,
-    RouteConfig, RouteTable, RunKey, ShareTally, ShareWindow, StoreDuty, StoreProbe, StoreRevision,
-    SuspectBook, WakeGate, WatchCheck, WorkShed,
+    BoxBeat, BoxStanding, EndpointBook, EndpointChange, EndpointId, EndpointNews, EngineAsk,
+    EngineBook, EngineVerdict, EraBook, FleetView, InterruptionTracker, LoopLag, ReadLog,
+    RetryBudget, RouteConfig, RouteTable, RunKey, ShareTally, ShareWindow, StoreDuty, StoreProbe,
+    StoreRevision, SuspectRegistry, WakeGate, WatchCheck, WorkShed,
 };
 use dockgate_core::{BoxKey, Incarnation};
 use dockgate_platform::PlatformClient;
@@ -64,9 +64,9 @@
     /// This box's prompts at engines, by its own counter.
     pub(super) runs: HashMap<u32, PlacedRun>,
     /// The endpoints that broke answers off lately.
-    pub(super) broken: BrokenEndpoints,
+    pub(super) broken: InterruptionTracker,
     /// The requests under which endpoints have ended.
-    pub(super) suspects: SuspectBook,
+    pub(super) suspects: SuspectRegistry,
     /// What this box had read at engines lately.
     pub(super) reads: ReadLog,
     /// Whether this box keeps up with its work.
@@ -135,8 +135,8 @@
             fleet: FleetView::new(own),
             digest: DigestCache::default(),
             runs: HashMap::new(),
-            broken: BrokenEndpoints::default(),
-            suspects: SuspectBook::default(),
+            broken: InterruptionTracker::default(),
+            suspects: SuspectRegistry::default(),
             reads: ReadLog::default(),
             lag: LoopLag::default(),
             shed: WorkShed::default(),
--- a/dockgate/src/gateway/notices.rs
+++ b/dockgate/src/gateway/notices.rs
@@ -7,7 +7,7 @@
 use super::upstream::{EndpointTarget, SendCondition};
 use crate::clock::now_ms;
 use crate::shared_stream::PeerPresence;
-use dockgate_core::gateway::{EndpointId, EndpointNotice, NoticeNews};
+use dockgate_core::gateway::{EndpointId, EndpointNotice, NoticeUpdate};
 use dockgate_proto::GatewayMessage;
 use std::sync::Arc;
 
@@ -29,8 +29,8 @@
     let endpoint = &target.name;
     for news in news {
         log_gateway(&match news {
-            NoticeNews::Leaves => GatewayEvent::EndpointLeaves { endpoint, request },
-            NoticeNews::Rests(rest) => GatewayEvent::EndpointRests {
+            NoticeUpdate::Leaving => GatewayEvent::EndpointLeaves { endpoint, request },
+            NoticeUpdate::BackoffRequested(rest) => GatewayEvent::EndpointRests {
                 endpoint,
                 request,
                 for_ms: rest.as_millis() as u64,
@@ -70,6 +70,6 @@
 ) -> SendCondition {
     let (state, id) = (state.clone(), target.id);
     SendCondition::new(caller, move || {
-        state.with(|beliefs| beliefs.endpoints.notices().is_wanted(id, now_ms()))
+        state.with(|beliefs| beliefs.endpoints.notices().accepts_requests(id, now_ms()))
     })
 }
--- a/dockgate/src/gateway/quarantine.rs
+++ b/dockgate/src/gateway/quarantine.rs
@@ -1,6 +1,6 @@
 //! Keeps requests under which endpoints end from further endpoints, over all boxes.
 //!
-//! What is believed is in [`dockgate_core::gateway::SuspectBook`]. Boxes tell each other what they see, which
+//! What is believed is in [`dockgate_core::gateway::SuspectRegistry`]. Boxes tell each other what they see, which
 //! takes some tenths of a second; what must outlast all of them, or reach a failure domain that is cut off
 //! from the others, stands in the platform's store ([`super::quarantine_store`]).
 
@@ -9,7 +9,9 @@
 use super::gateway_metrics::GATEWAY_METRICS;
 use super::gateway_state::GatewayState;
 use crate::clock::now_ms;
-use dockgate_core::gateway::{EndpointId, Quarantine, RequestPrint, SuspectNews, SuspectRow};
+use dockgate_core::gateway::{
+    EndpointId, Quarantine, QuarantineChange, RequestFingerprint, SuspectReport,
+};
 use dockgate_proto::GatewayMessage;
 use std::net::SocketAddr;
 
@@ -18,12 +20,12 @@
 const WHOLE_PART: f64 = 0.25;
 
 /// Notes the requests under which an endpoint has ended, and tells the others at once.
-pub(super) fn note_ends(state: &GatewayState, endpoint: EndpointId, under: &[RequestPrint]) {
+pub(super) fn note_ends(state: &GatewayState, endpoint: EndpointId, under: &[RequestFingerprint]) {
     let now = now_ms();
     let news = state.with(|beliefs| {
         let prints = under.iter();
         let news = prints.filter_map(|print| beliefs.suspects.note_ended(*print, endpoint, now));
-        news.collect::<Vec<SuspectNews>>()
+        news.collect::<Vec<QuarantineChange>>()
     });
     log_news(state, &news, "own");
     tell(state);
@@ -31,7 +33,7 @@
 
 /// Notes that a request ran to its end, which says that it ends no endpoints; `print` is asked for where that
 /// matters alone.
-pub(super) fn note_completed(state: &GatewayState, print: impl FnOnce() -> RequestPrint) {
+pub(super) fn note_completed(state: &GatewayState, print: impl FnOnce() -> RequestFingerprint) {
     if state.with(|beliefs| beliefs.suspects.is_empty()) {
         return;
     }
@@ -44,9 +46,9 @@
 /// Returns the quarantine of a request, if it is in one; `print` is asked for where there are any alone.
 pub(super) fn find(
     state: &GatewayState,
-    print: impl FnOnce() -> RequestPrint,
-) -> Option<(RequestPrint, Quarantine)> {
-    if !state.with(|beliefs| beliefs.suspects.may_hold_any()) {
+    print: impl FnOnce() -> RequestFingerprint,
+) -> Option<(RequestFingerprint, Quarantine)> {
+    if !state.with(|beliefs| beliefs.suspects.has_quarantined()) {
         return None;
     }
     let print = print();
@@ -56,20 +58,24 @@
 }
 
 /// Takes in what is known elsewhere of requests in quarantine.
-pub(super) fn learn(state: &GatewayState, known: Vec<(RequestPrint, Quarantine)>, source: &str) {
+pub(super) fn learn(
+    state: &GatewayState,
+    known: Vec<(RequestFingerprint, Quarantine)>,
+    source: &str,
+) {
     let now = now_ms();
     let news = state.with(|beliefs| {
         let known = known.into_iter();
         let news = known.filter_map(|(print, known)| beliefs.suspects.merge(print, known, now));
-        news.collect::<Vec<SuspectNews>>()
+        news.collect::<Vec<QuarantineChange>>()
     });
     log_news(state, &news, source);
 }
 
 /// Takes in what another box tells; one that coordinates its domain passes verdicts on to the others at once.
-pub(super) fn hear(state: &GatewayState, from: SocketAddr, rows: &[SuspectRow]) {
+pub(super) fn hear(state: &GatewayState, from: SocketAddr, rows: &[SuspectReport]) {
     let now = now_ms();
-    let news = state.with(|beliefs| beliefs.suspects.hear(rows, now));
+    let news = state.with(|beliefs| beliefs.suspects.receive(rows, now));
     log_news(state, &news, &from.to_string());
     if !news.is_empty() && state.coordinates() {
         tell(state);
@@ -77,7 +83,7 @@
 }
 
 /// Releases a request, as an operator has decided; all boxes know it as soon as they would know a verdict.
-pub(super) fn release(state: &GatewayState, print: RequestPrint) {
+pub(super) fn release(state: &GatewayState, print: RequestFingerprint) {
     let now = now_ms();
     let news = state.with(|beliefs| beliefs.suspects.release(print, now));
     log_news(state, news.as_slice(), "operator");
@@ -92,7 +98,7 @@
         if beliefs.suspects.is_empty() {
             return None;
         }
-        let rows = beliefs.suspects.rows(is_whole, now);
+        let rows = beliefs.suspects.reports(is_whole, now);
         let draw = rand::random_range(0..usize::MAX);
         let mut to = beliefs.fleet.beat_targets(now, draw);
         if beliefs.fleet.coordinates(now) {
@@ -114,7 +120,7 @@
     let is_whole = is_new || rand::random_bool(WHOLE_PART);
     let rows = state.with(|beliefs| match beliefs.suspects.is_empty() {
         true => Vec::new(),
-        false => beliefs.suspects.rows(is_whole, now),
+        false => beliefs.suspects.reports(is_whole, now),
     });
     if !rows.is_empty() {
         send_datagram(state, to, GatewayMessage::Suspects { rows });
@@ -122,9 +128,9 @@
 }
 
 /// Writes what has changed, with the evidence, and counts it.
-fn log_news(state: &GatewayState, news: &[SuspectNews], source: &str) {
+fn log_news(state: &GatewayState, news: &[QuarantineChange], source: &str) {
     for news in news {
-        let print = news.print.to_string();
+        let print = news.fingerprint.to_string();
         if !news.is_quarantined {
             GATEWAY_METRICS.note_quarantine("released");
             log_gateway(&GatewayEvent::RequestReleased {
@@ -135,7 +141,7 @@
         }
         GATEWAY_METRICS.note_quarantine("quarantined");
         let endpoints = state.with(|beliefs| {
-            let ends = news.ends.iter();
+            let ends = news.ended_lifetimes.iter();
             let name = |id: &EndpointId| {
                 let known = beliefs.endpoints.get(*id);
                 known.map_or_else(|| format!("{:016x}", id.0), |known| known.record.id.clone())
--- a/dockgate/src/gateway/quarantine_door.rs
+++ b/dockgate/src/gateway/quarantine_door.rs
@@ -3,7 +3,7 @@
 use super::gateway_state::GatewayState;
 use super::quarantine::release;
 use crate::clock::now_ms;
-use dockgate_core::gateway::{Quarantine, RequestPrint};
+use dockgate_core::gateway::{Quarantine, RequestFingerprint};
 use dockgate_proto::{QuarantineAnswer, QuarantineRequest, QuarantineRow, methods};
 use jsonrpsee::RpcModule;
 use jsonrpsee::core::RegisterMethodError;
@@ -30,10 +30,10 @@
 }
 
 /// Reads the print of a request that is in quarantine.
-fn read_print(state: &GatewayState, text: &str) -> Result<RequestPrint, ErrorObjectOwned> {
+fn read_print(state: &GatewayState, text: &str) -> Result<RequestFingerprint, ErrorObjectOwned> {
     let refuse =
         |problem: String| ErrorObjectOwned::owned(INVALID_PARAMS_CODE, problem, None::<()>);
-    let print = text.parse::<RequestPrint>().map_err(|_| {
+    let print = text.parse::<RequestFingerprint>().map_err(|_| {
         refuse(format!(
             "'{text}' is no print: 32 hexadecimal digits, as log lines have them"
         ))
@@ -49,8 +49,8 @@
     let known = state.with(|beliefs| beliefs.suspects.quarantines(now));
     let held = known
         .into_iter()
-        .filter(|(_, quarantine)| quarantine.stage.is_set());
-    let row = |(print, quarantine): (RequestPrint, Quarantine)| QuarantineRow {
+        .filter(|(_, quarantine)| quarantine.stage.is_active());
+    let row = |(print, quarantine): (RequestFingerprint, Quarantine)| QuarantineRow {
         print: print.to_string(),
         age_ms: (now as i64 - quarantine.at_ms).max(0) as u64,
         trials: quarantine.stage.trials,
--- a/dockgate/src/gateway/quarantine_store.rs
+++ b/dockgate/src/gateway/quarantine_store.rs
@@ -9,7 +9,7 @@
 use super::gateway_state::GatewayState;
 use super::quarantine::{learn, tell};
 use crate::clock::{now_ms, unix_ms};
-use dockgate_core::gateway::{Quarantine, QuarantineStage, RequestPrint};
+use dockgate_core::gateway::{Quarantine, QuarantineStage, RequestFingerprint};
 use dockgate_platform::{
     ClockPair, PlatformClient, PlatformError, PutCondition, PutOutcome, QUARANTINE, StoreListing,
     StoredValue, decode_quarantines, encode_quarantines,
@@ -57,11 +57,11 @@
 /// What the store says of each request.
 #[derive(Debug, Default, PartialEq, Eq)]
 struct StoredStages {
-    stages: BTreeMap<RequestPrint, QuarantineStage>,
+    stages: BTreeMap<RequestFingerprint, QuarantineStage>,
 }
 
 impl StoredStages {
-    fn of(known: &[(RequestPrint, Quarantine)]) -> Self {
+    fn of(known: &[(RequestFingerprint, Quarantine)]) -> Self {
         let stages = known.iter().map(|(print, known)| (*print, known.stage));
         Self {
             stages: stages.collect(),
@@ -113,7 +113,7 @@
 async fn put(
     client: &PlatformClient,
     stored: Option<&StoredValue>,
-    wanted: &[(RequestPrint, Quarantine)],
+    wanted: &[(RequestFingerprint, Quarantine)],
 ) -> Result<PutOutcome, PlatformError> {
     let condition = match stored {
         Some(stored) => PutCondition::Revision(stored.revision),
@@ -125,7 +125,7 @@
 
 /// Asks whether this box may send a request in quarantine once: of all boxes that ask, on whichever side of a
 /// cut, the store lets one do so. Where it does not answer, none may.
-pub(super) async fn take_trial(state: &GatewayState, print: RequestPrint) -> bool {
+pub(super) async fn take_trial(state: &GatewayState, print: RequestFingerprint) -> bool {
     let asked = tokio::time::timeout(TRIAL_TIMEOUT, ask_trial(state, print)).await;
     match asked {
         Ok(Ok(is_granted)) => is_granted,
@@ -140,7 +140,7 @@
     }
 }
 
-async fn ask_trial(state: &GatewayState, print: RequestPrint) -> Result<bool, PlatformError> {
+async fn ask_trial(state: &GatewayState, print: RequestFingerprint) -> Result<bool, PlatformError> {
     let client = state.store_client();
     let stored = client.get(QUARANTINE).await?;
     if read(state, stored.as_ref()).is_none() {
@@ -154,7 +154,7 @@
     let Some((_, quarantine)) = due else {
         return Ok(false);
     };
-    *quarantine = quarantine.tried(now);
+    *quarantine = quarantine.with_trial(now);
     let tried = *quarantine;
     let outcome = put(&client, stored.as_ref(), &wanted).await?;
     let is_granted = matches!(outcome, PutOutcome::Done(_));
--- a/dockgate/src/gateway/run_guard.rs
+++ b/dockgate/src/gateway/run_guard.rs
@@ -4,7 +4,7 @@
 use super::gateway_state::{GatewayState, PlacedRun};
 use crate::clock::now_ms;
 use dockgate_core::BoxKey;
-use dockgate_core::gateway::{EndpointId, EndpointSign, EngineAsk};
+use dockgate_core::gateway::{EndpointId, EndpointOutcome, EngineAsk};
 use dockgate_proto::GatewayMessage;
 use std::sync::Arc;
 
@@ -57,14 +57,14 @@
     }
 
     /// Notes what was seen of the endpoint.
-    pub(super) fn note(&self, sign: EndpointSign) {
+    pub(super) fn note(&self, sign: EndpointOutcome) {
         let now = now_ms();
         self.state
             .with(|beliefs| beliefs.endpoints.note_sign(self.endpoint, sign, now));
     }
 
     /// Notes what a lost attempt says of the endpoint, if anything.
-    pub(super) fn note_loss(&self, sign: Option<EndpointSign>) {
+    pub(super) fn note_loss(&self, sign: Option<EndpointOutcome>) {
         if let Some(sign) = sign {
             self.note(sign);
         }
@@ -75,7 +75,7 @@
         if std::mem::replace(&mut self.started, true) {
             return;
         }
-        self.note(EndpointSign::Answered);
+        self.note(EndpointOutcome::Answered);
         let Some(number) = self.number else { return };
         let key = self.state.own_run(number);
         let me = self.state.me();
