--- a/dockgate-core/src/gateway/suspect_registry.rs
+++ b/dockgate-core/src/gateway/suspect_registry.rs
@@ -1,29 +1,30 @@
-//! Requests under which endpoints end: who is to blame, and what nobody may send any more.
+//! Finds requests that crash endpoints, and keeps them in quarantine.
 //!
-//! A request may end each endpoint that begins to run it. Judged alone, each send of it is harmless: the
-//! endpoint is lost, and the next one is tried. So ends are counted by what ran there. All that was at an
-//! endpoint when it ended is *suspect*; most of it has just been there. What runs to its end anywhere does
-//! not end endpoints, and is cleared. What was there at the ends of [`SuspectRegistry::VERDICT_THRESHOLD`] lifetimes
-//! without being cleared goes into *quarantine*: no box sends it to an endpoint.
+//! A request may crash every endpoint that runs it. Retries alone do not reveal this, since each
+//! endpoint is lost only once. The registry therefore counts, per request, the lifetimes of
+//! endpoints that ended while the request was running there. Every request running at that moment
+//! becomes a *suspect*. A request that completes anywhere is cleared. A request that was present at
+//! the end of [`SuspectRegistry::VERDICT_THRESHOLD`] lifetimes without completing goes into
+//! *quarantine*: no box sends it to an endpoint.
 //!
-//! A verdict may be wrong: a request that was unlucky three times in a row. So a request in quarantine is
-//! let through now and then, by one box of the fleet ([`Quarantine::next_trial`]); one that completes is
-//! released. There are few such trials, as each of a guilty request costs an endpoint and all that runs there.
+//! A verdict may be wrong, so one box of the fleet occasionally lets a quarantined request through
+//! as a trial ([`Quarantine::next_trial`]), and a request that completes is released. Trials are
+//! rare because a trial of a harmful request costs an endpoint and everything that runs there.
 //!
-//! All that a box learns is told to others as [`SuspectReport`]s. Rows may be lost, doubled and late, and come in
-//! any order: boxes that have got the same rows believe the same.
+//! Boxes exchange what they learn as [`SuspectReport`]s. Reports may be lost, duplicated, delayed
+//! and reordered; boxes that have received the same reports reach the same verdicts.
 //!
 //! ```
 //! use dockgate_core::gateway::{EndpointId, RequestFingerprint, SuspectRegistry};
 //!
 //! let fingerprint = RequestFingerprint::new([7; 16]);
-//! let mut book = SuspectRegistry::default();
+//! let mut registry = SuspectRegistry::default();
 //! for endpoint in 1..=3 {
-//!     book.note_ended(fingerprint, EndpointId(endpoint), 1_000 * endpoint);
+//!     registry.note_ended(fingerprint, EndpointId(endpoint), 1_000 * endpoint);
 //! }
-//! assert!(book.quarantine(fingerprint, 4_000).is_some());
-//! book.note_completed(fingerprint, 5_000);
-//! assert!(book.quarantine(fingerprint, 5_000).is_none());
+//! assert!(registry.quarantine(fingerprint, 4_000).is_some());
+//! registry.note_completed(fingerprint, 5_000);
+//! assert!(registry.quarantine(fingerprint, 5_000).is_none());
 //! ```
 
 mod quarantine;
@@ -36,75 +37,74 @@
 use std::collections::{BTreeMap, HashMap};
 pub use suspect_report::{SuspectEvent, SuspectReport};
 
-/// What is believed of a request.
+/// The evidence against one request, and its quarantine.
 #[derive(Debug, Clone, Default)]
 struct Suspect {
-    /// When which lifetimes ended while it was there, since it last completed.
-    ends: BTreeMap<EndpointId, i64>,
+    /// The lifetimes that ended while the request was running there, with the time of each end,
+    /// since the request last completed.
+    ended_lifetimes: BTreeMap<EndpointId, i64>,
     completed_ms: Option<i64>,
     quarantine: Quarantine,
-    /// When something new of it was learned.
+    /// When this entry last gained information.
     updated_ms: u64,
 }
 
-/// What has changed for a request.
+/// A request that entered or left quarantine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct QuarantineChange {
     /// The request.
     pub fingerprint: RequestFingerprint,
-    /// Whether it is in quarantine now; it was not before, or the other way round.
+    /// Whether the request is in quarantine now.
     pub is_quarantined: bool,
-    /// The lifetimes that ended while it was there, as far as this box knows.
+    /// The lifetimes known to this box that ended while the request was running there.
     pub ended_lifetimes: Vec<EndpointId>,
 }
 
-/// The requests under which endpoints have ended.
+/// The requests that were running at endpoints when those ended.
 ///
-/// What is told may have happened before this box began, so that times are kept with a sign.
+/// Reported events may predate the start of this box, so times are signed.
 #[derive(Debug, Clone, Default)]
 pub struct SuspectRegistry {
     suspects: HashMap<RequestFingerprint, Suspect>,
-    /// How many of them are in quarantine, whether young enough to count or not.
-    set: usize,
+    /// The number of suspects whose quarantine was not released, including expired quarantines.
+    unreleased: usize,
 }
 
 impl SuspectRegistry {
-    /// At the ends of how many lifetimes a request must have been. One or two may be chance: where endpoints
-    /// end for other reasons, what runs for a second at one of 18 of which one ends each 0.6 s is there at
-    /// an end one time in eleven.
+    /// The number of ended lifetimes that puts a request into quarantine. One or two may be chance
+    /// when endpoints also end for other reasons.
     pub const VERDICT_THRESHOLD: usize = 3;
-    /// For how long an end or a completion is remembered, in milliseconds. A bound: what comes again after a
-    /// longer time harms little.
+    /// How long a suspect without new information is kept, in milliseconds.
     const RETENTION_MS: u64 = 600_000;
-    /// How many requests are remembered beside those in quarantine: what runs at 16 engines. A bound, so that
-    /// ends of many endpoints do not fill the memory of a box.
+    /// The maximum number of suspects kept besides those in quarantine, which bounds memory.
     const MAX_SUSPECTS: usize = 1_024;
-    /// How many requests may be in quarantine; the oldest go first. A bound: all of them are told to each box
-    /// that begins, and stand in one value of the store.
+    /// The maximum number of quarantines; the oldest are evicted first. All of them are sent to
+    /// each box that starts and are stored in a single value.
     pub const MAX_QUARANTINED: usize = 64;
-    /// For how long something new is told again, in milliseconds: six beats, of which some are lost.
+    /// How long new information is repeated, in milliseconds: several heartbeats, as some are lost.
     const ANNOUNCE_MS: u64 = 2_000;
-    /// How many rows are told at once, those of the requests with most ends first, then the newest. A bound: 28
-    /// bytes each, and what some engines run that ended in the same moment.
+    /// The maximum number of reports sent at once besides those of quarantines. Requests with the
+    /// most ended lifetimes come first, then the newest.
     const MAX_REPORTS: usize = 100;
 
-    /// Tells whether nothing is known of any request.
+    /// Returns whether there are no suspects.
     pub fn is_empty(&self) -> bool {
         self.suspects.is_empty()
     }
 
-    /// Tells whether any request may be in quarantine, in two nanoseconds where counting takes two microseconds.
+    /// Returns whether any request may be in quarantine; a cheap check before computing a
+    /// fingerprint.
     pub const fn has_quarantined(&self) -> bool {
-        self.set > 0
+        self.unreleased > 0
     }
 
-    /// Returns the quarantine of a request, if it is in one.
+    /// Returns the quarantine of a request, or `None` if it is not in quarantine.
     pub fn quarantine(&self, fingerprint: RequestFingerprint, now_ms: u64) -> Option<&Quarantine> {
         let suspect = self.suspects.get(&fingerprint)?;
         Some(&suspect.quarantine).filter(|quarantine| quarantine.is_active(now_ms))
     }
 
-    /// Counts the requests in quarantine.
+    /// Returns the number of requests in quarantine.
     pub fn quarantined_count(&self, now_ms: u64) -> usize {
         let suspects = self.suspects.values();
         suspects
@@ -112,18 +112,18 @@
             .count()
     }
 
-    /// Notes that an endpoint ended while a request was there.
+    /// Records that an endpoint ended while a request was running there.
     pub fn note_ended(
         &mut self,
         fingerprint: RequestFingerprint,
         endpoint: EndpointId,
         now_ms: u64,
     ) -> Option<QuarantineChange> {
-        let row = SuspectReport::new(fingerprint, SuspectEvent::Ended(endpoint));
-        self.apply(row, now_ms)
+        let report = SuspectReport::new(fingerprint, SuspectEvent::Ended(endpoint));
+        self.apply(report, now_ms)
     }
 
-    /// Notes that a request ran to its end; where it is not suspect, that is nothing new.
+    /// Records that a request completed; ignored if it is not a suspect.
     pub fn note_completed(
         &mut self,
         fingerprint: RequestFingerprint,
@@ -135,7 +135,7 @@
         )
     }
 
-    /// Releases a request, as somebody has decided who knows better.
+    /// Releases a request on the decision of an operator.
     pub fn release(
         &mut self,
         fingerprint: RequestFingerprint,
@@ -143,18 +143,20 @@
     ) -> Option<QuarantineChange> {
         self.suspects.get(&fingerprint)?;
         self.change(fingerprint, now_ms, |suspect| {
-            suspect.ends.clear();
+            suspect.ended_lifetimes.clear();
             suspect.quarantine.release(now_ms as i64);
         })
     }
 
-    /// Takes in what another box told.
-    pub fn receive(&mut self, rows: &[SuspectReport], now_ms: u64) -> Vec<QuarantineChange> {
-        let news = rows.iter().filter_map(|row| self.apply(*row, now_ms));
-        news.collect()
+    /// Applies the reports of another box.
+    pub fn receive(&mut self, reports: &[SuspectReport], now_ms: u64) -> Vec<QuarantineChange> {
+        let changes = reports
+            .iter()
+            .filter_map(|report| self.apply(*report, now_ms));
+        changes.collect()
     }
 
-    /// Takes in what is known elsewhere of the quarantine of a request.
+    /// Merges the quarantine of a request as known to the store or another box.
     pub fn merge(
         &mut self,
         fingerprint: RequestFingerprint,
@@ -164,22 +166,21 @@
         self.change(fingerprint, now_ms, |suspect| suspect.merge(known))
     }
 
-    /// Lists what has to outlast all boxes: the quarantines, and the releases from them, the latest first.
+    /// Lists the quarantines to persist, including released ones, newest first.
     pub fn quarantines(&self, now_ms: u64) -> Vec<(RequestFingerprint, Quarantine)> {
         let suspects = self.suspects.iter();
         let kept = suspects.filter(|(_, suspect)| suspect.quarantine.is_retained(now_ms));
         let mut kept: Vec<(RequestFingerprint, Quarantine)> = kept
             .map(|(fingerprint, suspect)| (*fingerprint, suspect.quarantine))
             .collect();
-        kept.sort_unstable_by_key(|(fingerprint, quarantine)| {
-            (Reverse(quarantine.at_ms), *fingerprint)
-        });
+        kept.sort_unstable_by_key(|(key, quarantine)| (Reverse(quarantine.at_ms), *key));
         kept.truncate(Self::MAX_QUARANTINED);
         kept
     }
 
-    /// Lists what is told to a box that may know as much: what is new, and where `is_whole` all quarantines.
-    pub fn reports(&self, is_whole: bool, now_ms: u64) -> Vec<SuspectReport> {
+    /// Lists the reports to send to another box: recent information, and all quarantines if
+    /// `is_full` is set.
+    pub fn reports(&self, is_full: bool, now_ms: u64) -> Vec<SuspectReport> {
         let is_fresh = |suspect: &Suspect| suspect.updated_ms + Self::ANNOUNCE_MS > now_ms;
         let suspects = self.suspects.iter();
         let fresh = suspects.filter(|(_, suspect)| is_fresh(suspect));
@@ -188,25 +189,26 @@
             .collect();
         fresh.sort_unstable_by_key(|(fingerprint, suspect)| {
             (
-                Reverse((suspect.ends.len(), suspect.updated_ms)),
+                Reverse((suspect.ended_lifetimes.len(), suspect.updated_ms)),
                 *fingerprint,
             )
         });
         let fresh = fresh.iter();
-        let news = fresh.flat_map(|(fingerprint, suspect)| suspect.rows(*fingerprint, now_ms));
+        let reports =
+            fresh.flat_map(|(fingerprint, suspect)| suspect.reports(*fingerprint, now_ms));
         let kept = self.suspects.iter();
         let kept = kept.filter(|(_, suspect)| {
-            let is_due = is_whole || is_fresh(suspect);
+            let is_due = is_full || is_fresh(suspect);
             is_due && suspect.quarantine.is_retained(now_ms)
         });
         let kept = kept.map(|(fingerprint, suspect)| {
             let Quarantine { stage, at_ms } = suspect.quarantine;
             SuspectReport::new(*fingerprint, SuspectEvent::Quarantine(stage)).at(at_ms, now_ms)
         });
-        kept.chain(news.take(Self::MAX_REPORTS)).collect()
+        kept.chain(reports.take(Self::MAX_REPORTS)).collect()
     }
 
-    /// Forgets what is too old to matter.
+    /// Removes expired entries, and the surplus beyond the bounds.
     pub fn expire(&mut self, now_ms: u64) {
         self.suspects.retain(|_, suspect| {
             suspect.updated_ms + Self::RETENTION_MS > now_ms
@@ -220,11 +222,15 @@
         for (fingerprint, suspect) in &self.suspects {
             match suspect.quarantine.is_retained(now_ms) {
                 true => kept.push((suspect.quarantine.at_ms, *fingerprint)),
-                false => others.push((suspect.ends.len(), suspect.updated_ms, *fingerprint)),
+                false => others.push((
+                    suspect.ended_lifetimes.len(),
+                    suspect.updated_ms,
+                    *fingerprint,
+                )),
             }
         }
-        kept.sort_unstable_by_key(|row| Reverse(*row));
-        others.sort_unstable_by_key(|row| Reverse(*row));
+        kept.sort_unstable_by_key(|entry| Reverse(*entry));
+        others.sort_unstable_by_key(|entry| Reverse(*entry));
         let kept = kept.into_iter().skip(Self::MAX_QUARANTINED);
         let others = others.into_iter().skip(Self::MAX_SUSPECTS);
         let surplus = kept
@@ -233,30 +239,30 @@
         for fingerprint in surplus {
             self.suspects.remove(&fingerprint);
         }
-        let left = self.suspects.values();
-        self.set = left
+        let suspects = self.suspects.values();
+        self.unreleased = suspects
             .filter(|suspect| suspect.quarantine.stage.is_active())
             .count();
     }
 
-    fn apply(&mut self, row: SuspectReport, now_ms: u64) -> Option<QuarantineChange> {
-        let at_ms = row.at_ms(now_ms);
-        match row.sign {
-            SuspectEvent::Ended(endpoint) => self.change(row.fingerprint, now_ms, |suspect| {
+    fn apply(&mut self, report: SuspectReport, now_ms: u64) -> Option<QuarantineChange> {
+        let at_ms = report.at_ms(now_ms);
+        match report.event {
+            SuspectEvent::Ended(endpoint) => self.change(report.fingerprint, now_ms, |suspect| {
                 suspect.note_ended(endpoint, at_ms);
             }),
-            // What is not suspect is not remembered for having completed.
-            SuspectEvent::Completed if !self.suspects.contains_key(&row.fingerprint) => None,
-            SuspectEvent::Completed => self.change(row.fingerprint, now_ms, |suspect| {
+            // The completion of a request that is no suspect is not recorded.
+            SuspectEvent::Completed if !self.suspects.contains_key(&report.fingerprint) => None,
+            SuspectEvent::Completed => self.change(report.fingerprint, now_ms, |suspect| {
                 suspect.note_completed(at_ms);
             }),
             SuspectEvent::Quarantine(stage) => {
-                self.merge(row.fingerprint, Quarantine { stage, at_ms }, now_ms)
+                self.merge(report.fingerprint, Quarantine { stage, at_ms }, now_ms)
             }
         }
     }
 
-    /// Changes what is believed of a request; returns whether that brings it into quarantine or out of it.
+    /// Applies a change to a suspect and returns the change of its quarantine, if any.
     fn change(
         &mut self,
         fingerprint: RequestFingerprint,
@@ -272,51 +278,51 @@
         } else if !self.suspects.contains_key(&fingerprint) {
             return None;
         }
-        let (was, is) = (
+        let (was_active, is_active) = (
             before.quarantine.is_active(now_ms),
             after.quarantine.is_active(now_ms),
         );
-        let ended_lifetimes = after.ends.keys().copied().collect();
+        let ended_lifetimes = after.ended_lifetimes.keys().copied().collect();
         match (
             before.quarantine.stage.is_active(),
             after.quarantine.stage.is_active(),
         ) {
-            (false, true) => self.set += 1,
-            (true, false) => self.set -= 1,
+            (false, true) => self.unreleased += 1,
+            (true, false) => self.unreleased -= 1,
             _ => {}
         }
         self.suspects.insert(fingerprint, after);
         if self.suspects.len() > Self::MAX_SUSPECTS + Self::MAX_QUARANTINED {
             self.evict_surplus(now_ms);
         }
-        (was != is).then_some(QuarantineChange {
+        (was_active != is_active).then_some(QuarantineChange {
             fingerprint,
-            is_quarantined: is,
+            is_quarantined: is_active,
             ended_lifetimes,
         })
     }
 }
 
 impl Suspect {
-    /// How many ends are kept of a request: more tell nothing more.
-    const MAX_ENDS: usize = 2 * SuspectRegistry::VERDICT_THRESHOLD;
+    /// The maximum number of ended lifetimes kept per request.
+    const MAX_ENDED_LIFETIMES: usize = 2 * SuspectRegistry::VERDICT_THRESHOLD;
 
     fn note_ended(&mut self, endpoint: EndpointId, at_ms: i64) {
         let is_cleared = self
             .completed_ms
             .is_some_and(|completed| completed >= at_ms);
-        if !is_cleared && self.ends.len() < Self::MAX_ENDS {
-            self.ends.entry(endpoint).or_insert(at_ms);
+        if !is_cleared && self.ended_lifetimes.len() < Self::MAX_ENDED_LIFETIMES {
+            self.ended_lifetimes.entry(endpoint).or_insert(at_ms);
         }
     }
 
-    /// Clears the request of all ends until then, and releases it.
+    /// Discards the evidence up to the completion, and releases the request.
     fn note_completed(&mut self, at_ms: i64) {
         let known = self.completed_ms;
         let completed = known.map_or(at_ms, |known| known.max(at_ms));
         self.completed_ms = Some(completed);
-        self.ends.retain(|_, ended| *ended > completed);
-        // One from before the verdict, told late, is in it already.
+        self.ended_lifetimes.retain(|_, ended| *ended > completed);
+        // A completion that predates the verdict was already accounted for.
         if completed > self.quarantine.at_ms {
             self.quarantine.release(completed);
         }
@@ -326,44 +332,49 @@
         let before = self.quarantine.stage;
         self.quarantine.merge(known);
         if self.quarantine.stage.released && self.quarantine.stage > before {
-            self.ends.clear();
+            self.ended_lifetimes.clear();
         }
     }
 
-    /// Puts the request into quarantine where enough lifetimes have ended under it.
+    /// Puts the request into quarantine if enough lifetimes ended while it was running there.
     fn apply_verdict(&mut self) {
-        if self.ends.len() >= SuspectRegistry::VERDICT_THRESHOLD {
-            let last = self.ends.values().max().copied().unwrap_or_default();
+        if self.ended_lifetimes.len() >= SuspectRegistry::VERDICT_THRESHOLD {
+            let last = self
+                .ended_lifetimes
+                .values()
+                .max()
+                .copied()
+                .unwrap_or_default();
             self.quarantine.impose(last);
         }
     }
 
-    /// Tells whether this is news for somebody who believes `before`: a moment that is told again, some
-    /// milliseconds later, is none.
+    /// Returns whether this entry has information that `before` lacks. Differing times of the same
+    /// event do not count, as each report shifts them by its delay.
     fn adds_to(&self, before: &Self) -> bool {
         let is_cleared = self.completed_ms.is_some() != before.completed_ms.is_some();
-        self.ends.len() != before.ends.len()
+        self.ended_lifetimes.len() != before.ended_lifetimes.len()
             || self.quarantine.stage != before.quarantine.stage
             || is_cleared
     }
 
-    fn rows(
+    fn reports(
         &self,
         fingerprint: RequestFingerprint,
         now_ms: u64,
     ) -> impl Iterator<Item = SuspectReport> {
-        let ends = self.ends.iter();
+        let ends = self.ended_lifetimes.iter();
         let ends = ends.map(|(endpoint, at_ms)| (SuspectEvent::Ended(*endpoint), *at_ms));
         let completed = self.completed_ms.iter();
         let completed = completed.map(|at_ms| (SuspectEvent::Completed, *at_ms));
-        let signs = completed.chain(ends);
-        signs.map(move |(sign, at_ms)| SuspectReport::new(fingerprint, sign).at(at_ms, now_ms))
+        let events = completed.chain(ends);
+        events.map(move |(event, at_ms)| SuspectReport::new(fingerprint, event).at(at_ms, now_ms))
     }
 }
 
-#[cfg(test)]
-mod blame_tests;
 #[cfg(test)]
 mod fleet_tests;
 #[cfg(test)]
 mod tests;
+#[cfg(test)]
+mod verdict_tests;
--- a/dockgate-core/src/gateway/suspect_registry/quarantine.rs
+++ b/dockgate-core/src/gateway/suspect_registry/quarantine.rs
@@ -1,24 +1,24 @@
-//! The quarantine of one request: how far it has come, since when, and when a trial of it is due.
+//! The quarantine of one request: its stage, the time of that stage and the next trial.
 
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// How far the quarantine of a request has come.
+/// The stage of a quarantine.
 ///
-/// Stages are ordered, and what is learned of a quarantine is merged by the latest stage: no clock and no
-/// order of messages matters. A verdict that two boxes reach apart is the same stage.
+/// Stages are ordered, and the later stage wins a merge, so neither clocks nor the order of
+/// messages matter. Two boxes that reach a verdict independently reach the same stage.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default, Serialize, Deserialize)]
 pub struct QuarantineStage {
-    /// How many times the request went into quarantine.
+    /// The number of times the request was put into quarantine.
     pub verdict: u32,
-    /// Whether it was released from the last one.
+    /// Whether the request was released from the latest quarantine.
     pub released: bool,
-    /// How many trials it has had in the last one.
+    /// The number of trials in the latest quarantine.
     pub trials: u8,
 }
 
 impl QuarantineStage {
-    /// Tells whether the request is in quarantine.
+    /// Returns whether the request is in quarantine, regardless of age.
     pub const fn is_active(self) -> bool {
         self.verdict > 0 && !self.released
     }
@@ -46,58 +46,57 @@
     }
 }
 
-/// Whether a request is kept from endpoints, and since when it is so.
+/// The quarantine of a request, with the time at which it reached its stage.
 ///
-/// The time is in milliseconds of the box's clock; it may lie before its start.
+/// The time is in milliseconds of the box's clock and may predate the start of the box.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Quarantine {
-    /// How far it has come.
+    /// The stage.
     pub stage: QuarantineStage,
-    /// When it came there.
+    /// When the stage was reached, in milliseconds.
     pub at_ms: i64,
 }
 
 impl Quarantine {
-    /// After how long the first trial and the second one may be, in milliseconds. A wrong trial costs an
-    /// endpoint and all that runs there, a wrong verdict one request: so trials are rare, and few. Bounds.
+    /// The delays before the first and the second trial, in milliseconds. Trials are rare because a
+    /// failed one costs an endpoint and everything that runs there, a wrong verdict one request.
     const TRIAL_AFTER_MS: [i64; 2] = [30_000, 300_000];
-    /// For how long a stage is kept, in milliseconds: a day, after which what made the request harmful may
-    /// be mended. A bound.
+    /// How long a stage is kept, in milliseconds: a day, after which the fault may have been fixed.
     const RETENTION_MS: i64 = 86_400_000;
 
-    /// Tells whether the stage is young enough to count.
+    /// Returns whether the stage has not expired.
     pub(super) const fn is_retained(&self, now_ms: u64) -> bool {
         self.stage.verdict > 0 && now_ms as i64 - self.at_ms < Self::RETENTION_MS
     }
 
-    /// Tells whether the request is kept from endpoints now.
+    /// Returns whether the request is in quarantine now.
     pub(super) const fn is_active(&self, now_ms: u64) -> bool {
         self.stage.is_active() && self.is_retained(now_ms)
     }
 
-    /// Returns after how long the next trial may be: zero where it is due, none where there were all.
+    /// Returns the time until the next trial: zero if it is due, `None` if no trials are left.
     pub fn next_trial(&self, now_ms: u64) -> Option<Duration> {
-        let after_ms = Self::TRIAL_AFTER_MS.get(usize::from(self.stage.trials))?;
-        Some(self.remaining(*after_ms, now_ms))
+        let delay_ms = Self::TRIAL_AFTER_MS.get(usize::from(self.stage.trials))?;
+        Some(self.remaining(*delay_ms, now_ms))
     }
 
-    /// Tells whether the request is in quarantine and may be let through once.
+    /// Returns whether the request is in quarantine and a trial of it is due.
     pub fn is_trial_due(&self, now_ms: u64) -> bool {
         self.is_active(now_ms) && self.next_trial(now_ms) == Some(Duration::ZERO)
     }
 
-    /// Returns after how long the request is worth another try by its caller.
+    /// Returns the delay after which the caller may usefully retry.
     pub fn retry_after(&self, now_ms: u64) -> Duration {
-        let ends = self.remaining(Self::RETENTION_MS, now_ms);
-        self.next_trial(now_ms).unwrap_or(ends)
+        let expiry = self.remaining(Self::RETENTION_MS, now_ms);
+        self.next_trial(now_ms).unwrap_or(expiry)
     }
 
-    fn remaining(&self, after_ms: i64, now_ms: u64) -> Duration {
-        let left_ms = (self.at_ms + after_ms - now_ms as i64).max(0);
-        Duration::from_millis(left_ms as u64)
+    fn remaining(&self, delay_ms: i64, now_ms: u64) -> Duration {
+        let remaining_ms = (self.at_ms + delay_ms - now_ms as i64).max(0);
+        Duration::from_millis(remaining_ms as u64)
     }
 
-    /// Puts the request into quarantine, unless it is there.
+    /// Puts the request into quarantine unless it is already there.
     pub(super) fn impose(&mut self, at_ms: i64) {
         if !self.stage.is_active() {
             *self = Self {
@@ -107,7 +106,7 @@
         }
     }
 
-    /// Releases the request, if it is in quarantine.
+    /// Releases the request if it is in quarantine.
     pub(super) fn release(&mut self, at_ms: i64) {
         if self.stage.is_active() {
             *self = Self {
@@ -117,7 +116,7 @@
         }
     }
 
-    /// Returns the quarantine as it is once a trial has been let through.
+    /// Returns the quarantine with one more trial counted.
     #[must_use]
     pub const fn with_trial(&self, now_ms: u64) -> Self {
         Self {
@@ -126,11 +125,11 @@
         }
     }
 
-    /// Takes in what else is known of it.
+    /// Merges another box's state of the same quarantine.
     pub(super) fn merge(&mut self, other: Self) {
         *self = match other.stage.cmp(&self.stage) {
             std::cmp::Ordering::Greater => other,
-            // What is told is late, so that the earliest telling is the nearest.
+            // Reports arrive late, so the earliest time is the most accurate.
             std::cmp::Ordering::Equal => Self {
                 at_ms: self.at_ms.min(other.at_ms),
                 ..*self
--- a/dockgate-core/src/gateway/suspect_registry/suspect_report.rs
+++ b/dockgate-core/src/gateway/suspect_registry/suspect_report.rs
@@ -1,43 +1,43 @@
-//! One thing that boxes tell each other of a request.
+//! A report of one event of a suspect request, as boxes exchange it.
 
 use super::quarantine::QuarantineStage;
 use crate::gateway::request_fingerprint::RequestFingerprint;
 use crate::gateway::route_table::EndpointId;
 use serde::{Deserialize, Serialize};
 
-/// What happened to a request.
+/// An event of a suspect request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SuspectEvent {
-    /// This lifetime of an endpoint ended while the request was there.
+    /// This lifetime of an endpoint ended while the request was running there.
     Ended(EndpointId),
-    /// It ran to its end.
+    /// The request completed.
     Completed,
-    /// Its quarantine came to this stage.
+    /// The quarantine of the request reached this stage.
     Quarantine(QuarantineStage),
 }
 
-/// What happened to a request, and when.
+/// An event of a suspect request, and its age.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuspectReport {
     /// The request.
     pub fingerprint: RequestFingerprint,
-    /// What happened.
-    pub sign: SuspectEvent,
-    /// How long ago, in milliseconds: boxes share no clock.
+    /// The event.
+    pub event: SuspectEvent,
+    /// The age of the event in milliseconds; boxes share no clock.
     pub age_ms: u32,
 }
 
 impl SuspectReport {
-    /// Makes the row of what happens now.
-    pub const fn new(fingerprint: RequestFingerprint, sign: SuspectEvent) -> Self {
+    /// Creates the report of an event that happens now.
+    pub const fn new(fingerprint: RequestFingerprint, event: SuspectEvent) -> Self {
         Self {
             fingerprint,
-            sign,
+            event,
             age_ms: 0,
         }
     }
 
-    /// Sets when it happened.
+    /// Sets the time of the event.
     #[must_use]
     pub fn at(mut self, at_ms: i64, now_ms: u64) -> Self {
         let age_ms = (now_ms as i64 - at_ms).max(0);
@@ -45,7 +45,7 @@
         self
     }
 
-    /// Returns when it happened, by the clock of the box that asks.
+    /// Returns the time of the event by the local clock.
     pub const fn at_ms(&self, now_ms: u64) -> i64 {
         now_ms as i64 - self.age_ms as i64
     }
--- a/dockgate-core/src/gateway/suspect_registry/tests.rs
+++ b/dockgate-core/src/gateway/suspect_registry/tests.rs
@@ -2,77 +2,80 @@
 use crate::gateway::{EndpointId, RequestFingerprint};
 use std::time::Duration;
 
-const GUILTY: RequestFingerprint = RequestFingerprint::new([1; 16]);
-const VICTIM: RequestFingerprint = RequestFingerprint::new([2; 16]);
+const HARMFUL: RequestFingerprint = RequestFingerprint::new([1; 16]);
+const HARMLESS: RequestFingerprint = RequestFingerprint::new([2; 16]);
 
 fn end(
-    book: &mut SuspectRegistry,
+    registry: &mut SuspectRegistry,
     fingerprint: RequestFingerprint,
     endpoint: u64,
     now_ms: u64,
 ) -> bool {
-    let news = book.note_ended(fingerprint, EndpointId(endpoint), now_ms);
-    news.is_some_and(|news| news.is_quarantined)
+    let change = registry.note_ended(fingerprint, EndpointId(endpoint), now_ms);
+    change.is_some_and(|change| change.is_quarantined)
 }
 
 fn quarantined() -> SuspectRegistry {
-    let mut book = SuspectRegistry::default();
-    let verdicts = [1, 2, 3].map(|number| end(&mut book, GUILTY, number, number * 1_000));
+    let mut registry = SuspectRegistry::default();
+    let verdicts = [1, 2, 3].map(|number| end(&mut registry, HARMFUL, number, number * 1_000));
     assert_eq!(verdicts, [false, false, true]);
-    book
+    registry
 }
 
 #[test]
-fn three_lifetimes_that_ended_are_a_verdict_and_three_tries_at_one_are_none() {
-    let mut book = SuspectRegistry::default();
+fn three_ended_lifetimes_are_a_verdict_but_repeated_ends_of_one_are_not() {
+    let mut registry = SuspectRegistry::default();
     for now_ms in 1..20 {
-        assert!(!end(&mut book, GUILTY, 7, now_ms));
+        assert!(!end(&mut registry, HARMFUL, 7, now_ms));
     }
-    assert!(!end(&mut book, GUILTY, 8, 30));
-    assert!(end(&mut book, GUILTY, 9, 40));
+    assert!(!end(&mut registry, HARMFUL, 8, 30));
+    assert!(end(&mut registry, HARMFUL, 9, 40));
     assert!(
-        !end(&mut book, GUILTY, 10, 50),
-        "it is in quarantine already"
+        !end(&mut registry, HARMFUL, 10, 50),
+        "the request is already in quarantine"
     );
-    assert_eq!(book.quarantined_count(50), 1);
+    assert_eq!(registry.quarantined_count(50), 1);
 }
 
 #[test]
-fn what_runs_to_its_end_between_is_cleared() {
-    let mut book = SuspectRegistry::default();
+fn a_request_that_completes_between_ends_is_cleared() {
+    let mut registry = SuspectRegistry::default();
     for number in 1..=9 {
-        assert!(!end(&mut book, VICTIM, number, number * 100));
+        assert!(!end(&mut registry, HARMLESS, number, number * 100));
         if number % 2 == 0 {
-            book.note_completed(VICTIM, number * 100 + 50);
+            registry.note_completed(HARMLESS, number * 100 + 50);
         }
     }
-    assert_eq!(book.quarantined_count(1_000), 0);
+    assert_eq!(registry.quarantined_count(1_000), 0);
 }
 
 #[test]
-fn an_end_from_before_the_completion_that_is_told_late_does_not_count() {
-    let mut book = SuspectRegistry::default();
-    end(&mut book, VICTIM, 1, 100);
-    book.note_completed(VICTIM, 1_000);
+fn late_reports_of_ends_before_a_completion_are_ignored() {
+    let mut registry = SuspectRegistry::default();
+    end(&mut registry, HARMLESS, 1, 100);
+    registry.note_completed(HARMLESS, 1_000);
     let late = [2, 3, 4].map(|number| SuspectReport {
-        fingerprint: VICTIM,
-        sign: SuspectEvent::Ended(EndpointId(number)),
+        fingerprint: HARMLESS,
+        event: SuspectEvent::Ended(EndpointId(number)),
         age_ms: 700,
     });
-    assert!(book.receive(&late, 1_500).is_empty());
-    assert_eq!(book.quarantined_count(1_500), 0);
+    assert!(registry.receive(&late, 1_500).is_empty());
+    assert_eq!(registry.quarantined_count(1_500), 0);
 }
 
 #[test]
-fn a_completion_after_the_verdict_releases_it_everywhere() {
-    let mut book = quarantined();
+fn a_completion_after_the_verdict_releases_the_request_on_other_boxes() {
+    let mut registry = quarantined();
     let mut other = SuspectRegistry::default();
-    assert_eq!(other.receive(&book.reports(true, 3_100), 9_100).len(), 1);
-    let news = book.note_completed(GUILTY, 3_500).unwrap();
-    assert!(!news.is_quarantined);
-    let news = other.receive(&book.reports(false, 3_600), 9_600);
-    assert!(news.iter().all(|news| !news.is_quarantined) && news.len() == 1);
-    // What tells of the verdict is late.
+    assert_eq!(
+        other.receive(&registry.reports(true, 3_100), 9_100).len(),
+        1
+    );
+    let change = registry.note_completed(HARMFUL, 3_500).unwrap();
+    assert!(!change.is_quarantined);
+    let changes = other.receive(&registry.reports(false, 3_600), 9_600);
+    assert!(changes.iter().all(|change| !change.is_quarantined) && changes.len() == 1);
+    // The report of the verdict arrives after its release.
     assert!(
         other
             .receive(&quarantined().reports(true, 3_100), 9_700)
@@ -82,79 +85,85 @@
 }
 
 #[test]
-fn one_that_was_released_goes_into_quarantine_again_after_as_many_ends() {
-    let mut book = quarantined();
-    book.release(GUILTY, 4_000);
-    let again = [11, 12, 13].map(|number| end(&mut book, GUILTY, number, 4_000 + number));
+fn a_released_request_is_quarantined_again_after_three_more_ends() {
+    let mut registry = quarantined();
+    registry.release(HARMFUL, 4_000);
+    let again = [11, 12, 13].map(|number| end(&mut registry, HARMFUL, number, 4_000 + number));
     assert_eq!(again, [false, false, true]);
     let mut released = quarantined();
-    released.release(GUILTY, 4_000);
-    released.receive(&book.reports(true, 5_000), 5_000);
+    released.release(HARMFUL, 4_000);
+    released.receive(&registry.reports(true, 5_000), 5_000);
     assert_eq!(
         released.quarantined_count(5_000),
         1,
-        "the later verdict counts"
+        "the later verdict wins"
     );
 }
 
 #[test]
-fn trials_are_rare_and_there_are_two() {
-    let mut book = quarantined();
-    let next = |book: &SuspectRegistry, now_ms: u64| {
-        book.quarantine(GUILTY, now_ms).unwrap().next_trial(now_ms)
+fn two_trials_are_allowed_after_increasing_delays() {
+    let mut registry = quarantined();
+    let next = |registry: &SuspectRegistry, now_ms: u64| {
+        registry
+            .quarantine(HARMFUL, now_ms)
+            .unwrap()
+            .next_trial(now_ms)
     };
-    assert_eq!(next(&book, 3_000), Some(Duration::from_secs(30)));
-    assert_eq!(next(&book, 33_000), Some(Duration::ZERO));
-    let tried = book.quarantine(GUILTY, 33_000).unwrap().with_trial(33_000);
-    book.merge(GUILTY, tried, 33_000);
-    assert_eq!(next(&book, 33_000), Some(Duration::from_secs(300)));
-    let tried = book
-        .quarantine(GUILTY, 333_000)
+    assert_eq!(next(&registry, 3_000), Some(Duration::from_secs(30)));
+    assert_eq!(next(&registry, 33_000), Some(Duration::ZERO));
+    let tried = registry
+        .quarantine(HARMFUL, 33_000)
+        .unwrap()
+        .with_trial(33_000);
+    registry.merge(HARMFUL, tried, 33_000);
+    assert_eq!(next(&registry, 33_000), Some(Duration::from_secs(300)));
+    let tried = registry
+        .quarantine(HARMFUL, 333_000)
         .unwrap()
         .with_trial(333_000);
-    book.merge(GUILTY, tried, 333_000);
-    assert_eq!(next(&book, 900_000), None);
-    let after = book
-        .quarantine(GUILTY, 333_000)
+    registry.merge(HARMFUL, tried, 333_000);
+    assert_eq!(next(&registry, 900_000), None);
+    let after = registry
+        .quarantine(HARMFUL, 333_000)
         .unwrap()
         .retry_after(333_000);
     assert_eq!(after, Duration::from_secs(86_400));
-    assert_eq!(book.quarantined_count(333_000 + 86_400_000), 0);
+    assert_eq!(registry.quarantined_count(333_000 + 86_400_000), 0);
 }
 
 #[test]
-fn a_box_that_has_just_begun_learns_what_happened_before_its_start() {
-    let book = quarantined();
-    let mut begun = SuspectRegistry::default();
-    begun.receive(&book.reports(true, 500_000), 5);
-    assert_eq!(begun.quarantined_count(5), 1);
-    let known = begun.quarantine(GUILTY, 5).unwrap();
+fn a_new_box_learns_of_events_before_its_start() {
+    let registry = quarantined();
+    let mut started = SuspectRegistry::default();
+    started.receive(&registry.reports(true, 500_000), 5);
+    assert_eq!(started.quarantined_count(5), 1);
+    let known = started.quarantine(HARMFUL, 5).unwrap();
     assert_eq!(known.next_trial(5), Some(Duration::ZERO));
 }
 
 #[test]
-fn what_is_told_again_is_no_news() {
-    let mut book = quarantined();
+fn repeated_reports_change_nothing() {
+    let mut registry = quarantined();
     let mut other = SuspectRegistry::default();
-    let rows = book.reports(true, 3_100);
-    assert_eq!(other.receive(&rows, 3_110).len(), 1);
+    let reports = registry.reports(true, 3_100);
+    assert_eq!(other.receive(&reports, 3_110).len(), 1);
     for round in 1..50 {
         let now_ms = 3_110 + round * 300;
-        let rows = other.reports(true, now_ms);
-        book.receive(&rows, now_ms + 40);
-        let rows = book.reports(true, now_ms + 50);
-        other.receive(&rows, now_ms + 90);
+        let reports = other.reports(true, now_ms);
+        registry.receive(&reports, now_ms + 40);
+        let reports = registry.reports(true, now_ms + 50);
+        other.receive(&reports, now_ms + 90);
     }
     assert!(
-        book.reports(false, 20_000).is_empty(),
-        "it is not fresh for ever"
+        registry.reports(false, 20_000).is_empty(),
+        "repeated reports do not renew the entry"
     );
-    assert_eq!(book.reports(true, 20_000).len(), 1);
+    assert_eq!(registry.reports(true, 20_000).len(), 1);
 }
 
 #[test]
-fn a_flood_of_requests_under_which_endpoints_end_has_bounds() {
-    let mut book = SuspectRegistry::default();
+fn the_number_of_suspects_and_quarantines_is_bounded() {
+    let mut registry = SuspectRegistry::default();
     let fingerprint = |number: u32| {
         let mut bytes = [0; 16];
         bytes[..4].copy_from_slice(&number.to_le_bytes());
@@ -165,7 +174,7 @@
         let ends = if number % 10 == 0 { 3 } else { 1 };
         for endpoint in 0..ends {
             end(
-                &mut book,
+                &mut registry,
                 fingerprint(number),
                 u64::from(number) * 4 + endpoint,
                 now_ms,
@@ -173,25 +182,25 @@
             now_ms += 1;
         }
     }
-    let most = SuspectRegistry::MAX_QUARANTINED + SuspectRegistry::MAX_SUSPECTS;
-    assert!(book.suspects.len() <= most);
-    assert!(book.reports(false, now_ms).len() <= most);
-    book.expire(now_ms);
+    let max = SuspectRegistry::MAX_QUARANTINED + SuspectRegistry::MAX_SUSPECTS;
+    assert!(registry.suspects.len() <= max);
+    assert!(registry.reports(false, now_ms).len() <= max);
+    registry.expire(now_ms);
     assert_eq!(
-        book.quarantined_count(now_ms),
+        registry.quarantined_count(now_ms),
         SuspectRegistry::MAX_QUARANTINED
     );
     assert_eq!(
-        book.quarantines(now_ms).len(),
+        registry.quarantines(now_ms).len(),
         SuspectRegistry::MAX_QUARANTINED
     );
     assert!(
-        book.quarantine(fingerprint(4_990), now_ms).is_some(),
-        "the newest stay"
+        registry.quarantine(fingerprint(4_990), now_ms).is_some(),
+        "the newest quarantines are kept"
     );
-    book.expire(now_ms + SuspectRegistry::RETENTION_MS);
-    assert_eq!(book.suspects.len(), SuspectRegistry::MAX_QUARANTINED);
-    assert!(book.has_quarantined());
-    book.expire(now_ms + 86_400_000);
-    assert!(book.is_empty() && !book.has_quarantined());
+    registry.expire(now_ms + SuspectRegistry::RETENTION_MS);
+    assert_eq!(registry.suspects.len(), SuspectRegistry::MAX_QUARANTINED);
+    assert!(registry.has_quarantined());
+    registry.expire(now_ms + 86_400_000);
+    assert!(registry.is_empty() && !registry.has_quarantined());
 }
