--- a/dockgate-core/src/gateway/interruption_tracker.rs
+++ b/dockgate-core/src/gateway/interruption_tracker.rs
@@ -1,66 +1,67 @@
-//! Which endpoints broke answers off, and which of them had ended.
+//! Tracks endpoints that broke off answers, until it is known whether they ended.
 //!
-//! An answer that breaks off says little by itself: answers are lost and links are cut while the
-//! endpoint lives. That it has ended shows a moment later, when nobody listens at its address any
-//! more, or when its record names a later start. Until then it is kept which requests were there.
+//! A broken-off answer alone proves little: answers are lost and links fail while the endpoint
+//! keeps running. That an endpoint ended shows shortly afterwards, when connections to its address
+//! are refused or its record names a later start. The tracker remembers the affected requests until
+//! then.
 //!
 //! ```
-//! use dockgate_core::gateway::{InterruptionTracker, EndpointId, RequestFingerprint};
+//! use dockgate_core::gateway::{EndpointId, InterruptionTracker, RequestFingerprint};
 //!
-//! let (endpoint, fingerprint) = (EndpointId::of_life("e", Some(1)), RequestFingerprint::new([7; 16]));
-//! let mut broken = InterruptionTracker::default();
-//! assert!(broken.note_interruption(fingerprint, endpoint, "e", 1_000).needs_check());
-//! assert_eq!(broken.note_ended(endpoint, 1_030), [fingerprint]);
+//! let (endpoint, fingerprint) =
+//!     (EndpointId::of_life("e", Some(1)), RequestFingerprint::new([7; 16]));
+//! let mut tracker = InterruptionTracker::default();
+//! assert!(tracker.note_interruption(fingerprint, endpoint, "e", 1_000).needs_check());
+//! assert_eq!(tracker.note_ended(endpoint, 1_030), [fingerprint]);
 //! ```
 
 use super::request_fingerprint::RequestFingerprint;
 use super::route_table::{EndpointId, EndpointName};
 use std::collections::HashMap;
 
-/// What follows from an answer that broke off.
+/// Whether an endpoint that broke off an answer is known to have ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum InterruptionStatus {
-    /// Nobody has looked yet whether the endpoint has ended.
+    /// No check whether the endpoint ended is running; the caller has to start one.
     Unchecked,
-    /// Somebody looks already.
+    /// A check is already running.
     CheckRunning,
-    /// It is known to have ended.
+    /// The endpoint is known to have ended.
     Ended,
 }
 
 impl InterruptionStatus {
-    /// Tells whether somebody has to look whether the endpoint has ended.
+    /// Returns whether the caller has to check if the endpoint ended.
     pub const fn needs_check(self) -> bool {
         matches!(self, Self::Unchecked)
     }
 }
 
-/// The requests that were at an endpoint when their answers broke off.
+/// The requests of one endpoint whose answers broke off.
 #[derive(Debug, Clone)]
-struct BrokenRuns {
+struct InterruptedRequests {
     name: EndpointName,
     at_ms: u64,
     fingerprints: Vec<RequestFingerprint>,
-    /// Whether somebody looks whether the endpoint has ended; else it was seen to listen.
-    is_watched: bool,
+    /// Whether a check is running; otherwise the endpoint was found to be listening.
+    is_check_running: bool,
 }
 
-/// The endpoints that broke answers off lately.
+/// The endpoints that recently broke off answers.
 #[derive(Debug, Clone, Default)]
 pub struct InterruptionTracker {
-    open: HashMap<EndpointId, BrokenRuns>,
+    interrupted: HashMap<EndpointId, InterruptedRequests>,
     ended: HashMap<EndpointId, u64>,
 }
 
 impl InterruptionTracker {
-    /// For how long, in milliseconds, it is remembered that an endpoint broke an answer off or has ended:
-    /// one that fell silent is found out by the timeouts of three connections, and answers that break
-    /// off with it are noticed within a deadline. A bound.
+    /// How long interruptions and ends are remembered, in milliseconds. This exceeds the connection
+    /// timeouts after which an unreachable endpoint is noticed.
     const RETENTION_MS: u64 = 10_000;
-    /// How many requests are kept of one endpoint: what an engine runs at once. A bound.
+    /// The maximum number of requests remembered per endpoint.
     const MAX_FINGERPRINTS: usize = 64;
 
-    /// Notes that an answer of an endpoint broke off.
+    /// Records that an answer of an endpoint broke off.
     pub fn note_interruption(
         &mut self,
         fingerprint: RequestFingerprint,
@@ -71,69 +72,78 @@
         if self.ended.contains_key(&endpoint) {
             return InterruptionStatus::Ended;
         }
-        let known = self.open.remove(&endpoint).filter(|runs| runs.is_watched);
-        let news = match known {
+        let known = self
+            .interrupted
+            .remove(&endpoint)
+            .filter(|requests| requests.is_check_running);
+        let status = match known {
             Some(_) => InterruptionStatus::CheckRunning,
             None => InterruptionStatus::Unchecked,
         };
-        let known = known.unwrap_or(BrokenRuns {
+        let known = known.unwrap_or(InterruptedRequests {
             name: EndpointName::new(name),
             at_ms: now_ms,
             fingerprints: Vec::new(),
-            is_watched: true,
+            is_check_running: true,
         });
-        let runs = self.open.entry(endpoint).or_insert(known);
-        if runs.fingerprints.len() < Self::MAX_FINGERPRINTS
-            && !runs.fingerprints.contains(&fingerprint)
+        let requests = self.interrupted.entry(endpoint).or_insert(known);
+        if requests.fingerprints.len() < Self::MAX_FINGERPRINTS
+            && !requests.fingerprints.contains(&fingerprint)
         {
-            runs.fingerprints.push(fingerprint);
+            requests.fingerprints.push(fingerprint);
         }
-        news
+        status
     }
 
-    /// Notes that somebody listens where an endpoint is: it lives, or has started again already.
+    /// Records that the address of an endpoint accepts connections: it is running or has restarted.
     pub fn note_listening(&mut self, endpoint: EndpointId) {
-        if let Some(runs) = self.open.get_mut(&endpoint) {
-            runs.is_watched = false;
+        if let Some(requests) = self.interrupted.get_mut(&endpoint) {
+            requests.is_check_running = false;
         }
     }
 
-    /// Notes that nobody listens where an endpoint was; returns the requests under which it ended.
+    /// Records that the address of an endpoint refuses connections, and returns the requests that
+    /// were interrupted by its end.
     ///
-    /// One of which no answer broke off here, or which was seen to listen since, is not remembered: it may have
-    /// left in order.
+    /// Returns nothing for an endpoint without interruptions, or one found to be listening since
+    /// then, as it may have shut down in order.
     pub fn note_ended(&mut self, endpoint: EndpointId, now_ms: u64) -> Vec<RequestFingerprint> {
-        match self.open.get(&endpoint) {
-            Some(runs) if runs.is_watched => self.end(endpoint, now_ms),
+        match self.interrupted.get(&endpoint) {
+            Some(requests) if requests.is_check_running => self.end(endpoint, now_ms),
             _ => Vec::new(),
         }
     }
 
     fn end(&mut self, endpoint: EndpointId, now_ms: u64) -> Vec<RequestFingerprint> {
         self.ended.insert(endpoint, now_ms);
-        let runs = self.open.remove(&endpoint);
-        runs.map(|runs| runs.fingerprints).unwrap_or_default()
+        let requests = self.interrupted.remove(&endpoint);
+        requests
+            .map(|requests| requests.fingerprints)
+            .unwrap_or_default()
     }
 
-    /// Lists the endpoints that have started again under their id, by `life_of`, which tells the lifetime of
-    /// a name, and the requests under which the lifetime before ended.
+    /// Removes and returns the endpoints that have restarted, with the requests that were
+    /// interrupted there before. `lifetime_of` returns the current lifetime of a name.
     pub fn take_restarted(
         &mut self,
-        life_of: impl Fn(EndpointName) -> Option<EndpointId>,
+        lifetime_of: impl Fn(EndpointName) -> Option<EndpointId>,
         now_ms: u64,
     ) -> Vec<(EndpointId, Vec<RequestFingerprint>)> {
-        let open = self.open.iter();
-        let ended = open.filter(|(id, runs)| life_of(runs.name).is_some_and(|life| life != **id));
+        let interrupted = self.interrupted.iter();
+        let ended = interrupted.filter(|(id, requests)| {
+            lifetime_of(requests.name).is_some_and(|lifetime| lifetime != **id)
+        });
         let mut ended: Vec<EndpointId> = ended.map(|(id, _)| *id).collect();
         ended.sort_unstable();
         let ended = ended.into_iter();
         ended.map(|id| (id, self.end(id, now_ms))).collect()
     }
 
-    /// Forgets what is too old to matter.
+    /// Removes expired entries.
     pub fn expire(&mut self, now_ms: u64) {
         let is_fresh = |at_ms: u64| at_ms + Self::RETENTION_MS > now_ms;
-        self.open.retain(|_, runs| is_fresh(runs.at_ms));
+        self.interrupted
+            .retain(|_, requests| is_fresh(requests.at_ms));
         self.ended.retain(|_, at_ms| is_fresh(*at_ms));
     }
 }
--- a/dockgate-core/src/gateway/request_fingerprint.rs
+++ b/dockgate-core/src/gateway/request_fingerprint.rs
@@ -1,59 +1,65 @@
-//! What makes two requests the same one, whoever takes them and whatever id they carry.
+//! Fingerprints that identify a request across retries and boxes.
 //!
-//! A request that comes again has a new id. It is the same if its caller asks the same target for the
-//! same with the same body. The fingerprint is a cryptographic hash, so that no caller can make a request
-//! that is taken for another one's.
+//! A repeated request has a new id. It counts as the same request if the same workspace sends the
+//! same body with the same method to the same target. The fingerprint is a cryptographic hash, so
+//! that no caller can forge a collision with another caller's request.
 //!
 //! ```
 //! use dockgate_core::gateway::{FingerprintInput, RequestFingerprint};
 //!
-//! let source = FingerprintInput { workspace: "captions", method: "POST", host: "h", target: "/a?q=1", body: b"x" };
-//! let fingerprint = RequestFingerprint::of(&source);
-//! assert_eq!(fingerprint, RequestFingerprint::of(&source));
-//! assert_ne!(fingerprint, RequestFingerprint::of(&FingerprintInput { target: "/a?q=2", ..source }));
+//! let input = FingerprintInput {
+//!     workspace: "captions",
+//!     method: "POST",
+//!     host: "h",
+//!     target: "/a?q=1",
+//!     body: b"x",
+//! };
+//! let fingerprint = RequestFingerprint::of(&input);
+//! assert_eq!(fingerprint, RequestFingerprint::of(&input));
+//! let other = FingerprintInput { target: "/a?q=2", ..input };
+//! assert_ne!(fingerprint, RequestFingerprint::of(&other));
 //! ```
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::str::FromStr;
 
-/// How many bytes of the hash are kept: two requests that differ have the same with a chance of one in
-/// 2^64 among 2^32 of them.
+/// The length of the truncated hash in bytes, which makes accidental collisions negligible.
 const FINGERPRINT_BYTES: usize = 16;
 
-/// What the fingerprint of a request is made of.
+/// The parts of a request that determine its fingerprint.
 #[derive(Debug, Clone, Copy)]
 pub struct FingerprintInput<'a> {
-    /// The workspace of its caller, or nothing where it has none.
+    /// The workspace of the caller, or an empty string if it has none.
     pub workspace: &'a str,
-    /// The method.
+    /// The HTTP method.
     pub method: &'a str,
-    /// The host that it was sent to.
+    /// The requested host.
     pub host: &'a str,
-    /// Path and query.
+    /// The path and query.
     pub target: &'a str,
-    /// The body.
+    /// The request body.
     pub body: &'a [u8],
 }
 
-/// Names all sends of one request, however often it comes.
+/// Identifies a request across retries and boxes.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct RequestFingerprint([u8; FINGERPRINT_BYTES]);
 
 impl RequestFingerprint {
-    /// Derives the fingerprint of a request.
-    pub fn of(source: &FingerprintInput) -> Self {
+    /// Computes the fingerprint of a request.
+    pub fn of(input: &FingerprintInput) -> Self {
         let parts = [
-            source.workspace.as_bytes(),
-            source.method.as_bytes(),
-            source.host.as_bytes(),
-            source.target.as_bytes(),
-            source.body,
+            input.workspace.as_bytes(),
+            input.method.as_bytes(),
+            input.host.as_bytes(),
+            input.target.as_bytes(),
+            input.body,
         ];
         let mut hasher = blake3::Hasher::new();
         for part in parts {
-            // The length in front keeps a part from running into the next one.
+            // The length prefix keeps adjacent parts distinct.
             hasher.update(&(part.len() as u64).to_le_bytes());
             hasher.update(part);
         }
@@ -63,7 +69,7 @@
         Self(fingerprint)
     }
 
-    /// Makes a fingerprint of given bytes.
+    /// Creates a fingerprint from raw bytes.
     pub const fn new(bytes: [u8; FINGERPRINT_BYTES]) -> Self {
         Self(bytes)
     }
@@ -81,7 +87,7 @@
     }
 }
 
-/// A text that is no fingerprint.
+/// The error for a text that is not a valid fingerprint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct InvalidFingerprint;
 
--- a/dockgate-core/src/gateway/request_fingerprint/tests.rs
+++ b/dockgate-core/src/gateway/request_fingerprint/tests.rs
@@ -2,7 +2,7 @@
 use proptest::prelude::*;
 use yare::parameterized;
 
-const SOURCE: FingerprintInput = FingerprintInput {
+const INPUT: FingerprintInput = FingerprintInput {
     workspace: "captions",
     method: "POST",
     host: "h.example",
@@ -11,18 +11,18 @@
 };
 
 #[parameterized(
-    workspace = { FingerprintInput { workspace: "quizzes", ..SOURCE } },
-    method = { FingerprintInput { method: "PUT", ..SOURCE } },
-    host = { FingerprintInput { host: "i.example", ..SOURCE } },
-    path = { FingerprintInput { target: "/draft/y?q=1", ..SOURCE } },
-    query = { FingerprintInput { target: "/draft/x?q=2", ..SOURCE } },
-    body = { FingerprintInput { body: b"hullo", ..SOURCE } },
-    longer_body = { FingerprintInput { body: b"hello ", ..SOURCE } },
-    moved_part = { FingerprintInput { host: "h.exampl", target: "e/draft/x?q=1", ..SOURCE } },
+    workspace = { FingerprintInput { workspace: "quizzes", ..INPUT } },
+    method = { FingerprintInput { method: "PUT", ..INPUT } },
+    host = { FingerprintInput { host: "i.example", ..INPUT } },
+    path = { FingerprintInput { target: "/draft/y?q=1", ..INPUT } },
+    query = { FingerprintInput { target: "/draft/x?q=2", ..INPUT } },
+    body = { FingerprintInput { body: b"hullo", ..INPUT } },
+    longer_body = { FingerprintInput { body: b"hello ", ..INPUT } },
+    moved_part = { FingerprintInput { host: "h.exampl", target: "e/draft/x?q=1", ..INPUT } },
 )]
-fn requests_that_differ_have_other_prints(other: FingerprintInput) {
+fn different_requests_have_different_fingerprints(other: FingerprintInput) {
     assert_ne!(
-        RequestFingerprint::of(&SOURCE),
+        RequestFingerprint::of(&INPUT),
         RequestFingerprint::of(&other)
     );
 }
@@ -34,13 +34,13 @@
     sign = { "+0112233445566778899aabbccddeeff" },
     not_hex = { "g0112233445566778899aabbccddeeff" },
 )]
-fn what_is_no_print_is_not_read(text: &str) {
+fn invalid_texts_are_rejected(text: &str) {
     assert_eq!(text.parse::<RequestFingerprint>(), Err(InvalidFingerprint));
 }
 
 proptest! {
     #[test]
-    fn what_is_written_is_read_again(bytes: [u8; 16]) {
+    fn a_displayed_fingerprint_parses_to_the_same_value(bytes: [u8; 16]) {
         let fingerprint = RequestFingerprint::new(bytes);
         prop_assert_eq!(fingerprint.to_string().parse::<RequestFingerprint>(), Ok(fingerprint));
     }
