--- a/dockgate-core/benches/suspects.rs
+++ b/dockgate-core/benches/suspects.rs
@@ -1,8 +1,4 @@
-//! What a request pays for the quarantine of others: its fingerprint, and the look whether it is known.
-//!
-//! Its fingerprint costs 0.2 microseconds, with a body of 1 kB 1.2, of 10 kB 6.8, of 100 kB 24, of 1 MB 190 (one run);
-//! it is worked out where others are in quarantine, or endpoints ended lately. Before, and where there are none, it is
-//! the look whether there are any: 2 ns.
+//! The cost of the quarantine for other requests: computing a fingerprint and looking it up.
 
 use criterion::{BenchmarkId, Criterion, Throughput, criterion_group, criterion_main};
 use dockgate_core::gateway::{EndpointId, FingerprintInput, RequestFingerprint, SuspectRegistry};
@@ -31,23 +27,27 @@
     group.finish();
 }
 
-fn known_request(criterion: &mut Criterion) {
+fn quarantine_lookup(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("known_request");
-    for suspects in [0, 64, 1_024_u64] {
-        let mut book = SuspectRegistry::default();
-        for number in 0..suspects {
+    for suspect_count in [0, 64, 1_024_u64] {
+        let mut registry = SuspectRegistry::default();
+        for number in 0..suspect_count {
             let fingerprint = fingerprint(&number.to_le_bytes());
             let ends = if number < 64 { 3 } else { 1 };
             for end in 0..ends {
-                book.note_ended(fingerprint, EndpointId(number * 3 + end), 1);
+                registry.note_ended(fingerprint, EndpointId(number * 3 + end), 1);
             }
         }
         let other = fingerprint(b"other");
-        group.bench_function(BenchmarkId::from_parameter(suspects), |bencher| {
-            bencher.iter(|| black_box(&book).quarantine(black_box(other), 2).is_some());
+        group.bench_function(BenchmarkId::from_parameter(suspect_count), |bencher| {
+            bencher.iter(|| {
+                black_box(&registry)
+                    .quarantine(black_box(other), 2)
+                    .is_some()
+            });
         });
-        group.bench_function(format!("{suspects}-any"), |bencher| {
-            bencher.iter(|| black_box(&book).has_quarantined());
+        group.bench_function(format!("{suspect_count}-any"), |bencher| {
+            bencher.iter(|| black_box(&registry).has_quarantined());
         });
     }
     group.finish();
@@ -59,6 +59,6 @@
         .sample_size(20)
         .warm_up_time(Duration::from_millis(200))
         .measurement_time(Duration::from_millis(500));
-    targets = request_fingerprint, known_request
+    targets = request_fingerprint, quarantine_lookup
 }
 criterion_main!(suspects);
--- a/dockgate-core/src/gateway/endpoint_health.rs
+++ b/dockgate-core/src/gateway/endpoint_health.rs
@@ -1,104 +1,104 @@
-//! How far this box trusts one endpoint, by what it saw of it.
+//! The health of one endpoint, as observed by this box.
 //!
-//! An endpoint that failed rests, longer with each failure in a row; after that one request at a
-//! time probes it. Failures that come between answers are seen by their ratio: an endpoint that
-//! fails a good part of what it gets is left to others to replace for a moment after each failure,
-//! and then tried again, so that it is seen to recover.
+//! A failed endpoint gets no requests during a backoff that grows with each consecutive failure;
+//! afterwards a single request at a time probes it. Failures interleaved with answers are detected
+//! by their ratio: an endpoint with a high failure ratio is used only as a fallback for a short time
+//! after each failure, and then tried again, so that its recovery is noticed.
 
-/// What was seen of an endpoint when a request ended.
+/// The outcome of a request at an endpoint, as it affects the health of the endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EndpointOutcome {
-    /// It answered.
+    /// The endpoint answered.
     Answered,
-    /// It said that it is full.
+    /// The endpoint refused the request because it is full.
     Full,
-    /// It failed, broke off, or went silent.
+    /// The endpoint failed, broke off the answer or stopped responding.
     Failed,
-    /// It could not be reached: it refused a connection, or another one answered in its place.
+    /// The connection was refused, or another endpoint answered.
     Unreachable,
-    /// It could not be reached, and said nothing at all.
+    /// The connection attempt got no response at all.
     Silent,
 }
 
-/// The trust in one endpoint.
+/// The health of one endpoint.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct EndpointHealth {
-    failures_in_a_row: u32,
-    closed_until_ms: u64,
-    /// Moving share of requests that failed, 0 to 1.
-    failed_part: f64,
+    consecutive_failures: u32,
+    backoff_until_ms: u64,
+    /// The moving average of the failure ratio, from 0 to 1.
+    failure_ratio: f64,
     failed_ms: u64,
 }
 
 impl EndpointHealth {
-    /// How long an endpoint rests after a failure, in milliseconds; doubles with each in a row.
-    /// An endpoint that crashed is back after seconds, one whose connection broke at once.
-    const REST_MS: u64 = 150;
-    /// The longest rest, in milliseconds: below the time in which a crash must be recovered from.
-    const MOST_REST_MS: u64 = 1_200;
-    /// How long an endpoint that is full rests, in milliseconds: about one short request.
-    const FULL_REST_MS: u64 = 15;
-    /// How long an endpoint that cannot be reached rests at first, in milliseconds.
-    const UNREACHABLE_REST_MS: u64 = 400;
-    /// The weight of the newest request in the moving share.
+    /// The backoff after a failure, in milliseconds; doubles with each consecutive failure.
+    const BACKOFF_MS: u64 = 150;
+    /// The maximum backoff in milliseconds, below the time allowed for recovery from a crash.
+    const MAX_BACKOFF_MS: u64 = 1_200;
+    /// The backoff from a full endpoint in milliseconds, about the duration of a short request.
+    const FULL_BACKOFF_MS: u64 = 15;
+    /// The initial backoff from an unreachable endpoint, in milliseconds.
+    const UNREACHABLE_BACKOFF_MS: u64 = 400;
+    /// The weight of the newest request in the moving average.
     const NEWEST_WEIGHT: f64 = 0.15;
-    /// Above this share of failures an endpoint counts as doubtful.
-    const DOUBTFUL_PART: f64 = 0.25;
-    /// For how long after a failure, in milliseconds: what fails half of the time does so for
-    /// seconds, and must not be passed over for the rest of the day.
-    const DOUBT_MS: u64 = 1_500;
+    /// The failure ratio above which an endpoint counts as unreliable.
+    const UNRELIABLE_RATIO: f64 = 0.25;
+    /// How long after a failure an endpoint may count as unreliable, in milliseconds. The bound
+    /// lets an endpoint that is passed over be tried again.
+    const UNRELIABLE_MS: u64 = 1_500;
 
-    /// Tells whether the endpoint may get work now.
+    /// Returns whether the endpoint may receive requests now.
     pub const fn is_available(&self, now_ms: u64) -> bool {
-        now_ms >= self.closed_until_ms
+        now_ms >= self.backoff_until_ms
     }
 
-    /// Tells whether it failed a moment ago, and fails so often that others go first.
+    /// Returns whether the endpoint failed recently and fails so often that others are preferred.
     pub fn is_unreliable(&self, now_ms: u64) -> bool {
-        self.failed_part > Self::DOUBTFUL_PART && now_ms < self.failed_ms + Self::DOUBT_MS
+        self.failure_ratio > Self::UNRELIABLE_RATIO && now_ms < self.failed_ms + Self::UNRELIABLE_MS
     }
 
-    /// Notes that a request is sent; while the endpoint is doubted, it is the only one for a while.
+    /// Records that a request is sent. After a failure, the request is a probe and the backoff
+    /// restarts, so that no others follow it.
     pub fn note_sent(&mut self, now_ms: u64) {
-        if self.failures_in_a_row > 0 {
-            self.closed_until_ms = now_ms + self.rest_ms(Self::REST_MS);
+        if self.consecutive_failures > 0 {
+            self.backoff_until_ms = now_ms + self.backoff_ms(Self::BACKOFF_MS);
         }
     }
 
-    /// Notes how a request ended.
-    pub fn note(&mut self, sign: EndpointOutcome, now_ms: u64) {
-        let failed = match sign {
+    /// Records the outcome of a request.
+    pub fn note(&mut self, outcome: EndpointOutcome, now_ms: u64) {
+        let failed = match outcome {
             EndpointOutcome::Answered => 0.0,
             EndpointOutcome::Failed | EndpointOutcome::Unreachable | EndpointOutcome::Silent => 1.0,
-            EndpointOutcome::Full => self.failed_part,
+            EndpointOutcome::Full => self.failure_ratio,
         };
-        self.failed_part += (failed - self.failed_part) * Self::NEWEST_WEIGHT;
-        match sign {
+        self.failure_ratio += (failed - self.failure_ratio) * Self::NEWEST_WEIGHT;
+        match outcome {
             EndpointOutcome::Answered => {
-                self.failures_in_a_row = 0;
-                self.closed_until_ms = 0;
+                self.consecutive_failures = 0;
+                self.backoff_until_ms = 0;
             }
-            EndpointOutcome::Full => self.close(now_ms + Self::FULL_REST_MS),
-            EndpointOutcome::Failed => self.fail(Self::REST_MS, now_ms),
+            EndpointOutcome::Full => self.back_off_until(now_ms + Self::FULL_BACKOFF_MS),
+            EndpointOutcome::Failed => self.fail(Self::BACKOFF_MS, now_ms),
             EndpointOutcome::Unreachable | EndpointOutcome::Silent => {
-                self.fail(Self::UNREACHABLE_REST_MS, now_ms);
+                self.fail(Self::UNREACHABLE_BACKOFF_MS, now_ms);
             }
         }
     }
 
-    fn fail(&mut self, rest_ms: u64, now_ms: u64) {
-        self.failures_in_a_row = self.failures_in_a_row.saturating_add(1);
+    fn fail(&mut self, backoff_ms: u64, now_ms: u64) {
+        self.consecutive_failures = self.consecutive_failures.saturating_add(1);
         self.failed_ms = now_ms;
-        self.close(now_ms + self.rest_ms(rest_ms));
+        self.back_off_until(now_ms + self.backoff_ms(backoff_ms));
     }
 
-    fn close(&mut self, until_ms: u64) {
-        self.closed_until_ms = self.closed_until_ms.max(until_ms);
+    fn back_off_until(&mut self, until_ms: u64) {
+        self.backoff_until_ms = self.backoff_until_ms.max(until_ms);
     }
 
-    fn rest_ms(&self, first_ms: u64) -> u64 {
-        let doublings = self.failures_in_a_row.saturating_sub(1).min(4);
-        Self::MOST_REST_MS.min(first_ms << doublings)
+    fn backoff_ms(&self, first_ms: u64) -> u64 {
+        let doublings = self.consecutive_failures.saturating_sub(1).min(4);
+        Self::MAX_BACKOFF_MS.min(first_ms << doublings)
     }
 }
 
--- a/dockgate-core/src/gateway/endpoint_health/tests.rs
+++ b/dockgate-core/src/gateway/endpoint_health/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn an_endpoint_that_fails_in_a_row_rests_longer_and_is_trusted_after_an_answer() {
+fn the_backoff_grows_with_consecutive_failures_and_ends_with_an_answer() {
     let mut health = EndpointHealth::default();
     health.note(EndpointOutcome::Failed, 1_000);
     assert!(!health.is_available(1_149));
@@ -15,11 +15,11 @@
 }
 
 #[test]
-fn an_endpoint_that_fails_every_second_request_is_doubtful_until_it_recovers() {
+fn an_endpoint_that_fails_every_second_request_is_unreliable_until_it_recovers() {
     let mut health = EndpointHealth::default();
     for at in 0..20 {
-        let sign = [EndpointOutcome::Failed, EndpointOutcome::Answered][at % 2];
-        health.note(sign, at as u64);
+        let outcome = [EndpointOutcome::Failed, EndpointOutcome::Answered][at % 2];
+        health.note(outcome, at as u64);
     }
     assert!(health.is_unreliable(20));
     for at in 20..40 {
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn an_endpoint_that_gets_nothing_is_tried_again() {
+fn an_unreliable_endpoint_without_requests_is_tried_again() {
     let mut health = EndpointHealth::default();
     for at in 0..20 {
         health.note(EndpointOutcome::Failed, at);
@@ -37,14 +37,14 @@
     assert!(health.is_unreliable(1_000));
     assert!(
         !health.is_unreliable(2_000),
-        "others would be chosen before it for ever"
+        "others must not be preferred for ever"
     );
     health.note(EndpointOutcome::Failed, 2_001);
     assert!(health.is_unreliable(2_002), "one more failure is enough");
 }
 
 #[test]
-fn a_full_endpoint_is_left_alone_for_a_moment_only() {
+fn a_full_endpoint_is_avoided_briefly() {
     let mut health = EndpointHealth::default();
     health.note(EndpointOutcome::Full, 100);
     assert!(!health.is_available(110));
--- a/dockgate-core/src/gateway/endpoint_notice.rs
+++ b/dockgate-core/src/gateway/endpoint_notice.rs
@@ -1,12 +1,13 @@
-//! What an endpoint says of itself in the head of an answer.
+//! What an endpoint announces about itself in the head of an answer.
 //!
-//! The platform's store has an endpoint's record, which may be seconds old, or not be written at all while the store
-//! is away. Its answers come from the endpoint itself, so what they say of it is the newest word there is.
+//! The endpoint's record in the platform's store may be seconds old, and is not updated while the
+//! store is unavailable. Answers come from the endpoint itself, so their notices are the most
+//! recent information about it.
 //!
 //! ```
 //! use dockgate_core::gateway::{AnswerOwner, AnswerSigns, EndpointNotice};
 //!
-//! let said = EndpointNotice { is_leaving: true, ..EndpointNotice::default() };
+//! let notice = EndpointNotice { is_leaving: true, ..EndpointNotice::default() };
 //! let signs = AnswerSigns {
 //!     status: 200,
 //!     owner: AnswerOwner::Own,
@@ -14,37 +15,37 @@
 //!     not_run: false,
 //!     is_encoded: false,
 //! };
-//! assert!(said.trusted(&signs).is_leaving);
+//! assert!(notice.trusted(&signs).is_leaving);
 //! ```
 
 use super::answer_rule::{AnswerOwner, AnswerSigns};
 use std::time::Duration;
 
-/// The status of an answer that another endpoint gave in the place of the one that was meant.
+/// The status of an answer from an endpoint that the request was not meant for.
 const MISDIRECTED: u16 = 421;
-/// The status with which an endpoint asks for rest.
+/// The status with which an endpoint requests a backoff.
 const UNAVAILABLE: u16 = 503;
 
-/// What an endpoint says of itself beside an answer.
+/// What an endpoint announces about itself with an answer.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct EndpointNotice {
-    /// It is about to end, and takes nothing new.
+    /// Whether the endpoint is about to end and takes no new requests.
     pub is_leaving: bool,
-    /// It wants nothing from this box for so long.
+    /// How long the endpoint wants no requests from this box, if it requests a backoff.
     pub backoff: Option<Duration>,
 }
 
 impl EndpointNotice {
-    /// Tells whether nothing is said.
+    /// Returns whether nothing is announced.
     pub const fn is_empty(&self) -> bool {
         !self.is_leaving && self.backoff.is_none()
     }
 
-    /// Returns the part of it that the answer gives reason to believe.
+    /// Returns the part of the notice that can be trusted, given the answer that carried it.
     ///
-    /// An answer to an earlier request, or one that cannot be passed on, is the endpoint's word all the same. One
-    /// without any request's id may come from whatever listens there, and a misdirected request was answered by
-    /// another endpoint. Only one that turns a request away asks for rest.
+    /// An answer to an earlier request, or one that cannot be passed on, still comes from the
+    /// endpoint. An answer without a request id may come from any process at that address, and a
+    /// misdirected request was answered by another endpoint. Only a refusal can request a backoff.
     #[must_use]
     pub const fn trusted(self, signs: &AnswerSigns) -> Self {
         match (signs.owner, signs.status) {
--- a/dockgate-core/src/gateway/endpoint_notice/tests.rs
+++ b/dockgate-core/src/gateway/endpoint_notice/tests.rs
@@ -7,19 +7,19 @@
     success = { 200, AnswerOwner::Own, true, None },
     error = { 500, AnswerOwner::Own, true, None },
     too_many = { 429, AnswerOwner::Own, true, None },
-    turned_away = { 503, AnswerOwner::Own, true, BACKOFF },
+    refusal = { 503, AnswerOwner::Own, true, BACKOFF },
     late_answer_to_another_request = { 200, AnswerOwner::Foreign, true, None },
-    turns_another_request_away = { 503, AnswerOwner::Foreign, true, BACKOFF },
-    of_whatever_listens_there = { 503, AnswerOwner::Unnamed, false, None },
-    of_another_endpoint = { 421, AnswerOwner::Own, false, None },
+    refusal_of_another_request = { 503, AnswerOwner::Foreign, true, BACKOFF },
+    answer_without_request_id = { 503, AnswerOwner::Unnamed, false, None },
+    answer_of_another_endpoint = { 421, AnswerOwner::Own, false, None },
 )]
-fn an_answer_is_believed_as_far_as_it_is_the_endpoints_word(
+fn a_notice_is_trusted_if_the_answer_comes_from_the_endpoint(
     status: u16,
     owner: AnswerOwner,
     is_leaving: bool,
     backoff: Option<Duration>,
 ) {
-    let said = EndpointNotice {
+    let notice = EndpointNotice {
         is_leaving: true,
         backoff: BACKOFF,
     };
@@ -32,7 +32,7 @@
             is_encoded: not_run,
         };
         assert_eq!(
-            said.trusted(&signs),
+            notice.trusted(&signs),
             EndpointNotice {
                 is_leaving,
                 backoff
--- a/dockgate-core/src/gateway/interruption_tracker.rs
+++ b/dockgate-core/src/gateway/interruption_tracker.rs
@@ -129,10 +129,8 @@
         lifetime_of: impl Fn(EndpointName) -> Option<EndpointId>,
         now_ms: u64,
     ) -> Vec<(EndpointId, Vec<RequestFingerprint>)> {
-        let interrupted = self.interrupted.iter();
-        let ended = interrupted.filter(|(id, requests)| {
-            lifetime_of(requests.name).is_some_and(|lifetime| lifetime != **id)
-        });
+        let all = self.interrupted.iter();
+        let ended = all.filter(|(id, old)| lifetime_of(old.name).is_some_and(|new| new != **id));
         let mut ended: Vec<EndpointId> = ended.map(|(id, _)| *id).collect();
         ended.sort_unstable();
         let ended = ended.into_iter();
--- a/dockgate-core/src/gateway/interruption_tracker/tests.rs
+++ b/dockgate-core/src/gateway/interruption_tracker/tests.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_listening_endpoint_clears_its_interrupted_requests() {
+fn a_successful_check_clears_the_interrupted_requests() {
     let mut tracker = InterruptionTracker::default();
     tracker.note_interruption(ONE, ENDPOINT, "e", 10);
     tracker.note_listening(ENDPOINT);
--- a/dockgate-core/src/gateway/notice_registry.rs
+++ b/dockgate-core/src/gateway/notice_registry.rs
@@ -1,8 +1,9 @@
-//! What endpoints have said of themselves in their answers to this box, by lifetime.
+//! The notices that endpoints send with their answers to this box, by lifetime.
 //!
-//! It is kept apart from the records of endpoints and from the trust in them: a record that is written, lapses and
-//! comes back says nothing of it, and neither does a request that ends well or fails. That a lifetime leaves is
-//! final; a rest ends with its time. What was said by one lifetime does not count for the next one under its id.
+//! Notices are kept apart from the records and the health of endpoints: neither a rewritten or
+//! expired record nor the outcome of a request changes them. That a lifetime is leaving is final; a
+//! backoff ends after its time. A notice of one lifetime does not apply to the next one of the same
+//! endpoint.
 
 mod requested_backoff;
 
@@ -12,43 +13,43 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// What is new in an answer.
+/// A change that a notice causes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NoticeUpdate {
-    /// The endpoint says for the first time that it leaves.
+    /// The endpoint announced for the first time that it is leaving.
     Leaving,
-    /// It asks for rest and had none, or had rested by then.
+    /// The endpoint requested a backoff while none was in force.
     BackoffRequested(Duration),
 }
 
-/// What one lifetime has said.
+/// The notices of one lifetime.
 #[derive(Debug, Clone, Copy, Default)]
-struct ReceivedNotice {
-    leaves: bool,
-    rest: RequestedBackoff,
-    /// Until when another box's word that it leaves counts.
+struct LifetimeNotices {
+    is_leaving: bool,
+    backoff: RequestedBackoff,
+    /// When the report of another box that the endpoint is leaving expires.
     reported_until_ms: u64,
-    /// When it was heard, or had a record, last.
+    /// When a notice was last received or the endpoint last had a record.
     seen_ms: u64,
 }
 
-/// What endpoints have said of themselves.
+/// The notices of endpoints by lifetime.
 #[derive(Debug, Clone, Default)]
 pub struct NoticeRegistry {
-    heard: HashMap<EndpointId, ReceivedNotice>,
+    notices: HashMap<EndpointId, LifetimeNotices>,
 }
 
 impl NoticeRegistry {
-    /// For how long, in milliseconds, another box's word that an endpoint leaves counts here. It may be wrong, and a box
-    /// that hears the endpoint itself says so anew. A bound.
+    /// How long the report of another box that an endpoint is leaving is trusted, in milliseconds.
+    /// The report may be wrong; a box that received the notice itself repeats it.
     const REPORT_TTL_MS: u64 = 5_000;
-    /// For how long, in milliseconds, it is remembered of an endpoint without a record that it leaves: a record may
-    /// lapse and be written again while the endpoint goes on, and its last answers come as long after. A bound.
-    const RETENTION_MS: u64 = 600_000;
-    /// Of how many endpoints without a record this is remembered.
+    /// How long notices of an endpoint without a record are kept, in milliseconds. The record may
+    /// expire and be rewritten while the endpoint is running.
+    const TTL_MS: u64 = 600_000;
+    /// The maximum number of endpoints without a record whose notices are kept.
     const MAX_RETAINED: usize = 4_096;
 
-    /// Takes in what an answer says; returns what is new in it. `draw` is a random number from 0 to 1.
+    /// Applies a notice and returns the changes. `draw` is a random number from 0 to 1.
     pub fn receive(
         &mut self,
         id: EndpointId,
@@ -59,87 +60,90 @@
         if notice.is_empty() {
             return Vec::new();
         }
-        let heard = self.heard.entry(id).or_default();
-        heard.seen_ms = now_ms;
-        let mut news = Vec::new();
-        if notice.is_leaving && !std::mem::replace(&mut heard.leaves, true) {
-            news.push(NoticeUpdate::Leaving);
+        let known = self.notices.entry(id).or_default();
+        known.seen_ms = now_ms;
+        let mut updates = Vec::new();
+        if notice.is_leaving && !std::mem::replace(&mut known.is_leaving, true) {
+            updates.push(NoticeUpdate::Leaving);
         }
-        if let Some(rest) = notice.backoff {
-            if heard.rest.remaining(now_ms).is_none() {
-                news.push(NoticeUpdate::BackoffRequested(rest));
+        if let Some(backoff) = notice.backoff {
+            if known.backoff.remaining(now_ms).is_none() {
+                updates.push(NoticeUpdate::BackoffRequested(backoff));
             }
-            heard.rest.request(rest, now_ms, draw);
+            known.backoff.request(backoff, now_ms, draw);
         }
-        news
+        updates
     }
 
-    /// Takes in another box's word that a lifetime leaves.
+    /// Applies the report of another box that a lifetime is leaving.
     pub fn receive_reported(&mut self, id: EndpointId, now_ms: u64) {
-        let heard = self.heard.entry(id).or_default();
-        heard.seen_ms = heard.seen_ms.max(now_ms);
-        heard.reported_until_ms = now_ms + Self::REPORT_TTL_MS;
+        let notice = self.notices.entry(id).or_default();
+        notice.seen_ms = notice.seen_ms.max(now_ms);
+        notice.reported_until_ms = now_ms + Self::REPORT_TTL_MS;
     }
 
-    /// Tells whether a lifetime leaves, by its own word or by that of another box.
+    /// Returns whether a lifetime is leaving according to its own notice or the report of another
+    /// box.
     pub fn is_reported_leaving(&self, id: EndpointId, now_ms: u64) -> bool {
-        let heard = self.heard.get(&id);
-        heard.is_some_and(|heard| heard.leaves || now_ms < heard.reported_until_ms)
+        let notice = self.notices.get(&id);
+        notice.is_some_and(|notice| notice.is_leaving || now_ms < notice.reported_until_ms)
     }
 
-    /// Forgets what was said long ago by lifetimes that have no record, and the oldest of it where it is too much.
+    /// Removes expired notices of lifetimes without a record, and the oldest beyond the bound.
     pub fn expire(&mut self, now_ms: u64, has_record: impl Fn(EndpointId) -> bool) {
-        let mut gone = Vec::new();
-        for (id, heard) in &mut self.heard {
+        let mut unrecorded = Vec::new();
+        for (id, notice) in &mut self.notices {
             match has_record(*id) {
-                true => heard.seen_ms = now_ms,
-                false => gone.push((heard.seen_ms, *id)),
+                true => notice.seen_ms = now_ms,
+                false => unrecorded.push((notice.seen_ms, *id)),
             }
         }
-        gone.sort_unstable();
-        let surplus = gone.len().saturating_sub(Self::MAX_RETAINED);
-        let forgotten = gone.into_iter().enumerate();
-        let forgotten = forgotten.filter(|(index, (seen_ms, _))| {
-            *index < surplus || seen_ms + Self::RETENTION_MS <= now_ms
-        });
-        for (_, (_, id)) in forgotten {
-            self.heard.remove(&id);
+        unrecorded.sort_unstable();
+        let surplus = unrecorded.len().saturating_sub(Self::MAX_RETAINED);
+        let expired = unrecorded.into_iter().enumerate();
+        let expired = expired
+            .filter(|(index, (seen_ms, _))| *index < surplus || seen_ms + Self::TTL_MS <= now_ms);
+        for (_, (_, id)) in expired {
+            self.notices.remove(&id);
         }
     }
 
-    /// Tells whether a lifetime has said that it leaves.
+    /// Returns whether a lifetime announced that it is leaving.
     pub fn is_leaving(&self, id: EndpointId) -> bool {
-        self.heard.get(&id).is_some_and(|heard| heard.leaves)
+        self.notices
+            .get(&id)
+            .is_some_and(|notice| notice.is_leaving)
     }
 
-    /// Returns for how long a lifetime wants nothing from this box, where it does.
+    /// Returns the remaining backoff of a lifetime, or `None` if none is in force.
     pub fn remaining_backoff(&self, id: EndpointId, now_ms: u64) -> Option<Duration> {
-        self.heard.get(&id)?.rest.remaining(now_ms)
+        self.notices.get(&id)?.backoff.remaining(now_ms)
     }
 
-    /// Tells whether a lifetime has said nothing that forbids to send it a request now.
+    /// Returns whether the notices of a lifetime allow requests now.
     pub fn accepts_requests(&self, id: EndpointId, now_ms: u64) -> bool {
         !self.is_leaving(id) && self.remaining_backoff(id, now_ms).is_none()
     }
 
-    /// Tells whether a request may be sent to a lifetime beside those that it has: after a rest one goes ahead.
+    /// Returns whether another request may be sent to a lifetime. After a backoff, a single request
+    /// goes first as a probe.
     pub fn may_send(&self, id: EndpointId, now_ms: u64) -> bool {
-        let heard = self.heard.get(&id);
-        let may_send = heard.is_none_or(|heard| heard.rest.may_send(now_ms));
+        let notice = self.notices.get(&id);
+        let may_send = notice.is_none_or(|notice| notice.backoff.may_send(now_ms));
         may_send && !self.is_reported_leaving(id, now_ms)
     }
 
-    /// Notes that a request is sent to a lifetime.
+    /// Records that a request is sent to a lifetime.
     pub fn note_sent(&mut self, id: EndpointId, now_ms: u64) {
-        if let Some(heard) = self.heard.get_mut(&id) {
-            heard.rest.note_sent(now_ms);
+        if let Some(notice) = self.notices.get_mut(&id) {
+            notice.backoff.note_sent(now_ms);
         }
     }
 
-    /// Notes that a lifetime answered.
+    /// Records that a lifetime answered.
     pub fn note_answered(&mut self, id: EndpointId, now_ms: u64) {
-        if let Some(heard) = self.heard.get_mut(&id) {
-            heard.rest.note_answered(now_ms);
+        if let Some(notice) = self.notices.get_mut(&id) {
+            notice.backoff.note_answered(now_ms);
         }
     }
 }
--- a/dockgate-core/src/gateway/notice_registry/requested_backoff.rs
+++ b/dockgate-core/src/gateway/notice_registry/requested_backoff.rs
@@ -1,66 +1,67 @@
-//! A rest that an endpoint asked for, and how work comes back to it after that.
+//! A backoff that an endpoint requested, and the probe that follows it.
 
 use std::time::Duration;
 
-/// The time in which an endpoint wants nothing from this box.
+/// The time during which an endpoint wants no requests from this box.
 ///
-/// It ends with its time alone: an answer says nothing of it, as it may have been under way before, and a failure does
-/// not shorten it. All boxes were told the same time, and callers come back together, so what comes first after it
-/// would be turned away in a wave again. So each box waits a little longer, by chance, and sends one request ahead.
+/// Only the passing of that time ends it: an answer may belong to an earlier request, and a failure
+/// does not shorten it. All boxes receive the same time and callers retry together, so the first
+/// requests afterwards could be refused all at once again. Each box therefore adds a random delay
+/// and first sends a single request as a probe.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct RequestedBackoff {
     until_ms: u64,
-    /// Whether nothing was answered since it ended.
-    is_untried: bool,
-    /// Until when other requests wait for the one that was sent ahead.
-    trial_until_ms: u64,
+    /// Whether no request was answered since the backoff ended.
+    needs_probe: bool,
+    /// Until when other requests wait for the probe.
+    probe_until_ms: u64,
 }
 
 impl RequestedBackoff {
-    /// The longest rest that is given: a bound against an endpoint, or something before it, that asks for what nobody
-    /// can have meant. Beyond it one request asks again.
-    const MOST: Duration = Duration::from_hours(1);
-    /// By which part of the rest boxes end it later, by chance.
-    const SPREAD_PART: f64 = 0.1;
-    /// By how much they do at most.
-    const MOST_SPREAD: Duration = Duration::from_millis(300);
-    /// How long, in milliseconds, others wait for the one that was sent ahead: an endpoint that turns away does so at
-    /// once. A bound.
-    const TRIAL_MS: u64 = 100;
+    /// The longest backoff that is honored, against implausible requests.
+    const MAX_BACKOFF: Duration = Duration::from_hours(1);
+    /// The maximum random delay as a part of the backoff.
+    const JITTER_PART: f64 = 0.1;
+    /// The upper bound of the random delay.
+    const MAX_JITTER: Duration = Duration::from_millis(300);
+    /// How long other requests wait for the probe, in milliseconds; an endpoint that refuses it
+    /// does so at once.
+    const PROBE_MS: u64 = 100;
 
-    /// Rests for so long from now on, unless that is over before the rest it has; `draw` is a random number from 0 to 1.
-    pub(super) fn request(&mut self, rest: Duration, now_ms: u64, draw: f64) {
-        let rest = rest.min(Self::MOST);
-        let spread = rest.mul_f64(Self::SPREAD_PART).min(Self::MOST_SPREAD);
-        let rest = rest + spread.mul_f64(draw.clamp(0.0, 1.0));
-        self.until_ms = self.until_ms.max(now_ms + rest.as_millis() as u64);
-        self.is_untried = true;
-        self.trial_until_ms = 0;
+    /// Starts a backoff, or extends the current one if the new one ends later. `draw` is a random
+    /// number from 0 to 1.
+    pub(super) fn request(&mut self, backoff: Duration, now_ms: u64, draw: f64) {
+        let backoff = backoff.min(Self::MAX_BACKOFF);
+        let jitter = backoff.mul_f64(Self::JITTER_PART).min(Self::MAX_JITTER);
+        let backoff = backoff + jitter.mul_f64(draw.clamp(0.0, 1.0));
+        self.until_ms = self.until_ms.max(now_ms + backoff.as_millis() as u64);
+        self.needs_probe = true;
+        self.probe_until_ms = 0;
     }
 
-    /// Returns how much of it is left, where any is.
+    /// Returns the remaining time, or `None` if the backoff is over.
     pub(super) fn remaining(&self, now_ms: u64) -> Option<Duration> {
-        let left_ms = self.until_ms.saturating_sub(now_ms);
-        (left_ms > 0).then(|| Duration::from_millis(left_ms))
+        let remaining_ms = self.until_ms.saturating_sub(now_ms);
+        (remaining_ms > 0).then(|| Duration::from_millis(remaining_ms))
     }
 
-    /// Tells whether another request may go there now.
+    /// Returns whether another request may be sent now.
     pub(super) fn may_send(&self, now_ms: u64) -> bool {
-        now_ms >= self.until_ms.max(self.trial_until_ms)
+        now_ms >= self.until_ms.max(self.probe_until_ms)
     }
 
-    /// Notes that a request goes there.
+    /// Records that a request is sent.
     pub(super) fn note_sent(&mut self, now_ms: u64) {
-        if self.is_untried {
-            self.trial_until_ms = now_ms + Self::TRIAL_MS;
+        if self.needs_probe {
+            self.probe_until_ms = now_ms + Self::PROBE_MS;
         }
     }
 
-    /// Notes that the endpoint answered a request.
+    /// Records that the endpoint answered a request.
     pub(super) fn note_answered(&mut self, now_ms: u64) {
         if now_ms >= self.until_ms {
-            self.is_untried = false;
-            self.trial_until_ms = 0;
+            self.needs_probe = false;
+            self.probe_until_ms = 0;
         }
     }
 }
