--- a/dockgate-core/benches/suspects.rs
+++ b/dockgate-core/benches/suspects.rs
@@ -29,24 +29,20 @@
 
 fn quarantine_lookup(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("known_request");
-    for suspect_count in [0, 64, 1_024_u64] {
+    for suspects in [0, 64, 1_024_u64] {
         let mut registry = SuspectRegistry::default();
-        for number in 0..suspect_count {
+        for number in 0..suspects {
             let fingerprint = fingerprint(&number.to_le_bytes());
             let ends = if number < 64 { 3 } else { 1 };
             for end in 0..ends {
                 registry.note_ended(fingerprint, EndpointId(number * 3 + end), 1);
             }
         }
-        let other = fingerprint(b"other");
-        group.bench_function(BenchmarkId::from_parameter(suspect_count), |bencher| {
-            bencher.iter(|| {
-                black_box(&registry)
-                    .quarantine(black_box(other), 2)
-                    .is_some()
-            });
+        let key = fingerprint(b"other");
+        group.bench_function(BenchmarkId::from_parameter(suspects), |bencher| {
+            bencher.iter(|| black_box(&registry).quarantine(black_box(key), 2).is_some());
         });
-        group.bench_function(format!("{suspect_count}-any"), |bencher| {
+        group.bench_function(format!("{suspects}-any"), |bencher| {
             bencher.iter(|| black_box(&registry).has_quarantined());
         });
     }
--- a/dockgate-core/src/gateway/endpoint_book.rs
+++ b/dockgate-core/src/gateway/endpoint_book.rs
@@ -148,7 +148,7 @@
         let notices = &self.notices;
         let entries = self.endpoints.iter().filter(|(id, entry)| {
             // Records tell late, or not at all while the store is away, what an answer has told already.
-            entry.record.state == EndpointState::Ready && !notices.is_leaving(**id)
+            entry.record.state == EndpointState::Ready && !notices.leaves(**id)
         });
         for (id, entry) in entries {
             let service = self.ready.entry(entry.record.service.clone()).or_default();
--- a/dockgate-core/src/gateway/notice_registry.rs
+++ b/dockgate-core/src/gateway/notice_registry.rs
@@ -109,7 +109,7 @@
     }
 
     /// Returns whether a lifetime announced that it is leaving.
-    pub fn is_leaving(&self, id: EndpointId) -> bool {
+    pub fn leaves(&self, id: EndpointId) -> bool {
         self.notices
             .get(&id)
             .is_some_and(|notice| notice.is_leaving)
@@ -122,7 +122,7 @@
 
     /// Returns whether the notices of a lifetime allow requests now.
     pub fn accepts_requests(&self, id: EndpointId, now_ms: u64) -> bool {
-        !self.is_leaving(id) && self.remaining_backoff(id, now_ms).is_none()
+        !self.leaves(id) && self.remaining_backoff(id, now_ms).is_none()
     }
 
     /// Returns whether another request may be sent to a lifetime. After a backoff, a single request
--- a/dockgate-core/src/gateway/notice_registry/tests.rs
+++ b/dockgate-core/src/gateway/notice_registry/tests.rs
@@ -39,11 +39,11 @@
     let id = EndpointId::from_name("life-1");
     registry.receive(id, LEAVING, 1_000, 0.0);
     registry.expire(5_000_000, |_| true);
-    assert!(registry.is_leaving(id));
+    assert!(registry.leaves(id));
     registry.expire(5_000_000 + NoticeRegistry::TTL_MS - 1, |_| false);
-    assert!(registry.is_leaving(id));
+    assert!(registry.leaves(id));
     registry.expire(5_000_000 + NoticeRegistry::TTL_MS, |_| false);
-    assert!(!registry.is_leaving(id));
+    assert!(!registry.leaves(id));
 }
 
 #[test]
@@ -56,11 +56,11 @@
     registry.expire(max + 10, |id| id.0 < 5);
     assert_eq!(registry.notices.len() as u64, max + 5);
     assert!(
-        registry.is_leaving(EndpointId(0)),
+        registry.leaves(EndpointId(0)),
         "an endpoint with a record is kept"
     );
     assert!(
-        !registry.is_leaving(EndpointId(9)),
+        !registry.leaves(EndpointId(9)),
         "the oldest without a record is removed"
     );
 }
--- a/dockgate/src/gateway/gateway_gauges.rs
+++ b/dockgate/src/gateway/gateway_gauges.rs
@@ -102,9 +102,7 @@
                 match entry.record.state {
                     EndpointState::Draining => draining += 1,
                     EndpointState::Unusable => unusable += 1,
-                    EndpointState::Ready if beliefs.endpoints.notices().is_leaving(id) => {
-                        draining += 1
-                    }
+                    EndpointState::Ready if beliefs.endpoints.notices().leaves(id) => draining += 1,
                     EndpointState::Ready if beliefs.endpoints.is_open(id, now) => ready += 1,
                     EndpointState::Ready => resting += 1,
                 }
