--- /dev/null
+++ b/dockgate-core/src/gateway/request_fingerprint/tests.rs
@@ -0,0 +1,47 @@
+use super::{FingerprintInput, InvalidFingerprint, RequestFingerprint};
+use proptest::prelude::*;
+use yare::parameterized;
+
+const INPUT: FingerprintInput = FingerprintInput {
+    workspace: "captions",
+    method: "POST",
+    host: "h.example",
+    target: "/draft/x?q=1",
+    body: b"hello",
+};
+
+#[parameterized(
+    workspace = { FingerprintInput { workspace: "quizzes", ..INPUT } },
+    method = { FingerprintInput { method: "PUT", ..INPUT } },
+    host = { FingerprintInput { host: "i.example", ..INPUT } },
+    path = { FingerprintInput { target: "/draft/y?q=1", ..INPUT } },
+    query = { FingerprintInput { target: "/draft/x?q=2", ..INPUT } },
+    body = { FingerprintInput { body: b"hullo", ..INPUT } },
+    longer_body = { FingerprintInput { body: b"hello ", ..INPUT } },
+    moved_part = { FingerprintInput { host: "h.exampl", target: "e/draft/x?q=1", ..INPUT } },
+)]
+fn different_requests_have_different_fingerprints(other: FingerprintInput) {
+    assert_ne!(
+        RequestFingerprint::of(&INPUT),
+        RequestFingerprint::of(&other)
+    );
+}
+
+#[parameterized(
+    empty = { "" },
+    short = { "0011" },
+    long = { "00112233445566778899aabbccddeeff0" },
+    sign = { "+0112233445566778899aabbccddeeff" },
+    not_hex = { "g0112233445566778899aabbccddeeff" },
+)]
+fn invalid_texts_are_rejected(text: &str) {
+    assert_eq!(text.parse::<RequestFingerprint>(), Err(InvalidFingerprint));
+}
+
+proptest! {
+    #[test]
+    fn a_displayed_fingerprint_parses_to_the_same_value(bytes: [u8; 16]) {
+        let fingerprint = RequestFingerprint::new(bytes);
+        prop_assert_eq!(fingerprint.to_string().parse::<RequestFingerprint>(), Ok(fingerprint));
+    }
+}
--- a/dockgate/src/gateway/gateway_gauges.rs
+++ b/dockgate/src/gateway/gateway_gauges.rs
@@ -115,7 +115,7 @@
             ] {
                 self.endpoints.with_label_values(&[name]).set(count);
             }
-            let quarantined = beliefs.suspects.quarantined(now);
+            let quarantined = beliefs.suspects.quarantined_count(now);
             self.quarantined.set(quarantined as i64);
             let loads = || beliefs.engines.iter();
             self.unread
