--- a/dockgate-bench/src/standin/peer.rs
+++ b/dockgate-bench/src/standin/peer.rs
@@ -1,7 +1,7 @@
 //! A stand-in for another box: it says that it lives and what it knows, and tells that when asked.
 
 use crate::error::BenchError;
-use dockgate_core::gateway::{BoxBeat, BoxStanding, StoreRevision};
+use dockgate_core::gateway::{BoxHeartbeat, BoxStatus, StoreRevision};
 use dockgate_core::{BoxKey, Incarnation};
 use dockgate_proto::{GatewayDatagram, GatewayMessage, StateAnswer, StateRequest, methods};
 use jsonrpsee::RpcModule;
@@ -47,9 +47,9 @@
             .endpoints
             .as_ref()
             .map_or(StoreRevision::NONE, |news| news.revision);
-        let beat = BoxBeat::new("peer", "a", own)
+        let beat = BoxHeartbeat::new("peer", "a", own)
             .state_address(own_state)
-            .standing(BoxStanding::new(4_000))
+            .status(BoxStatus::new(4_000))
             .known(config_version, endpoint_revision);
         let server = Server::builder().build(own_state).await.map_err(io)?;
         let server = server.start(state_module(answer, holds_config.clone()));
@@ -111,13 +111,13 @@
     StateAnswer { config, endpoints }
 }
 
-async fn keep_beating(socket: UdpSocket, to: SocketAddr, beat: BoxBeat) {
+async fn keep_beating(socket: UdpSocket, to: SocketAddr, beat: BoxHeartbeat) {
     for sequence in 1.. {
         let datagram = GatewayDatagram {
             from: BoxKey::from_name(&beat.name),
             incarnation: Incarnation(1),
-            message: GatewayMessage::Beat {
-                beat: beat.clone().sequence(sequence),
+            message: GatewayMessage::Heartbeat {
+                heartbeat: beat.clone().sequence(sequence),
                 shares: Vec::new(),
             },
         };
--- a/dockgate-core/benches/placing.rs
+++ b/dockgate-core/benches/placing.rs
@@ -9,7 +9,7 @@
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use dockgate_core::gateway::{
-    BoxBeat, BoxStanding, DigestScope, EndpointId, FleetView, best_homes,
+    BoxHeartbeat, BoxStatus, DigestScope, EndpointId, FleetView, best_homes,
 };
 use dockgate_core::{BoxKey, Incarnation};
 use std::hint::black_box;
@@ -26,18 +26,18 @@
     format!("domain-{}", index % DOMAINS)
 }
 
-fn beat(index: usize, sequence: u32) -> BoxBeat {
+fn beat(index: usize, sequence: u32) -> BoxHeartbeat {
     let address = SocketAddr::from(([10, 0, (index / 250) as u8, (index % 250) as u8], 7_400));
     let processor = if index < 3 * DOMAINS { 500 } else { 120 };
-    BoxBeat::new(&format!("box-{index}"), &domain(index), address)
-        .standing(BoxStanding::new(processor))
+    BoxHeartbeat::new(&format!("box-{index}"), &domain(index), address)
+        .status(BoxStatus::new(processor))
         .sequence(sequence)
 }
 
 fn fleet(boxes: usize) -> FleetView {
     let mut view = FleetView::new(beat(0, 1));
     for index in 1..boxes {
-        view.hear(beat(index, 1), Incarnation(1), NOW_MS);
+        view.receive_heartbeat(beat(index, 1), Incarnation(1), NOW_MS);
     }
     view
 }
@@ -74,7 +74,7 @@
         group.bench_function(BenchmarkId::from_parameter(boxes), |bencher| {
             bencher.iter(|| {
                 sequence += 1;
-                view.hear(black_box(beat(1, sequence)), Incarnation(1), NOW_MS)
+                view.receive_heartbeat(black_box(beat(1, sequence)), Incarnation(1), NOW_MS)
             });
         });
     }
@@ -86,7 +86,7 @@
     for boxes in BOXES {
         let view = fleet(boxes);
         group.bench_function(BenchmarkId::from_parameter(boxes), |bencher| {
-            bencher.iter(|| black_box(view.digest(DigestScope::Near, NOW_MS)));
+            bencher.iter(|| black_box(view.digest(DigestScope::SameDomain, NOW_MS)));
         });
     }
     group.finish();
--- a/dockgate-core/src/gateway.rs
+++ b/dockgate-core/src/gateway.rs
@@ -19,9 +19,9 @@
 
 mod admission;
 mod answer_rule;
-mod box_beat;
+mod box_heartbeat;
 mod broken_endpoints;
-mod domain_reach;
+mod domain_reachability;
 mod endpoint_book;
 mod endpoint_health;
 mod endpoint_notice;
@@ -39,6 +39,7 @@
 mod read_log;
 mod read_model;
 mod request_print;
+mod resume_gate;
 mod retry_budget;
 mod return_time;
 mod route_table;
@@ -48,21 +49,20 @@
 mod share_sums;
 mod share_tally;
 mod share_window;
-mod store_duty;
+mod store_follower;
 mod store_probe;
 mod store_revision;
 mod suspect_book;
-mod wake_gate;
 mod watch_check;
 mod work_shed;
 
 pub use admission::{AdmissionRule, EngineVerdict};
 pub use answer_rule::{AnswerOwner, AnswerSigns, AnswerVerdict};
-pub use box_beat::{
-    BoxBeat, BoxKnowledge, BoxReport, BoxRow, BoxStanding, DigestScope, DomainKey, FleetDigest,
+pub use box_heartbeat::{
+    BoxHeartbeat, BoxReport, BoxStatus, BoxSummary, DigestScope, DomainKey, FleetDigest, StateKind,
 };
 pub use broken_endpoints::{BreakNews, BrokenEndpoints};
-pub use domain_reach::DomainReach;
+pub use domain_reachability::DomainReachability;
 pub use endpoint_book::{
     EndpointBook, EndpointChange, EndpointEntry, EndpointNews, ExpiredNews, LearnedNews,
     ReadyEndpoint, RemovedEndpoint, ServiceOutlook, ToldDoubt, ToldEndpoint,
@@ -73,7 +73,7 @@
 pub use engine_load::{EngineLoad, EngineRun};
 pub use era_book::{EraBook, EraNews};
 pub use event_splitter::{EventSplitter, SplitEvent};
-pub use fleet_view::{BoxNews, FleetView, InformedBox};
+pub use fleet_view::{BoxChange, FleetView, StateSource};
 pub use home_order::{best_homes, home_subject, name_hash, owner_of_endpoint};
 pub use loop_lag::{LagChange, LoopLag};
 pub use notice_book::{NoticeBook, NoticeNews};
@@ -82,6 +82,7 @@
 pub use read_log::{DueReads, ReadLog};
 pub use read_model::{PromptWork, ReadModel, ReadSample, ReadSpeed};
 pub use request_print::{BadPrint, PrintSource, RequestPrint};
+pub use resume_gate::ResumeGate;
 pub use retry_budget::{RetryBudget, RetryRule};
 pub use return_time::{ReturnCause, return_time};
 pub use route_table::{
@@ -94,13 +95,12 @@
 pub use share_sums::ShareRow;
 pub use share_tally::{ShareOutcome, ShareTally, TallyRow};
 pub use share_window::ShareWindow;
-pub use store_duty::{OwnReach, StoreDuty, StoreWatchers};
-pub use store_probe::{ProbeNews, ProbeRule, StoreProbe};
+pub use store_follower::{StoreAccess, StoreFollower, StoreWatchers};
+pub use store_probe::{ProbeChange, ProbeTiming, StoreProbe};
 pub use store_revision::StoreRevision;
 pub use suspect_book::{
     Quarantine, QuarantineStage, SuspectBook, SuspectNews, SuspectRow, SuspectSign,
 };
-pub use wake_gate::WakeGate;
 pub use watch_check::WatchCheck;
 pub use work_shed::WorkShed;
 
--- a/dockgate-core/src/gateway/box_beat.rs
+++ b/dockgate-core/src/gateway/box_heartbeat.rs
@@ -5,11 +5,11 @@
 //! told in a circle keeps nobody alive.
 //!
 //! ```
-//! use dockgate_core::gateway::{BoxBeat, BoxStanding};
+//! use dockgate_core::gateway::{BoxHeartbeat, BoxStatus};
 //!
 //! let address = "10.0.0.7:7400".parse().unwrap();
-//! let beat = BoxBeat::new("a1", "hall-a", address).standing(BoxStanding::new(500));
-//! assert_eq!(beat.standing.processor, 500);
+//! let beat = BoxHeartbeat::new("a1", "hall-a", address).status(BoxStatus::new(500));
+//! assert_eq!(beat.status.processor, 500);
 //! ```
 
 use super::home_order::name_hash;
@@ -32,7 +32,7 @@
 
 /// How a box stands among those of its domain.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct BoxStanding {
+pub struct BoxStatus {
     /// Its part of a core, in thousandths.
     pub processor: u32,
     /// Whether it is about to stop.
@@ -42,10 +42,10 @@
     /// Whether it follows the store and reached it the last time.
     pub reaches_store: bool,
     /// How long before this saying the store last proved that it hears this box, in milliseconds.
-    pub store_age_ms: u32,
+    pub store_proof_age_ms: u32,
 }
 
-impl BoxStanding {
+impl BoxStatus {
     /// Makes the standing of a box that has just begun, with this many thousandths of a core.
     pub const fn new(processor: u32) -> Self {
         Self {
@@ -53,7 +53,7 @@
             leaving: false,
             behind: false,
             reaches_store: false,
-            store_age_ms: 0,
+            store_proof_age_ms: 0,
         }
     }
 
@@ -66,16 +66,16 @@
 
     /// Sets how long before the saying the store last proved that it hears the box.
     #[must_use]
-    pub const fn store_age_ms(mut self, age_ms: u32) -> Self {
-        self.store_age_ms = age_ms;
+    pub const fn store_proof_age_ms(mut self, age_ms: u32) -> Self {
+        self.store_proof_age_ms = age_ms;
         self
     }
 
     /// Returns when the store last proved that it hears the box, which said so at `said_ms`, if it
     /// follows the store and is heard.
-    pub const fn proof_ms(&self, said_ms: u64) -> Option<u64> {
+    pub const fn store_proof_ms(&self, said_ms: u64) -> Option<u64> {
         match self.reaches_store {
-            true => Some(said_ms.saturating_sub(self.store_age_ms as u64)),
+            true => Some(said_ms.saturating_sub(self.store_proof_age_ms as u64)),
             false => None,
         }
     }
@@ -97,14 +97,14 @@
 
 /// What one box may know more of than another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum BoxKnowledge {
+pub enum StateKind {
     /// The configuration.
     Config,
     /// The endpoints.
     Endpoints,
 }
 
-impl BoxKnowledge {
+impl StateKind {
     /// Returns the name, for logs and counters.
     pub const fn name(self) -> &'static str {
         match self {
@@ -116,7 +116,7 @@
 
 /// What a box says of itself.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct BoxBeat {
+pub struct BoxHeartbeat {
     /// Its name.
     pub name: String,
     /// Its failure domain.
@@ -126,7 +126,7 @@
     /// Where it tells what it knows.
     pub state_address: SocketAddr,
     /// How it stands.
-    pub standing: BoxStanding,
+    pub status: BoxStatus,
     /// The number of this saying within the life of the box.
     pub sequence: u32,
     /// The version of its configuration; 0 where it has none.
@@ -135,7 +135,7 @@
     pub endpoint_revision: StoreRevision,
 }
 
-impl BoxBeat {
+impl BoxHeartbeat {
     /// Makes the first beat of a box that takes datagrams at `address`, and tells its state there.
     pub fn new(name: &str, domain: &str, address: SocketAddr) -> Self {
         Self {
@@ -143,7 +143,7 @@
             domain: domain.to_owned(),
             address,
             state_address: address,
-            standing: BoxStanding::new(1_000),
+            status: BoxStatus::new(1_000),
             sequence: 1,
             config_version: 0,
             endpoint_revision: StoreRevision::NONE,
@@ -159,8 +159,8 @@
 
     /// Sets how it stands.
     #[must_use]
-    pub const fn standing(mut self, standing: BoxStanding) -> Self {
-        self.standing = standing;
+    pub const fn status(mut self, status: BoxStatus) -> Self {
+        self.status = status;
         self
     }
 
@@ -180,11 +180,11 @@
     }
 
     /// Returns how new its knowledge is: a version, as one of the first era, or a revision.
-    pub const fn known_of(&self, what: BoxKnowledge) -> StoreRevision {
+    pub const fn revision_of(&self, what: StateKind) -> StoreRevision {
         match what {
             // Versions never go back, whatever becomes of the store.
-            BoxKnowledge::Config => StoreRevision::new(0, self.config_version),
-            BoxKnowledge::Endpoints => self.endpoint_revision,
+            StateKind::Config => StoreRevision::new(0, self.config_version),
+            StateKind::Endpoints => self.endpoint_revision,
         }
     }
 
@@ -196,7 +196,7 @@
 
 /// A box as another one tells of it, in short.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct BoxRow {
+pub struct BoxSummary {
     /// The box.
     pub key: BoxKey,
     /// Its life.
@@ -208,7 +208,7 @@
     /// Where it takes datagrams; other domains need not know.
     pub address: Option<SocketAddr>,
     /// How it stands.
-    pub standing: BoxStanding,
+    pub status: BoxStatus,
 }
 
 /// A box as another one tells of it, in full.
@@ -219,20 +219,20 @@
     /// How long ago its newest saying was heard, in milliseconds.
     pub age_ms: u32,
     /// That saying.
-    pub beat: BoxBeat,
+    pub beat: BoxHeartbeat,
 }
 
 /// For whom a digest is made.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DigestScope {
     /// For a box of the sender's domain: sums of the whole fleet, all boxes of the domain.
-    Near,
+    SameDomain,
     /// For a coordinator of another domain: sums of the sender's domain.
-    Far,
+    OtherDomain,
     /// The same, and all boxes of the sender's domain.
-    FarList,
+    OtherDomainFull,
     /// For a box of another domain that looks for its own: just whom to ask.
-    Welcome,
+    Introduction,
 }
 
 /// What a box passes on of the fleet.
@@ -241,11 +241,11 @@
     /// For whom it is made.
     pub scope: DigestScope,
     /// What the sender says of itself.
-    pub sender: BoxBeat,
+    pub sender: BoxHeartbeat,
     /// The coordinators of all domains; none in what goes to those of another one.
     pub coordinators: Vec<BoxReport>,
     /// The other boxes of the sender's domain, or none where this is no list of them.
-    pub members: Vec<BoxRow>,
+    pub members: Vec<BoxSummary>,
     /// How many boxes of the fleet live, as far as the sender knows.
     pub live: u32,
     /// How many boxes of the fleet are remembered.
--- a/dockgate-core/src/gateway/broken_endpoints.rs
+++ b/dockgate-core/src/gateway/broken_endpoints.rs
@@ -7,7 +7,7 @@
 //! ```
 //! use dockgate_core::gateway::{BrokenEndpoints, EndpointId, RequestPrint};
 //!
-//! let (endpoint, print) = (EndpointId::of_life("e", Some(1)), RequestPrint::new([7; 16]));
+//! let (endpoint, print) = (EndpointId::of_lifetime("e", Some(1)), RequestPrint::new([7; 16]));
 //! let mut broken = BrokenEndpoints::default();
 //! assert!(broken.note_break(print, endpoint, "e", 1_000).is_open());
 //! assert_eq!(broken.note_ended(endpoint, 1_030), [print]);
--- a/dockgate-core/src/gateway/domain_reach.rs
+++ b/dockgate-core/src/gateway/domain_reachability.rs
@@ -6,15 +6,15 @@
 //! An endpoint that refuses a connection has answered: it is down, its domain is not.
 //!
 //! ```
-//! use dockgate_core::gateway::{DomainReach, EndpointId};
+//! use dockgate_core::gateway::{DomainReachability, EndpointId};
 //!
-//! let mut reach = DomainReach::default();
-//! reach.note_silent("hall-a", EndpointId(1));
-//! assert!(!reach.is_cut("hall-a"));
-//! reach.note_silent("hall-a", EndpointId(2));
-//! assert!(reach.is_cut("hall-a"));
-//! reach.note_answer("hall-a");
-//! assert!(!reach.is_cut("hall-a"));
+//! let mut reachability = DomainReachability::default();
+//! reachability.record_silence("hall-a", EndpointId(1));
+//! assert!(!reachability.is_unreachable("hall-a"));
+//! reachability.record_silence("hall-a", EndpointId(2));
+//! assert!(reachability.is_unreachable("hall-a"));
+//! reachability.record_answer("hall-a");
+//! assert!(!reachability.is_unreachable("hall-a"));
 //! ```
 
 use super::route_table::EndpointId;
@@ -22,35 +22,35 @@
 
 /// The failure domains with endpoints that were silent lately.
 #[derive(Debug, Clone, Default)]
-pub struct DomainReach {
+pub struct DomainReachability {
     silent: BTreeMap<String, BTreeSet<EndpointId>>,
 }
 
-impl DomainReach {
+impl DomainReachability {
     /// How many endpoints of a domain must be silent: one alone may be down.
-    pub const CUT_AT: usize = 2;
+    pub const MIN_SILENT_ENDPOINTS: usize = 2;
 
     /// Notes that a connection to an endpoint did not open, and was not refused either.
-    pub fn note_silent(&mut self, domain: &str, endpoint: EndpointId) {
+    pub fn record_silence(&mut self, domain: &str, endpoint: EndpointId) {
         let silent = self.silent.entry(domain.to_owned()).or_default();
         silent.insert(endpoint);
     }
 
     /// Notes that an endpoint of a domain was heard.
-    pub fn note_answer(&mut self, domain: &str) {
+    pub fn record_answer(&mut self, domain: &str) {
         self.silent.remove(domain);
     }
 
     /// Tells whether nothing of a domain can be reached.
-    pub fn is_cut(&self, domain: &str) -> bool {
+    pub fn is_unreachable(&self, domain: &str) -> bool {
         let silent = self.silent.get(domain);
-        silent.is_some_and(|silent| silent.len() >= Self::CUT_AT)
+        silent.is_some_and(|silent| silent.len() >= Self::MIN_SILENT_ENDPOINTS)
     }
 
     /// Lists the domains of which nothing can be reached.
-    pub fn cut(&self) -> impl Iterator<Item = &str> {
+    pub fn unreachable(&self) -> impl Iterator<Item = &str> {
         let domains = self.silent.keys().map(String::as_str);
-        domains.filter(|domain| self.is_cut(domain))
+        domains.filter(|domain| self.is_unreachable(domain))
     }
 }
 
--- a/dockgate-core/src/gateway/endpoint_book.rs
+++ b/dockgate-core/src/gateway/endpoint_book.rs
@@ -21,8 +21,8 @@
 pub use endpoint_news::{EndpointNews, LearnedNews, RemovedEndpoint, ToldDoubt, ToldEndpoint};
 pub use service_outlook::ServiceOutlook;
 
-use super::box_beat::DomainKey;
-use super::domain_reach::DomainReach;
+use super::box_heartbeat::DomainKey;
+use super::domain_reachability::DomainReachability;
 use super::endpoint_health::EndpointSign;
 use super::endpoint_notice::EndpointNotice;
 use super::notice_book::{NoticeBook, NoticeNews};
@@ -102,7 +102,7 @@
     ready: HashMap<String, Vec<ReadyEndpoint>>,
     memory: LifeMemory,
     notices: NoticeBook,
-    reach: DomainReach,
+    reach: DomainReachability,
     revision: StoreRevision,
     /// The revision of the last whole list that was taken in: what was removed before is not known.
     whole_at: StoreRevision,
@@ -384,7 +384,7 @@
     pub fn is_open(&self, id: EndpointId, now_ms: u64) -> bool {
         let entry = self.endpoints.get(&id);
         let is_trusted = entry.is_some_and(|entry| {
-            entry.health.is_open(now_ms) && !self.reach.is_cut(&entry.record.domain)
+            entry.health.is_open(now_ms) && !self.reach.is_unreachable(&entry.record.domain)
         });
         is_trusted && self.notices.may_send(id, now_ms)
     }
@@ -501,7 +501,7 @@
     }
 
     /// Returns which failure domains cannot be reached.
-    pub const fn reach(&self) -> &DomainReach {
+    pub const fn reach(&self) -> &DomainReachability {
         &self.reach
     }
 
@@ -511,8 +511,8 @@
             return;
         };
         match answered {
-            true => self.reach.note_answer(&entry.record.domain),
-            false => self.reach.note_silent(&entry.record.domain, id),
+            true => self.reach.record_answer(&entry.record.domain),
+            false => self.reach.record_silence(&entry.record.domain, id),
         }
     }
 }
--- a/dockgate-core/src/gateway/endpoint_book/era_tests.rs
+++ b/dockgate-core/src/gateway/endpoint_book/era_tests.rs
@@ -274,7 +274,7 @@
             endpoint.state == Some(EndpointState::Ready)
         });
         let ready: BTreeSet<EndpointId> = ready
-            .map(|(at, endpoint)| EndpointId::of_life(&format!("e{at}"), Some(endpoint.born_ms)))
+            .map(|(at, endpoint)| EndpointId::of_lifetime(&format!("e{at}"), Some(endpoint.born_ms)))
             .collect();
         for (at, known) in boxes.iter().enumerate() {
             prop_assert_eq!(&known.ready(), &ready, "box {}", at);
--- a/dockgate-core/src/gateway/fleet_view.rs
+++ b/dockgate-core/src/gateway/fleet_view.rs
@@ -7,42 +7,42 @@
 //! themselves for coordinators; that costs quality for a moment, and never a promise.
 
 mod digest;
-mod seen_box;
+mod known_box;
 
-use super::box_beat::{BoxBeat, BoxKnowledge, BoxStanding, DomainKey};
+use super::box_heartbeat::{BoxHeartbeat, BoxStatus, DomainKey, StateKind};
 use super::home_order::{owner_of_endpoint, pair_score};
 use super::route_table::EndpointId;
-use super::store_duty::StoreWatchers;
+use super::store_follower::StoreWatchers;
 use super::store_revision::StoreRevision;
 use crate::ids::{BoxKey, Incarnation};
-use seen_box::{BoxSign, SeenBox};
+use known_box::{KnownBox, LivenessReport};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
 /// What a sign of life says of its box.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum BoxNews {
+pub enum BoxChange {
     /// It was heard a moment ago.
     None,
     /// It was not heard for a while, or never.
-    Back,
+    Joined,
     /// It has begun anew and remembers nothing.
-    NewLife,
+    Restarted,
 }
 
 /// A box that knows more than this one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct InformedBox {
+pub struct StateSource {
     /// Where it tells what it knows.
     pub state_address: SocketAddr,
     /// Whether it is of the own failure domain.
-    pub is_near: bool,
+    pub is_same_domain: bool,
 }
 
 /// How many boxes another box counts.
 #[derive(Debug, Clone, Copy)]
-struct ToldCount {
+struct ReportedCount {
     live: u32,
     known: u32,
     at_ms: u64,
@@ -51,19 +51,19 @@
 /// The boxes that were heard.
 #[derive(Debug)]
 pub struct FleetView {
-    own: BoxBeat,
+    own: BoxHeartbeat,
     own_domain: DomainKey,
     /// When the store last proved that it hears this box, where this box follows it.
-    heard_store_ms: Option<u64>,
+    own_store_proof_ms: Option<u64>,
     /// When it last proved that it hears any box of the own domain that follows it.
-    proof_ms: Option<u64>,
-    others: BTreeMap<BoxKey, SeenBox>,
+    store_proof_ms: Option<u64>,
+    others: BTreeMap<BoxKey, KnownBox>,
     /// The boxes of each domain, whether they live or not, in the order in which they coordinate.
     ranks: BTreeMap<DomainKey, Vec<BoxKey>>,
     /// The names of the domains that were told of.
     domains: BTreeMap<DomainKey, String>,
     /// What other boxes count.
-    told: BTreeMap<BoxKey, ToldCount>,
+    reported_counts: BTreeMap<BoxKey, ReportedCount>,
 }
 
 impl FleetView {
@@ -77,38 +77,38 @@
     /// The same for a box of another domain, of which just lists tell, in milliseconds: three of them and a
     /// bit. What it has at engines is believed to be there for as long; with the list in each digest,
     /// bytes between domains were a third more at 18 boxes. Who coordinates is not taken from lists.
-    pub const FAR_GONE_AFTER_MS: u64 = 4_000;
+    pub const REMOTE_GONE_AFTER_MS: u64 = 4_000;
     /// Of how many digests for other domains one lists all boxes of the own one.
-    pub const LIST_EVERY: u32 = 4;
+    pub const FULL_DIGEST_INTERVAL: u32 = 4;
     /// After how long without a sign of any of its boxes a failure domain is looked after, in
     /// milliseconds: two beats and a bit.
-    const SUSPECT_AFTER_MS: u64 = 650;
+    const SILENT_AFTER_MS: u64 = 650;
     /// How long a box counts as one that the store hears after it last was, in milliseconds: the longest
     /// time between two probes, for an answer, a beat and a digest, of which one is lost. One that knows
     /// that it is not heard says so at once; this is for those that cannot say it.
-    const PROOF_KEPT_MS: u64 = 2_000;
+    const PROOF_VALID_MS: u64 = 2_000;
     /// After how long without a sign of life a box is forgotten, in milliseconds.
     const FORGET_AFTER_MS: u64 = 60_000;
 
     /// Makes a view of a fleet of which just this box is known.
-    pub fn new(own: BoxBeat) -> Self {
+    pub fn new(own: BoxHeartbeat) -> Self {
         let own_domain = DomainKey::from_name(&own.domain);
         let mut view = Self {
             domains: BTreeMap::from([(own_domain, own.domain.clone())]),
             own,
             own_domain,
-            heard_store_ms: None,
-            proof_ms: None,
+            own_store_proof_ms: None,
+            store_proof_ms: None,
             others: BTreeMap::new(),
             ranks: BTreeMap::new(),
-            told: BTreeMap::new(),
+            reported_counts: BTreeMap::new(),
         };
         view.rank();
         view
     }
 
     /// Returns what this box says of itself.
-    pub const fn own(&self) -> &BoxBeat {
+    pub const fn own(&self) -> &BoxHeartbeat {
         &self.own
     }
 
@@ -118,112 +118,124 @@
     }
 
     /// Sets what this box knows.
-    pub const fn set_known(&mut self, config_version: u64, endpoint_revision: StoreRevision) {
+    pub const fn set_revisions(&mut self, config_version: u64, endpoint_revision: StoreRevision) {
         self.own.config_version = config_version;
         self.own.endpoint_revision = endpoint_revision;
     }
 
     /// Sets when the store last proved that it hears this box; none where this box does not follow it, or
     /// did not reach it the last time.
-    pub fn set_heard_store(&mut self, heard_ms: Option<u64>) {
-        self.own.standing.reaches_store = heard_ms.is_some();
-        self.heard_store_ms = heard_ms;
-        self.proof_ms = self.proof_ms.max(heard_ms);
+    pub fn set_store_proof(&mut self, last_seen_ms: Option<u64>) {
+        self.own.status.reaches_store = last_seen_ms.is_some();
+        self.own_store_proof_ms = last_seen_ms;
+        self.store_proof_ms = self.store_proof_ms.max(last_seen_ms);
     }
 
     /// Returns how old the newest proof is, of this box or of one of its domain, that the store's changes
     /// are heard, in milliseconds; none where nobody here was heard yet.
     pub fn store_proof_age_ms(&self, now_ms: u64) -> Option<u64> {
-        self.proof_ms.map(|proof| now_ms.saturating_sub(proof))
+        self.store_proof_ms
+            .map(|proof| now_ms.saturating_sub(proof))
     }
 
     /// Returns when the store last proved that it hears a box of this domain, if this box knows as much as those that
     /// are heard.
     pub fn agreed_proof_ms(&self, now_ms: u64) -> Option<u64> {
-        let lacks = |what| self.better_informed(what, None, now_ms).is_some();
-        let is_behind = lacks(BoxKnowledge::Config) || lacks(BoxKnowledge::Endpoints);
-        self.proof_ms.filter(|_| !is_behind)
+        let lacks = |what| self.find_state_source(what, None, now_ms).is_some();
+        let is_behind = lacks(StateKind::Config) || lacks(StateKind::Endpoints);
+        self.store_proof_ms.filter(|_| !is_behind)
     }
 
     /// Sets whether this box falls behind with its work: others then coordinate in its place.
     pub fn set_behind(&mut self, behind: bool) {
-        if self.own.standing.behind != behind {
-            self.own.standing.behind = behind;
+        if self.own.status.behind != behind {
+            self.own.status.behind = behind;
             self.rank();
         }
     }
 
     /// Notes that this box is about to stop.
     pub fn set_leaving(&mut self) {
-        self.own.standing.leaving = true;
+        self.own.status.leaving = true;
         self.rank();
     }
 
     /// Counts what this box says: the next beat or digest is newer than the last one, and as old as its
     /// proof that the store is heard is now.
-    pub const fn count_saying(&mut self, now_ms: u64) {
+    pub const fn advance_sequence(&mut self, now_ms: u64) {
         self.own.sequence = self.own.sequence.wrapping_add(1);
-        self.own.standing.store_age_ms = match self.heard_store_ms {
-            Some(heard_ms) => now_ms.saturating_sub(heard_ms) as u32,
+        self.own.status.store_proof_age_ms = match self.own_store_proof_ms {
+            Some(last_seen_ms) => now_ms.saturating_sub(last_seen_ms) as u32,
             None => 0,
         };
     }
 
     /// Takes a beat in; returns what it says of its sender.
-    pub fn hear(&mut self, beat: BoxBeat, incarnation: Incarnation, now_ms: u64) -> BoxNews {
-        self.note_domain(&beat.domain);
-        let (news, moved) = self.note(BoxSign::of_beat(beat, incarnation, now_ms), now_ms);
+    pub fn receive_heartbeat(
+        &mut self,
+        beat: BoxHeartbeat,
+        incarnation: Incarnation,
+        now_ms: u64,
+    ) -> BoxChange {
+        self.record_domain(&beat.domain);
+        let (news, moved) = self.record(
+            LivenessReport::from_heartbeat(beat, incarnation, now_ms),
+            now_ms,
+        );
         if moved {
             self.rank();
         }
         news
     }
 
-    fn note_domain(&mut self, name: &str) {
+    fn record_domain(&mut self, name: &str) {
         let key = DomainKey::from_name(name);
         self.domains.entry(key).or_insert_with(|| name.to_owned());
     }
 
     /// Notes a sign of life; returns what it says of the box, and whether the order of its domain may
     /// have changed.
-    fn note(&mut self, sign: BoxSign, now_ms: u64) -> (BoxNews, bool) {
+    fn record(&mut self, sign: LivenessReport, now_ms: u64) -> (BoxChange, bool) {
         if sign.key == self.me() {
-            return (BoxNews::None, false);
+            return (BoxChange::None, false);
         }
         let seen = self.others.get(&sign.key);
         let news = match seen {
             // Too old to say that it lives.
-            None if sign.at_ms + Self::GONE_AFTER_MS < now_ms => return (BoxNews::None, false),
-            None => BoxNews::Back,
+            None if sign.at_ms + Self::GONE_AFTER_MS < now_ms => return (BoxChange::None, false),
+            None => BoxChange::Joined,
             // One that is late may bring back the life before; the next beat ends that.
             Some(seen) if seen.incarnation != sign.incarnation => {
-                match sign.at_ms > seen.heard_ms {
-                    true => BoxNews::NewLife,
-                    false => return (BoxNews::None, false),
+                match sign.at_ms > seen.last_seen_ms {
+                    true => BoxChange::Restarted,
+                    false => return (BoxChange::None, false),
                 }
             }
-            Some(seen) if sign.sequence <= seen.sequence => return self.complete(sign),
-            Some(seen) if self.gone_ms(seen) < now_ms => BoxNews::Back,
-            Some(_) => BoxNews::None,
+            Some(seen) if sign.sequence <= seen.sequence => return self.fill_gaps(sign),
+            Some(seen) if self.gone_ms(seen) < now_ms => BoxChange::Joined,
+            Some(_) => BoxChange::None,
         };
         let moved = seen.is_none_or(|seen| {
-            let ranks_by = |of: BoxStanding| (of.leaving, of.behind, of.processor);
-            ranks_by(seen.standing) != ranks_by(sign.standing)
+            let ranks_by = |of: BoxStatus| (of.leaving, of.behind, of.processor);
+            ranks_by(seen.status) != ranks_by(sign.status)
                 || seen.domain != sign.domain
                 || (seen.address.is_none() && sign.address.is_some())
         });
-        let is_near = sign.domain == self.own_domain;
-        let proof_ms = sign.standing.proof_ms(sign.at_ms).filter(|_| is_near);
-        self.proof_ms = self.proof_ms.max(proof_ms);
-        let known = seen.filter(|_| news != BoxNews::NewLife);
+        let is_same_domain = sign.domain == self.own_domain;
+        let store_proof_ms = sign
+            .status
+            .store_proof_ms(sign.at_ms)
+            .filter(|_| is_same_domain);
+        self.store_proof_ms = self.store_proof_ms.max(store_proof_ms);
+        let known = seen.filter(|_| news != BoxChange::Restarted);
         let address = sign.address.or_else(|| seen.and_then(|seen| seen.address));
-        let seen = SeenBox {
+        let seen = KnownBox {
             domain: sign.domain,
             incarnation: sign.incarnation,
             sequence: sign.sequence,
-            heard_ms: sign.at_ms,
+            last_seen_ms: sign.at_ms,
             address,
-            standing: sign.standing,
+            status: sign.status,
             beat: sign
                 .beat
                 .or_else(|| known.and_then(|seen| seen.beat.clone())),
@@ -233,33 +245,33 @@
     }
 
     /// Takes from a sign that is not new what was not told of its box before.
-    fn complete(&mut self, sign: BoxSign) -> (BoxNews, bool) {
+    fn fill_gaps(&mut self, sign: LivenessReport) -> (BoxChange, bool) {
         let Some(seen) = self.others.get_mut(&sign.key) else {
-            return (BoxNews::None, false);
+            return (BoxChange::None, false);
         };
         let moved = seen.address.is_none() && sign.address.is_some();
         seen.address = seen.address.or(sign.address);
         if seen.beat.is_none() {
             seen.beat = sign.beat;
         }
-        (BoxNews::None, moved)
+        (BoxChange::None, moved)
     }
 
     /// Puts the boxes of each domain in the order in which they coordinate: those that keep up first,
     /// then by their processor.
     fn rank(&mut self) {
-        type BoxRank = (bool, Reverse<u32>, BoxKey);
-        let rank = |key: BoxKey, standing: BoxStanding| -> BoxRank {
-            (standing.behind, Reverse(standing.processor), key)
+        type RankKey = (bool, Reverse<u32>, BoxKey);
+        let rank = |key: BoxKey, status: BoxStatus| -> RankKey {
+            (status.behind, Reverse(status.processor), key)
         };
-        let mut domains: BTreeMap<DomainKey, Vec<BoxRank>> = BTreeMap::new();
-        let me = (self.me(), self.own_domain, self.own.standing);
+        let mut domains: BTreeMap<DomainKey, Vec<RankKey>> = BTreeMap::new();
+        let me = (self.me(), self.own_domain, self.own.status);
         let others = self.others.iter();
         let others = others.filter(|(_, seen)| seen.address.is_some());
-        let others = others.map(|(key, seen)| (*key, seen.domain, seen.standing));
-        for (key, domain, standing) in std::iter::once(me).chain(others) {
-            if !standing.leaving {
-                domains.entry(domain).or_default().push(rank(key, standing));
+        let others = others.map(|(key, seen)| (*key, seen.domain, seen.status));
+        for (key, domain, status) in std::iter::once(me).chain(others) {
+            if !status.leaving {
+                domains.entry(domain).or_default().push(rank(key, status));
             }
         }
         let sorted = domains.into_iter().map(|(domain, mut ranks)| {
@@ -278,8 +290,8 @@
             .collect();
         let remembered = self.others.len();
         self.others
-            .retain(|_, seen| seen.heard_ms + Self::FORGET_AFTER_MS > now_ms);
-        self.told
+            .retain(|_, seen| seen.last_seen_ms + Self::FORGET_AFTER_MS > now_ms);
+        self.reported_counts
             .retain(|_, told| told.at_ms + Self::FORGET_AFTER_MS > now_ms);
         if remembered != self.others.len() {
             self.rank();
@@ -288,15 +300,15 @@
     }
 
     /// When a box counts as gone, unless it is heard of again.
-    fn gone_ms(&self, seen: &SeenBox) -> u64 {
+    fn gone_ms(&self, seen: &KnownBox) -> u64 {
         let after_ms = match seen.domain == self.own_domain {
             true => Self::GONE_AFTER_MS,
-            false => Self::FAR_GONE_AFTER_MS,
+            false => Self::REMOTE_GONE_AFTER_MS,
         };
-        seen.heard_ms + after_ms
+        seen.last_seen_ms + after_ms
     }
 
-    fn live(&self, now_ms: u64) -> impl Iterator<Item = (BoxKey, &SeenBox)> {
+    fn live(&self, now_ms: u64) -> impl Iterator<Item = (BoxKey, &KnownBox)> {
         let others = self.others.iter();
         others
             .filter(move |(_, seen)| self.gone_ms(seen) >= now_ms)
@@ -309,32 +321,32 @@
         seen.map_or_else(|| key == self.me(), |seen| self.gone_ms(seen) >= now_ms)
     }
 
-    fn is_heard(&self, key: BoxKey, now_ms: u64) -> bool {
+    fn is_responsive(&self, key: BoxKey, now_ms: u64) -> bool {
         let seen = self.others.get(&key);
-        seen.map_or_else(|| key == self.me(), |seen| seen.is_heard(now_ms))
+        seen.map_or_else(|| key == self.me(), |seen| seen.is_responsive(now_ms))
     }
 
     /// Returns how many boxes live, this one included: what this box sees, or more if another one that
     /// is heard counts more.
     pub fn live_count(&self, now_ms: u64) -> u32 {
-        let told = self.told.values();
+        let told = self.reported_counts.values();
         let told = told.filter(|told| told.at_ms + Self::GONE_AFTER_MS >= now_ms);
         let told = told.map(|told| told.live).max();
-        told.unwrap_or(0).max(self.seen_count(now_ms))
+        told.unwrap_or(0).max(self.own_live_count(now_ms))
     }
 
-    fn seen_count(&self, now_ms: u64) -> u32 {
+    fn own_live_count(&self, now_ms: u64) -> u32 {
         1 + self.live(now_ms).count() as u32
     }
 
     /// Returns how many boxes are remembered, this one included: those that are silent now may
     /// still send.
     pub fn known_count(&self) -> u32 {
-        let told = self.told.values().map(|told| told.known).max();
-        told.unwrap_or(0).max(self.remembered_count())
+        let told = self.reported_counts.values().map(|told| told.known).max();
+        told.unwrap_or(0).max(self.own_known_count())
     }
 
-    fn remembered_count(&self) -> u32 {
+    fn own_known_count(&self) -> u32 {
         1 + self.others.len() as u32
     }
 
@@ -361,7 +373,7 @@
     }
 
     /// Tells whether this box knows more of another one than that it lives.
-    pub fn is_told_in_full(&self, key: BoxKey) -> bool {
+    pub fn has_heartbeat(&self, key: BoxKey) -> bool {
         let seen = self.others.get(&key);
         seen.is_some_and(|seen| seen.beat.is_some())
     }
@@ -370,7 +382,7 @@
     fn coordinators_of(&self, domain: DomainKey, now_ms: u64) -> impl Iterator<Item = BoxKey> {
         let ranks = self.ranks.get(&domain).into_iter().flatten().copied();
         ranks
-            .filter(move |key| self.is_heard(*key, now_ms))
+            .filter(move |key| self.is_responsive(*key, now_ms))
             .take(Self::COORDINATORS)
     }
 
@@ -391,13 +403,13 @@
     ///
     /// A coordinator also tries one that is silent, by `draw`: two parts of a domain that lost their
     /// coordinators at the same time may each have found others.
-    pub fn beat_targets(&self, now_ms: u64, draw: usize) -> Vec<SocketAddr> {
+    pub fn heartbeat_targets(&self, now_ms: u64, draw: usize) -> Vec<SocketAddr> {
         let me = self.me();
         let heard = self.coordinators_of(self.own_domain, now_ms);
         let heard: Vec<BoxKey> = heard.filter(|key| *key != me).collect();
         let silent = || {
             let ranks = self.ranks.get(&self.own_domain).into_iter().flatten();
-            let silent = ranks.filter(|key| !self.is_heard(**key, now_ms));
+            let silent = ranks.filter(|key| !self.is_responsive(**key, now_ms));
             silent.copied().collect::<Vec<BoxKey>>()
         };
         let targets = match (heard.is_empty(), self.coordinates(now_ms)) {
@@ -416,7 +428,7 @@
 
     /// Lists where the coordinators of the other failure domains take datagrams; of a domain where none
     /// is heard those that are remembered, or two sides of a cut would wait for each other.
-    pub fn far_coordinators(&self, now_ms: u64) -> Vec<SocketAddr> {
+    pub fn remote_coordinators(&self, now_ms: u64) -> Vec<SocketAddr> {
         let far = self.ranks.iter();
         let far = far.filter(|(domain, _)| **domain != self.own_domain);
         let far = far.flat_map(|(domain, ranks)| {
@@ -430,7 +442,7 @@
     }
 
     /// Tells whether another box of the own failure domain is heard.
-    pub fn hears_own_domain(&self, now_ms: u64) -> bool {
+    pub fn has_live_domain_peer(&self, now_ms: u64) -> bool {
         self.live(now_ms)
             .any(|(_, seen)| seen.domain == self.own_domain)
     }
@@ -457,14 +469,14 @@
         let ranks = self.ranks.get(&self.own_domain).into_iter().flatten();
         let heard = |key: &BoxKey| {
             let seen = self.others.get(key);
-            seen.filter(|seen| seen.is_heard(now_ms))
+            seen.filter(|seen| seen.is_responsive(now_ms))
         };
-        let reaches = |seen: &SeenBox| {
-            let proof_ms = seen.standing.proof_ms(seen.heard_ms);
-            proof_ms.is_some_and(|proof| proof + Self::PROOF_KEPT_MS >= now_ms)
+        let reaches = |seen: &KnownBox| {
+            let store_proof_ms = seen.status.store_proof_ms(seen.last_seen_ms);
+            store_proof_ms.is_some_and(|proof| proof + Self::PROOF_VALID_MS >= now_ms)
         };
         let others = ranks.clone().filter_map(heard);
-        let before: Vec<&SeenBox> = ranks
+        let before: Vec<&KnownBox> = ranks
             .take_while(|key| **key != me)
             .filter_map(heard)
             .collect();
@@ -472,16 +484,16 @@
             reaching: others.filter(|seen| reaches(seen)).count(),
             reaching_before: before.iter().filter(|seen| reaches(seen)).count(),
             before: before.len(),
-            is_heard: self.hears_own_domain(now_ms),
+            has_live_peer: self.has_live_domain_peer(now_ms),
         }
     }
 
     /// Lists the other failure domains whose boxes were all heard before and are all silent now.
     pub fn silent_domains(&self, now_ms: u64) -> BTreeSet<String> {
         let others = self.others.values();
-        let others = others.filter(|seen| !seen.standing.leaving && seen.domain != self.own_domain);
+        let others = others.filter(|seen| !seen.status.leaving && seen.domain != self.own_domain);
         let (silent, heard): (Vec<_>, Vec<_>) =
-            others.partition(|seen| seen.heard_ms + Self::SUSPECT_AFTER_MS < now_ms);
+            others.partition(|seen| seen.last_seen_ms + Self::SILENT_AFTER_MS < now_ms);
         let mut domains: BTreeSet<DomainKey> = silent.iter().map(|seen| seen.domain).collect();
         for seen in heard {
             domains.remove(&seen.domain);
@@ -496,26 +508,26 @@
     /// domains, and what it lacks itself is asked for next. Of several that know the same, boxes of one
     /// domain ask different ones, so that a change which two boxes saw is not asked of one of them by
     /// all others. One to `avoid` is asked where nobody else knows more.
-    pub fn better_informed(
+    pub fn find_state_source(
         &self,
-        what: BoxKnowledge,
+        what: StateKind,
         avoid: Option<SocketAddr>,
         now_ms: u64,
-    ) -> Option<InformedBox> {
-        let own = self.own.known_of(what);
+    ) -> Option<StateSource> {
+        let own = self.own.revision_of(what);
         let heard = self.others.iter();
-        let heard = heard.filter(|(_, seen)| seen.is_heard(now_ms));
+        let heard = heard.filter(|(_, seen)| seen.is_responsive(now_ms));
         let told = heard.filter_map(|(key, seen)| Some((*key, seen.beat.as_ref()?)));
-        let better = told.filter(|(_, beat)| beat.known_of(what) > own);
+        let better = told.filter(|(_, beat)| beat.revision_of(what) > own);
         let me = self.me();
         let best = better.max_by_key(|(key, beat)| {
             let answers = Some(beat.state_address) != avoid;
             let near = beat.domain == self.own.domain;
-            (answers, near, beat.known_of(what), pair_score(me, *key))
+            (answers, near, beat.revision_of(what), pair_score(me, *key))
         });
-        best.map(|(_, beat)| InformedBox {
+        best.map(|(_, beat)| StateSource {
             state_address: beat.state_address,
-            is_near: beat.domain == self.own.domain,
+            is_same_domain: beat.domain == self.own.domain,
         })
     }
 }
--- a/dockgate-core/src/gateway/fleet_view/fleet_tests.rs
+++ b/dockgate-core/src/gateway/fleet_view/fleet_tests.rs
@@ -1,7 +1,7 @@
 //! Whole fleets without a network: what boxes say is lost, late and doubled, and boxes die, begin anew
 //! and are cut off meanwhile.
 
-use super::super::box_beat::{DigestScope, FleetDigest};
+use super::super::box_heartbeat::{DigestScope, FleetDigest};
 use super::*;
 use proptest::prelude::*;
 
@@ -16,7 +16,7 @@
 
 #[derive(Debug, Clone)]
 enum Saying {
-    Beat(BoxBeat),
+    Beat(BoxHeartbeat),
     Digest(FleetDigest),
 }
 
@@ -109,25 +109,25 @@
         let incarnation = member.incarnation;
         member.next_ms = now + BEAT_MS;
         member.view.expire(now.saturating_sub(BEAT_MS), now);
-        member.view.count_saying(now);
+        member.view.advance_sequence(now);
         let beat = member.view.own().clone();
-        let mut targets = member.view.beat_targets(now, draw);
+        let mut targets = member.view.heartbeat_targets(now, draw);
         // Two boxes of the first domain are the seeds.
         let coordinates = member.view.coordinates(now);
-        if !member.view.hears_own_domain(now)
-            || (coordinates && member.view.far_coordinators(now).is_empty())
+        if !member.view.has_live_domain_peer(now)
+            || (coordinates && member.view.remote_coordinators(now).is_empty())
         {
             targets.extend([address_of(0), address_of(1)]);
         }
         let far = coordinates.then(|| {
-            member.view.count_saying(now);
+            member.view.advance_sequence(now);
             member.rounds += 1;
-            let scope = match member.rounds % FleetView::LIST_EVERY {
-                0 => DigestScope::FarList,
-                _ => DigestScope::Far,
+            let scope = match member.rounds % FleetView::FULL_DIGEST_INTERVAL {
+                0 => DigestScope::OtherDomainFull,
+                _ => DigestScope::OtherDomain,
             };
             let digest = member.view.digest(scope, now);
-            (member.view.far_coordinators(now), digest)
+            (member.view.remote_coordinators(now), digest)
         });
         for to in targets {
             self.send(index, to, incarnation, &Saying::Beat(beat.clone()));
@@ -175,17 +175,17 @@
             match datagram.saying {
                 Saying::Beat(beat) => {
                     let scope = match beat.domain == view.own().domain {
-                        true => DigestScope::Near,
-                        false => DigestScope::Welcome,
+                        true => DigestScope::SameDomain,
+                        false => DigestScope::Introduction,
                     };
-                    view.hear(beat, datagram.incarnation, now);
-                    view.count_saying(now);
+                    view.receive_heartbeat(beat, datagram.incarnation, now);
+                    view.advance_sequence(now);
                     let digest = view.digest(scope, now);
                     let incarnation = self.boxes[to].incarnation;
                     self.send(to, datagram.from, incarnation, &Saying::Digest(digest));
                 }
                 Saying::Digest(digest) => {
-                    view.hear_digest(digest, datagram.incarnation, now);
+                    view.receive_digest(digest, datagram.incarnation, now);
                 }
             }
         }
@@ -225,7 +225,7 @@
             let mut best: Vec<_> = of_domain
                 .map(|member| {
                     (
-                        Reverse(member.view.own().standing.processor),
+                        Reverse(member.view.own().status.processor),
                         member.view.me(),
                     )
                 })
@@ -244,8 +244,8 @@
 fn first_view(index: usize, domains: usize) -> FleetView {
     let domain = format!("d{}", index % domains);
     let processor = if index / domains < 3 { 500 } else { 120 };
-    let beat = BoxBeat::new(&format!("box-{index}"), &domain, address_of(index));
-    FleetView::new(beat.standing(BoxStanding::new(processor)))
+    let beat = BoxHeartbeat::new(&format!("box-{index}"), &domain, address_of(index));
+    FleetView::new(beat.status(BoxStatus::new(processor)))
 }
 
 #[test]
@@ -264,7 +264,7 @@
         fleet.run(3_000);
         let now = fleet.now_ms;
         let boxes = fleet.boxes.iter();
-        let targets = boxes.map(|member| member.view.beat_targets(now, 0).len());
+        let targets = boxes.map(|member| member.view.heartbeat_targets(now, 0).len());
         targets.max().unwrap()
     };
     assert_eq!(largest_targets(30), FleetView::COORDINATORS);
@@ -345,7 +345,7 @@
         fleet.run(AGREED_MS);
         fleet.check_coordinators(domains);
         // Who lives elsewhere is known a little later.
-        fleet.run(FleetView::FAR_GONE_AFTER_MS);
+        fleet.run(FleetView::REMOTE_GONE_AFTER_MS);
         // With datagrams lost, a box may be missed for the moment of the look.
         fleet.lost = 0;
         fleet.run(5 * BEAT_MS + LATE_MS);
--- a/dockgate-core/src/gateway/fleet_view/seen_box.rs
+++ b/dockgate-core/src/gateway/fleet_view/known_box.rs
@@ -1,25 +1,25 @@
 //! What a box remembers of another one, and the signs of life from which it learns it.
 
-use super::super::box_beat::{BoxBeat, BoxRow, BoxStanding, DomainKey};
+use super::super::box_heartbeat::{BoxHeartbeat, BoxStatus, BoxSummary, DomainKey};
 use super::FleetView;
 use crate::ids::{BoxKey, Incarnation};
 use std::net::SocketAddr;
 
 /// One sign of life of a box, by whatever way.
 #[derive(Debug, Clone)]
-pub(super) struct BoxSign {
+pub(super) struct LivenessReport {
     pub(super) key: BoxKey,
     pub(super) domain: DomainKey,
     pub(super) incarnation: Incarnation,
     pub(super) sequence: u32,
     pub(super) at_ms: u64,
     pub(super) address: Option<SocketAddr>,
-    pub(super) standing: BoxStanding,
-    pub(super) beat: Option<BoxBeat>,
+    pub(super) status: BoxStatus,
+    pub(super) beat: Option<BoxHeartbeat>,
 }
 
-impl BoxSign {
-    pub(super) fn of_beat(beat: BoxBeat, incarnation: Incarnation, at_ms: u64) -> Self {
+impl LivenessReport {
+    pub(super) fn from_heartbeat(beat: BoxHeartbeat, incarnation: Incarnation, at_ms: u64) -> Self {
         Self {
             key: beat.key(),
             domain: DomainKey::from_name(&beat.domain),
@@ -27,12 +27,12 @@
             sequence: beat.sequence,
             at_ms,
             address: Some(beat.address),
-            standing: beat.standing,
+            status: beat.status,
             beat: Some(beat),
         }
     }
 
-    pub(super) const fn of_row(row: &BoxRow, domain: DomainKey, now_ms: u64) -> Self {
+    pub(super) const fn from_summary(row: &BoxSummary, domain: DomainKey, now_ms: u64) -> Self {
         Self {
             key: row.key,
             domain,
@@ -40,7 +40,7 @@
             sequence: row.sequence,
             at_ms: now_ms.saturating_sub(row.age_ms as u64),
             address: row.address,
-            standing: row.standing,
+            status: row.status,
             beat: None,
         }
     }
@@ -48,25 +48,25 @@
 
 /// A box as its newest sign of life tells of it.
 #[derive(Debug, Clone)]
-pub(super) struct SeenBox {
+pub(super) struct KnownBox {
     pub(super) domain: DomainKey,
     pub(super) incarnation: Incarnation,
     pub(super) sequence: u32,
-    pub(super) heard_ms: u64,
+    pub(super) last_seen_ms: u64,
     pub(super) address: Option<SocketAddr>,
-    pub(super) standing: BoxStanding,
+    pub(super) status: BoxStatus,
     /// What it said of itself, where that was told in full.
-    pub(super) beat: Option<BoxBeat>,
+    pub(super) beat: Option<BoxHeartbeat>,
 }
 
-impl SeenBox {
+impl KnownBox {
     /// Tells whether it was heard of a moment ago, so that it may be spoken to.
-    pub(super) const fn is_heard(&self, now_ms: u64) -> bool {
-        self.heard_ms + FleetView::GONE_AFTER_MS >= now_ms
+    pub(super) const fn is_responsive(&self, now_ms: u64) -> bool {
+        self.last_seen_ms + FleetView::GONE_AFTER_MS >= now_ms
     }
 
     /// Returns how long ago it was heard of, in milliseconds.
     pub(super) const fn age_ms(&self, now_ms: u64) -> u32 {
-        now_ms.saturating_sub(self.heard_ms) as u32
+        now_ms.saturating_sub(self.last_seen_ms) as u32
     }
 }
--- a/dockgate-core/src/gateway/fleet_view/store_tests.rs
+++ b/dockgate-core/src/gateway/fleet_view/store_tests.rs
@@ -4,7 +4,7 @@
 
 use super::fleet_tests::{Fleet, Luck, index_of};
 use super::*;
-use crate::gateway::{OwnReach, ProbeRule, StoreDuty, StoreProbe};
+use crate::gateway::{ProbeTiming, StoreAccess, StoreFollower, StoreProbe};
 use proptest::prelude::*;
 
 /// Within which time every box has to know of a change, in milliseconds.
@@ -24,7 +24,7 @@
 
 /// What a box does about the store.
 struct StoreMember {
-    duty: StoreDuty,
+    duty: StoreFollower,
     probe: StoreProbe,
     follows: bool,
     probes: bool,
@@ -48,7 +48,7 @@
 impl StoreMember {
     fn new(luck: &mut Luck) -> Self {
         Self {
-            duty: StoreDuty::default(),
+            duty: StoreFollower::default(),
             probe: StoreProbe::default(),
             follows: false,
             probes: false,
@@ -70,7 +70,7 @@
     fleet: Fleet,
     members: Vec<StoreMember>,
     luck: Luck,
-    rule: ProbeRule,
+    rule: ProbeTiming,
     /// When each change was made.
     changes: Vec<u64>,
 }
@@ -82,7 +82,7 @@
             fleet: Fleet::new(count, domains, 0, seed),
             members: (0..count).map(|_| StoreMember::new(&mut luck)).collect(),
             luck,
-            rule: ProbeRule::within(BOUND_MS),
+            rule: ProbeTiming::within(BOUND_MS),
             changes: Vec::new(),
         }
     }
@@ -115,19 +115,19 @@
             self.ask(index, now);
         }
         let known = self.members[index].known;
-        self.fleet.boxes[index].view.set_known(1, known.into());
+        self.fleet.boxes[index].view.set_revisions(1, known.into());
     }
 
     fn decide_role(&mut self, index: usize, now: u64) {
         let view = &self.fleet.boxes[index].view;
         let others = view.store_watchers(now);
         let member = &mut self.members[index];
-        let own = OwnReach {
-            follows: view.own().standing.reaches_store,
+        let own = StoreAccess {
+            follows: view.own().status.reaches_store,
             answered_since_ms: member.probe.answered_since_ms(),
         };
-        member.follows = member.duty.is_due(others, own, now);
-        member.probes = member.duty.probes(others, own, now);
+        member.follows = member.duty.must_follow(others, own, now);
+        member.probes = member.duty.must_probe(others, own, now);
         if !member.follows {
             member.listed = false;
         }
@@ -140,11 +140,11 @@
 
     fn tell_reach(&mut self, index: usize) {
         let member = &self.members[index];
-        let proof_ms = member.probe.proof_ms().filter(|_| member.listed);
+        let store_proof_ms = member.probe.proof_ms().filter(|_| member.listed);
         let view = &mut self.fleet.boxes[index].view;
-        let before = view.own().standing.reaches_store;
-        view.set_heard_store(proof_ms);
-        if before != proof_ms.is_some() {
+        let before = view.own().status.reaches_store;
+        view.set_store_proof(store_proof_ms);
+        if before != store_proof_ms.is_some() {
             // It says so at once.
             self.fleet.boxes[index].next_ms = self.fleet.now_ms;
         }
@@ -154,20 +154,20 @@
         let rule = self.rule;
         let stand_by_ms = STAND_BY_MS - self.luck.draw(STAND_BY_MS / 2);
         let view = &self.fleet.boxes[index].view;
-        let comes_first = StoreDuty::comes_first(view.store_watchers(now));
+        let is_primary = StoreFollower::is_primary(view.store_watchers(now));
         let member = &mut self.members[index];
         match member.sent_ms {
             None if member.probes && member.probe_ms <= now => member.sent_ms = Some(now),
             None => {}
             Some(called) => {
                 let answered = member.is_heard && now >= called + ANSWER_MS;
-                if !answered && now < called + rule.patience_ms {
+                if !answered && now < called + rule.timeout_ms {
                     return;
                 }
-                let news = member.probe.note(answered, called);
+                let news = member.probe.record(answered, called);
                 member.sent_ms = None;
-                let often = comes_first || member.follows;
-                member.probe_ms = now + if often { rule.every_ms } else { stand_by_ms };
+                let often = is_primary || member.follows;
+                member.probe_ms = now + if often { rule.interval_ms } else { stand_by_ms };
                 if news.is_some() {
                     // A watch is made anew when the store is back.
                     member.watch_lives = answered;
@@ -213,14 +213,14 @@
         let member = &self.fleet.boxes[index];
         let better = member
             .view
-            .better_informed(BoxKnowledge::Endpoints, None, now);
-        let hears = member.view.own().standing.reaches_store;
+            .find_state_source(StateKind::Endpoints, None, now);
+        let hears = member.view.own().status.reaches_store;
         let Some(better) = better else {
             self.members[index].behind_ms = None;
             return;
         };
         let since = *self.members[index].behind_ms.get_or_insert(now);
-        let patience_ms = match (hears, better.is_near) {
+        let patience_ms = match (hears, better.is_same_domain) {
             (true, _) => 2 * FAR_PATIENCE_MS,
             (false, false) => FAR_PATIENCE_MS,
             (false, true) => 0,
--- a/dockgate-core/src/gateway/fleet_view/tests.rs
+++ b/dockgate-core/src/gateway/fleet_view/tests.rs
@@ -1,16 +1,16 @@
 use super::*;
-use crate::gateway::{OwnReach, StoreDuty};
+use crate::gateway::{StoreAccess, StoreFollower};
 
 const ADDRESS: &str = "10.0.0.1:7400";
 
-fn beat(name: &str, domain: &str) -> BoxBeat {
-    BoxBeat::new(name, domain, ADDRESS.parse().unwrap())
+fn beat(name: &str, domain: &str) -> BoxHeartbeat {
+    BoxHeartbeat::new(name, domain, ADDRESS.parse().unwrap())
 }
 
 fn view() -> FleetView {
     let mut view = FleetView::new(beat("a1", "a"));
-    view.hear(beat("a2", "a"), Incarnation(1), 1_000);
-    view.hear(beat("b1", "b"), Incarnation(1), 1_000);
+    view.receive_heartbeat(beat("a2", "a"), Incarnation(1), 1_000);
+    view.receive_heartbeat(beat("b1", "b"), Incarnation(1), 1_000);
     view
 }
 
@@ -29,9 +29,9 @@
 #[test]
 fn a_box_that_leaves_decides_for_nothing() {
     let mut view = view();
-    let leaving = BoxStanding::new(1_000).leaving(true);
-    let leaving = beat("b1", "b").sequence(2).standing(leaving);
-    view.hear(leaving, Incarnation(1), 1_100);
+    let leaving = BoxStatus::new(1_000).leaving(true);
+    let leaving = beat("b1", "b").sequence(2).status(leaving);
+    view.receive_heartbeat(leaving, Incarnation(1), 1_100);
     let b1 = BoxKey::from_name("b1");
     assert!((0..50).all(|id| view.owner(EndpointId(id), "b", 1_100) != b1));
 }
@@ -39,21 +39,21 @@
 #[test]
 fn a_box_that_falls_silent_is_gone_once_and_new_when_it_is_heard_again() {
     let mut view = view();
-    view.hear(beat("a3", "a"), Incarnation(1), 1_000);
+    view.receive_heartbeat(beat("a3", "a"), Incarnation(1), 1_000);
     assert_eq!(
-        view.hear(beat("a2", "a").sequence(2), Incarnation(1), 1_500),
-        BoxNews::None
+        view.receive_heartbeat(beat("a2", "a").sequence(2), Incarnation(1), 1_500),
+        BoxChange::None
     );
     assert_eq!(view.expire(2_000, 2_200), vec![BoxKey::from_name("a3")]);
     assert_eq!(view.expire(2_200, 2_400), Vec::new());
     assert_eq!(view.live_count(2_400), 3);
     assert_eq!(
-        view.hear(beat("a3", "a").sequence(2), Incarnation(1), 2_500),
-        BoxNews::Back
+        view.receive_heartbeat(beat("a3", "a").sequence(2), Incarnation(1), 2_500),
+        BoxChange::Joined
     );
     assert_eq!(
-        view.hear(beat("a2", "a"), Incarnation(2), 2_500),
-        BoxNews::NewLife
+        view.receive_heartbeat(beat("a2", "a"), Incarnation(2), 2_500),
+        BoxChange::Restarted
     );
 }
 
@@ -73,31 +73,31 @@
 #[test]
 fn the_box_that_knows_most_is_asked() {
     let mut view = view();
-    let better = |view: &FleetView, what: BoxKnowledge, now_ms: u64| {
-        let better = view.better_informed(what, None, now_ms);
+    let better = |view: &FleetView, what: StateKind, now_ms: u64| {
+        let better = view.find_state_source(what, None, now_ms);
         better.map(|better| better.state_address)
     };
-    assert_eq!(better(&view, BoxKnowledge::Config, 1_000), None);
+    assert_eq!(better(&view, StateKind::Config, 1_000), None);
     let newer = beat("b1", "b").sequence(2).known(4, StoreRevision::NONE);
-    view.hear(newer.clone(), Incarnation(1), 1_100);
+    view.receive_heartbeat(newer.clone(), Incarnation(1), 1_100);
     let asked = Some(newer.state_address);
-    assert_eq!(better(&view, BoxKnowledge::Config, 1_100), asked);
-    assert_eq!(better(&view, BoxKnowledge::Endpoints, 1_100), None);
-    view.set_known(4, StoreRevision::NONE);
-    assert_eq!(better(&view, BoxKnowledge::Config, 1_100), None);
+    assert_eq!(better(&view, StateKind::Config, 1_100), asked);
+    assert_eq!(better(&view, StateKind::Endpoints, 1_100), None);
+    view.set_revisions(4, StoreRevision::NONE);
+    assert_eq!(better(&view, StateKind::Config, 1_100), None);
 }
 
 #[test]
 fn a_domain_is_silent_when_none_of_its_boxes_is_heard() {
     let mut view = view();
-    view.hear(beat("b2", "b"), Incarnation(1), 1_500);
+    view.receive_heartbeat(beat("b2", "b"), Incarnation(1), 1_500);
     assert!(view.silent_domains(1_800).is_empty(), "one of two is heard");
     assert_eq!(
         view.silent_domains(2_300).len(),
         1,
         "the own domain is none"
     );
-    view.hear(beat("b1", "b").sequence(2), Incarnation(1), 2_300);
+    view.receive_heartbeat(beat("b1", "b").sequence(2), Incarnation(1), 2_300);
     assert!(view.silent_domains(2_300).is_empty());
 }
 
@@ -107,13 +107,13 @@
     let due = |name: &str| {
         let mut view = FleetView::new(beat(name, "a"));
         for other in names.into_iter().filter(|other| *other != name) {
-            let reaching = BoxStanding::new(1_000).reaches_store(true);
-            view.hear(beat(other, "a").standing(reaching), Incarnation(1), 1_000);
+            let reaching = BoxStatus::new(1_000).reaches_store(true);
+            view.receive_heartbeat(beat(other, "a").status(reaching), Incarnation(1), 1_000);
         }
         // Boxes of other domains follow it for their own.
-        view.hear(beat("b1", "b"), Incarnation(1), 1_000);
-        let own = OwnReach::default();
-        StoreDuty::default().is_due(view.store_watchers(1_000), own, 1_000)
+        view.receive_heartbeat(beat("b1", "b"), Incarnation(1), 1_000);
+        let own = StoreAccess::default();
+        StoreFollower::default().must_follow(view.store_watchers(1_000), own, 1_000)
     };
     assert_eq!(names.into_iter().filter(|name| due(name)).count(), 2);
 }
@@ -126,9 +126,9 @@
             let state_address = SocketAddr::from(([10, 0, 0, index as u8], 7_500));
             let informed = beat(other, &other[..1]).known(5, StoreRevision::NONE);
             let informed = informed.state_address(state_address);
-            view.hear(informed, Incarnation(1), 1_000);
+            view.receive_heartbeat(informed, Incarnation(1), 1_000);
         }
-        let better = view.better_informed(BoxKnowledge::Config, None, 1_000);
+        let better = view.find_state_source(StateKind::Config, None, 1_000);
         better.unwrap().state_address
     };
     let asked: BTreeSet<SocketAddr> = (0..20)
@@ -144,7 +144,7 @@
     let mut view = FleetView::new(beat("a1", "a"));
     let address = |index: u8| SocketAddr::from(([10, 0, 0, index], 7_500));
     let asked = |view: &FleetView, avoid: Option<SocketAddr>| {
-        let better = view.better_informed(BoxKnowledge::Config, avoid, 1_000);
+        let better = view.find_state_source(StateKind::Config, avoid, 1_000);
         better.map(|better| better.state_address)
     };
     let near = beat("a2", "a")
@@ -153,8 +153,8 @@
     let far = beat("b1", "b")
         .known(7, StoreRevision::NONE)
         .state_address(address(3));
-    view.hear(near, Incarnation(1), 1_000);
-    view.hear(far, Incarnation(1), 1_000);
+    view.receive_heartbeat(near, Incarnation(1), 1_000);
+    view.receive_heartbeat(far, Incarnation(1), 1_000);
     assert_eq!(asked(&view, None), Some(address(2)));
     let silent = Some(address(2));
     assert_eq!(
@@ -162,7 +162,7 @@
         Some(address(3)),
         "one that gave no answer goes last"
     );
-    view.set_known(5, StoreRevision::NONE);
+    view.set_revisions(5, StoreRevision::NONE);
     assert_eq!(asked(&view, None), Some(address(3)));
 }
 
@@ -172,18 +172,18 @@
 fn who_has_not_been_heard_by_the_store_for_long_does_not_count_as_one_that_reaches_it() {
     let mut view = FleetView::new(beat("a1", "a"));
     let says = |name: &str, sequence: u32, age_ms: u32| {
-        let standing = BoxStanding::new(2_000).reaches_store(true);
-        let standing = standing.store_age_ms(age_ms);
-        beat(name, "a").sequence(sequence).standing(standing)
+        let status = BoxStatus::new(2_000).reaches_store(true);
+        let status = status.store_proof_age_ms(age_ms);
+        beat(name, "a").sequence(sequence).status(status)
     };
-    view.hear(says("a2", 1, 400), Incarnation(1), 11_000);
-    view.hear(says("a3", 1, 2_400), Incarnation(1), 11_000);
+    view.receive_heartbeat(says("a2", 1, 400), Incarnation(1), 11_000);
+    view.receive_heartbeat(says("a3", 1, 2_400), Incarnation(1), 11_000);
     let watchers = view.store_watchers(11_000);
     assert_eq!((watchers.reaching, watchers.before), (1, 2));
     assert_eq!(view.store_proof_age_ms(11_000), Some(400));
     assert_eq!(view.store_watchers(12_050).reaching, 1, "not yet gone");
     // Its store falls silent, and it does not say so.
-    view.hear(says("a2", 2, 1_900), Incarnation(1), 11_400);
+    view.receive_heartbeat(says("a2", 2, 1_900), Incarnation(1), 11_400);
     assert_eq!(view.store_watchers(11_500).reaching, 1);
     assert_eq!(view.store_watchers(11_501).reaching, 0);
 }
--- a/dockgate-core/src/gateway/jump_tests.rs
+++ b/dockgate-core/src/gateway/jump_tests.rs
@@ -2,9 +2,9 @@
 //! breaks by it, no bound is passed, and what is told anew is believed as before.
 
 use super::{
-    BoxBeat, BoxStanding, EndpointHealth, EndpointId, EndpointSign, FleetView, LagChange, LoopLag,
-    OwnReach, RequestPrint, RetryBudget, RetryRule, ShareLevel, ShareWindow, StoreDuty,
-    SuspectBook, WakeGate, WorkShed,
+    BoxHeartbeat, BoxStatus, EndpointHealth, EndpointId, EndpointSign, FleetView, LagChange,
+    LoopLag, RequestPrint, ResumeGate, RetryBudget, RetryRule, ShareLevel, ShareWindow,
+    StoreAccess, StoreFollower, SuspectBook, WorkShed,
 };
 use crate::ids::{BoxKey, Incarnation};
 use proptest::prelude::*;
@@ -18,11 +18,11 @@
     boxes: BOXES,
 };
 
-fn beat(number: u32, sequence: u32) -> BoxBeat {
+fn beat(number: u32, sequence: u32) -> BoxHeartbeat {
     let address = format!("10.0.0.{number}:7400");
     let address = address.parse().expect("an address");
-    BoxBeat::new(&format!("a{number}"), "a", address)
-        .standing(BoxStanding::new(250).reaches_store(true))
+    BoxHeartbeat::new(&format!("a{number}"), "a", address)
+        .status(BoxStatus::new(250).reaches_store(true))
         .sequence(sequence)
 }
 
@@ -31,7 +31,7 @@
     now_ms: u64,
     sequence: u32,
     fleet: FleetView,
-    duty: StoreDuty,
+    duty: StoreFollower,
     retries: RetryBudget,
     sent: Vec<u64>,
     asked: Vec<u64>,
@@ -40,7 +40,7 @@
     lag: LoopLag,
     shed: WorkShed,
     suspects: SuspectBook,
-    gate: WakeGate,
+    gate: ResumeGate,
 }
 
 const GUILTY: RequestPrint = RequestPrint::new([1; 16]);
@@ -55,7 +55,7 @@
             now_ms: 1,
             sequence: 1,
             fleet: FleetView::new(beat(1, 1)),
-            duty: StoreDuty::default(),
+            duty: StoreFollower::default(),
             retries: RetryBudget::new(RULE),
             sent: Vec::new(),
             asked: Vec::new(),
@@ -64,7 +64,7 @@
             lag: LoopLag::default(),
             shed: WorkShed::default(),
             suspects,
-            gate: WakeGate::default(),
+            gate: ResumeGate::default(),
         }
     }
 
@@ -75,7 +75,7 @@
         self.sequence += 1;
         for number in 2..=BOXES {
             self.fleet
-                .hear(beat(number, self.sequence), Incarnation(1), now);
+                .receive_heartbeat(beat(number, self.sequence), Incarnation(1), now);
         }
         for _ in 0..load {
             self.retries.note_request(SERVICE, now);
@@ -101,9 +101,9 @@
         self.fleet.expire(now.saturating_sub(100 + late_ms), now);
         self.shares.tick(now, 1_000.0);
         let watchers = self.fleet.store_watchers(now);
-        let own = OwnReach::default();
-        let _ = self.duty.is_due(watchers, own, now);
-        let _ = self.duty.probes(watchers, own, now);
+        let own = StoreAccess::default();
+        let _ = self.duty.must_follow(watchers, own, now);
+        let _ = self.duty.must_probe(watchers, own, now);
         self.shed.note_work(0.2, late_ms, now);
         self.suspects.expire(now);
         self.lag.note(late_ms, now)
@@ -111,7 +111,7 @@
 
     fn jump(&mut self, ms: u64) {
         self.now_ms += ms;
-        self.gate.wake(self.now_ms);
+        self.gate.resume(self.now_ms);
         let change = self.look(ms);
         assert_ne!(change, LagChange::Overloaded, "one pause is no overload");
     }
--- a/dockgate-core/src/gateway/wake_gate.rs
+++ b/dockgate-core/src/gateway/resume_gate.rs
@@ -6,55 +6,56 @@
 //! it something since; where nobody does, it serves what it can.
 //!
 //! ```
-//! use dockgate_core::gateway::WakeGate;
+//! use dockgate_core::gateway::ResumeGate;
 //!
-//! let mut gate = WakeGate::default();
+//! let mut gate = ResumeGate::default();
 //! assert!(gate.is_open(None, 1_000));
-//! gate.wake(6_000);
+//! gate.resume(6_000);
 //! assert!(!gate.is_open(Some(1_000), 6_010));
 //! assert!(gate.is_open(Some(6_200), 6_210));
 //! ```
 
 /// Whether what is believed was heard since the box woke.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct WakeGate {
-    woke_ms: Option<u64>,
+pub struct ResumeGate {
+    resumed_ms: Option<u64>,
 }
 
-impl WakeGate {
+impl ResumeGate {
     /// From which suspension on, in milliseconds, the gate closes: below it a box knows what it would know by its
     /// usual means, which hear of changes each 0.3 s.
-    pub const LEAST_AWAY_MS: u64 = 300;
+    pub const MIN_SUSPENSION_MS: u64 = 300;
     /// For how long it is closed at most, in milliseconds: two probes of the store, or a beat and its answer, of
     /// which one is lost. Callers of plain services wait no longer than that for an answer.
-    const MOST_CLOSED_MS: u64 = 1_000;
+    const MAX_CLOSED_MS: u64 = 1_000;
 
     /// How much later than it was made a proof may seem, in milliseconds: a digest that is kept for a tenth of a
     /// second, and its way.
-    const TOLD_LATE_MS: u64 = 150;
+    const MAX_PROOF_DELAY_MS: u64 = 150;
 
     /// Notes that the box has woken.
-    pub const fn wake(&mut self, now_ms: u64) {
-        self.woke_ms = Some(now_ms);
+    pub const fn resume(&mut self, now_ms: u64) {
+        self.resumed_ms = Some(now_ms);
     }
 
     /// Tells whether the box knows the present, where `proof_ms` is when the store last proved that it hears a box of
     /// this domain with whom this one agrees.
     pub fn is_open(&mut self, proof_ms: Option<u64>, now_ms: u64) -> bool {
-        let Some(woke_ms) = self.woke_ms else {
+        let Some(resumed_ms) = self.resumed_ms else {
             return true;
         };
-        let is_proved = proof_ms.is_some_and(|proof| proof >= woke_ms + Self::TOLD_LATE_MS);
-        let is_open = is_proved || now_ms >= woke_ms + Self::MOST_CLOSED_MS;
+        let is_confirmed =
+            proof_ms.is_some_and(|proof| proof >= resumed_ms + Self::MAX_PROOF_DELAY_MS);
+        let is_open = is_confirmed || now_ms >= resumed_ms + Self::MAX_CLOSED_MS;
         if is_open {
-            self.woke_ms = None;
+            self.resumed_ms = None;
         }
         is_open
     }
 
     /// Tells whether the box has not woken lately.
     pub const fn is_settled(&self) -> bool {
-        self.woke_ms.is_none()
+        self.resumed_ms.is_none()
     }
 }
 
--- a/dockgate-core/src/gateway/wake_gate/tests.rs
+++ b/dockgate-core/src/gateway/resume_gate/tests.rs
@@ -1,9 +1,9 @@
-use super::WakeGate;
+use super::ResumeGate;
 
 #[test]
 fn what_was_proved_before_the_box_slept_says_nothing() {
-    let mut gate = WakeGate::default();
-    gate.wake(10_000);
+    let mut gate = ResumeGate::default();
+    gate.resume(10_000);
     assert!(!gate.is_open(Some(9_999), 10_020));
     assert!(
         !gate.is_open(Some(10_100), 10_120),
@@ -16,8 +16,8 @@
 
 #[test]
 fn a_box_that_hears_nobody_serves_what_it_can() {
-    let mut gate = WakeGate::default();
-    gate.wake(10_000);
+    let mut gate = ResumeGate::default();
+    gate.resume(10_000);
     assert!(!gate.is_open(None, 10_999));
     assert!(gate.is_open(None, 11_000));
     assert!(gate.is_open(None, 11_001));
@@ -25,9 +25,9 @@
 
 #[test]
 fn one_that_sleeps_again_waits_again() {
-    let mut gate = WakeGate::default();
-    gate.wake(10_000);
+    let mut gate = ResumeGate::default();
+    gate.resume(10_000);
     assert!(gate.is_open(Some(10_150), 10_160));
-    gate.wake(12_000);
+    gate.resume(12_000);
     assert!(!gate.is_open(Some(10_150), 12_010));
 }
--- a/dockgate-core/src/gateway/route_table.rs
+++ b/dockgate-core/src/gateway/route_table.rs
@@ -21,11 +21,11 @@
 impl EndpointId {
     /// Derives the key of an endpoint that does not say when it started.
     pub fn from_name(id: &str) -> Self {
-        Self::of_life(id, None)
+        Self::of_lifetime(id, None)
     }
 
     /// Derives the key of the lifetime of an endpoint that started at `born_ms`, in Unix milliseconds.
-    pub fn of_life(id: &str, born_ms: Option<u64>) -> Self {
+    pub fn of_lifetime(id: &str, born_ms: Option<u64>) -> Self {
         let name = EndpointName::new(id).0;
         Self(match born_ms {
             Some(born_ms) => xxh3_64_with_seed(&born_ms.to_le_bytes(), name),
@@ -91,7 +91,7 @@
 impl EndpointRecord {
     /// Returns the key of this lifetime.
     pub fn key(&self) -> EndpointId {
-        EndpointId::of_life(&self.id, self.born_ms)
+        EndpointId::of_lifetime(&self.id, self.born_ms)
     }
 
     /// Returns the key of its id.
--- a/dockgate-core/src/gateway/share_reports.rs
+++ b/dockgate-core/src/gateway/share_reports.rs
@@ -5,7 +5,7 @@
 //! the one before of the same teller, so that one that is lost or doubled changes nothing, and a box
 //! that has just begun knows all from one digest.
 
-use super::box_beat::DomainKey;
+use super::box_heartbeat::DomainKey;
 use super::share_sums::{ShareRow, ShareSum, ShareSums, add_sums};
 use crate::ids::{BoxKey, Incarnation};
 use std::collections::{BTreeMap, HashMap};
--- a/dockgate-core/src/gateway/store_probe.rs
+++ b/dockgate-core/src/gateway/store_probe.rs
@@ -6,50 +6,50 @@
 //! since what they were answered meanwhile may be lost.
 //!
 //! ```
-//! use dockgate_core::gateway::{ProbeNews, StoreProbe};
+//! use dockgate_core::gateway::{ProbeChange, StoreProbe};
 //!
 //! let mut probe = StoreProbe::default();
-//! probe.note(true, 1_000);
-//! assert_eq!(probe.note(false, 1_300), Some(ProbeNews::Lost));
-//! assert_eq!(probe.note(true, 4_000), Some(ProbeNews::Back { away_ms: 3_000 }));
+//! probe.record(true, 1_000);
+//! assert_eq!(probe.record(false, 1_300), Some(ProbeChange::Lost));
+//! assert_eq!(probe.record(true, 4_000), Some(ProbeChange::Recovered { outage_ms: 3_000 }));
 //! ```
 
 /// What a probe says that those before it did not.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ProbeNews {
+pub enum ProbeChange {
     /// The store has fallen silent.
     Lost,
     /// It answers again.
-    Back {
+    Recovered {
         /// How long after the last probe that was answered, in milliseconds.
-        away_ms: u64,
+        outage_ms: u64,
     },
 }
 
 /// How often the store is probed, and how long each answer may take.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct ProbeRule {
+pub struct ProbeTiming {
     /// How long after an answer the next probe is sent, in milliseconds.
-    pub every_ms: u64,
+    pub interval_ms: u64,
     /// After how long without an answer the store is taken for silent, in milliseconds.
-    pub patience_ms: u64,
+    pub timeout_ms: u64,
 }
 
-impl ProbeRule {
+impl ProbeTiming {
     /// Of the time within which all boxes must know of a change, which part passes between probes, and
     /// which part until one counts as unanswered. Both, and the time in which another box is found that is
     /// heard and tells the others, must fit into it: at 3 s, 0.8 s of the 2.3 s that are counted for all.
-    const EVERY_PART: u64 = 10;
-    const PATIENCE_PART: u64 = 6;
+    const INTERVAL_DIVISOR: u64 = 10;
+    const TIMEOUT_DIVISOR: u64 = 6;
     /// The least of both, in milliseconds: a store that is sixty times slower than usual takes 240.
-    const LEAST_EVERY_MS: u64 = 200;
-    const LEAST_PATIENCE_MS: u64 = 350;
+    const MIN_INTERVAL_MS: u64 = 200;
+    const MIN_TIMEOUT_MS: u64 = 350;
 
     /// Makes the rule for a time within which all boxes must know of a change, in milliseconds.
     pub fn within(bound_ms: u64) -> Self {
         Self {
-            every_ms: (bound_ms / Self::EVERY_PART).max(Self::LEAST_EVERY_MS),
-            patience_ms: (bound_ms / Self::PATIENCE_PART).max(Self::LEAST_PATIENCE_MS),
+            interval_ms: (bound_ms / Self::INTERVAL_DIVISOR).max(Self::MIN_INTERVAL_MS),
+            timeout_ms: (bound_ms / Self::TIMEOUT_DIVISOR).max(Self::MIN_TIMEOUT_MS),
         }
     }
 }
@@ -58,28 +58,30 @@
 #[derive(Debug, Clone, Copy, Default)]
 pub struct StoreProbe {
     /// When the last probe that was answered was sent.
-    heard_ms: Option<u64>,
+    last_answered_ms: Option<u64>,
     /// Since when each one was.
-    since_ms: Option<u64>,
+    answered_since_ms: Option<u64>,
 }
 
 impl StoreProbe {
     /// Notes what became of a probe that was sent at `sent_ms`.
-    pub fn note(&mut self, answered: bool, sent_ms: u64) -> Option<ProbeNews> {
-        match (answered, self.since_ms) {
+    pub fn record(&mut self, answered: bool, sent_ms: u64) -> Option<ProbeChange> {
+        match (answered, self.answered_since_ms) {
             (true, Some(_)) => {
-                self.heard_ms = Some(sent_ms);
+                self.last_answered_ms = Some(sent_ms);
                 None
             }
             (true, None) => {
-                let away_ms = self.heard_ms.map(|heard| sent_ms.saturating_sub(heard));
-                self.heard_ms = Some(sent_ms);
-                self.since_ms = Some(sent_ms);
-                away_ms.map(|away_ms| ProbeNews::Back { away_ms })
+                let outage_ms = self
+                    .last_answered_ms
+                    .map(|heard| sent_ms.saturating_sub(heard));
+                self.last_answered_ms = Some(sent_ms);
+                self.answered_since_ms = Some(sent_ms);
+                outage_ms.map(|outage_ms| ProbeChange::Recovered { outage_ms })
             }
             (false, since) => {
-                self.since_ms = None;
-                since.map(|_| ProbeNews::Lost)
+                self.answered_since_ms = None;
+                since.map(|_| ProbeChange::Lost)
             }
         }
     }
@@ -91,12 +93,12 @@
 
     /// Returns since when each probe is answered; none where the last one was not.
     pub const fn answered_since_ms(&self) -> Option<u64> {
-        self.since_ms
+        self.answered_since_ms
     }
 
     /// Returns when the last probe was sent, where it was answered.
     pub fn proof_ms(&self) -> Option<u64> {
-        self.since_ms.and(self.heard_ms)
+        self.answered_since_ms.and(self.last_answered_ms)
     }
 }
 
--- a/dockgate-core/src/gateway/watch_check.rs
+++ b/dockgate-core/src/gateway/watch_check.rs
@@ -26,7 +26,7 @@
     /// For how long a watch may lack a revision, in milliseconds: the pause between two watches of 300 and
     /// the answer of a store that is a hundred times slower than usual, 400. A third of the bound of 3 s
     /// on a connection that is silent, for which a probe of the connection takes all of it.
-    const STALLED_AFTER_MS: u64 = 1_000;
+    const STALL_TIMEOUT_MS: u64 = 1_000;
 
     /// Tells whether watches that have told of changes up to `known` have to be made anew, where the store
     /// has this revision. An old revision is never too high, so that it does no harm.
@@ -41,7 +41,7 @@
             return false;
         }
         let since_ms = *self.behind_since_ms.get_or_insert(now_ms);
-        let is_stalled = now_ms >= since_ms + Self::STALLED_AFTER_MS;
+        let is_stalled = now_ms >= since_ms + Self::STALL_TIMEOUT_MS;
         if is_stalled {
             self.checked = revision;
             self.behind_since_ms = None;
--- a/dockgate-proto/src/gateway.rs
+++ b/dockgate-proto/src/gateway.rs
@@ -4,7 +4,7 @@
 //! decided by the entry alone, sums replace sums, and a run that is never heard of again lapses.
 
 use dockgate_core::gateway::{
-    BoxBeat, EndpointId, EndpointNews, EngineAsk, EngineVerdict, FleetDigest, PromptPart,
+    BoxHeartbeat, EndpointId, EndpointNews, EngineAsk, EngineVerdict, FleetDigest, PromptPart,
     ReadSpeed, RouteConfig, ShareRow, StoreRevision, SuspectRow,
 };
 use dockgate_core::{BoxKey, Incarnation};
@@ -23,7 +23,7 @@
 
 /// What datagrams of this form begin with: a box of another version cannot take them for its own,
 /// since no number in a datagram begins so, and the last byte names the form.
-const FORM: [u8; 6] = [0xff, 0xff, 0xff, 0xff, 0xff, 6];
+const WIRE_FORMAT: [u8; 6] = [0xff, 0xff, 0xff, 0xff, 0xff, 6];
 
 impl GatewayDatagram {
     /// Returns the bytes of the datagram.
@@ -32,7 +32,7 @@
     ///
     /// Returns an error where the message cannot be written.
     pub fn encode(&self) -> Result<Vec<u8>, postcard::Error> {
-        postcard::to_extend(self, FORM.to_vec())
+        postcard::to_extend(self, WIRE_FORMAT.to_vec())
     }
 
     /// Reads a datagram.
@@ -41,7 +41,7 @@
     ///
     /// Returns an error where the bytes have another form, or are cut.
     pub fn decode(bytes: &[u8]) -> Result<Self, postcard::Error> {
-        let message = bytes.strip_prefix(&FORM);
+        let message = bytes.strip_prefix(&WIRE_FORMAT);
         postcard::from_bytes(message.ok_or(postcard::Error::DeserializeBadEncoding)?)
     }
 }
@@ -50,9 +50,9 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum GatewayMessage {
     /// To the coordinators of the sender's domain, or to whoever may know them: the sender lives.
-    Beat {
+    Heartbeat {
         /// What it says of itself.
-        beat: BoxBeat,
+        heartbeat: BoxHeartbeat,
         /// What its workspaces asked for and were given within the window.
         shares: Vec<ShareRow>,
     },
@@ -65,13 +65,13 @@
         shares: Vec<ShareRow>,
     },
     /// Entry to owner: may this prompt go to the endpoint?
-    Seek {
+    SlotRequest {
         /// The entry's counter.
         run: u32,
         /// The endpoint.
         endpoint: EndpointId,
         /// The prompt.
-        ask: EngineAsk,
+        request: EngineAsk,
     },
     /// Owner to entry: the answer to a seek.
     Verdict {
@@ -93,12 +93,12 @@
         /// The endpoint.
         endpoint: EndpointId,
         /// The prompt.
-        ask: EngineAsk,
+        request: EngineAsk,
         /// Whether its first event was seen.
         started: bool,
     },
     /// Entry to owner: these shared parts were read at the endpoint lately.
-    Read {
+    PartsRead {
         /// The endpoint.
         endpoint: EndpointId,
         /// The shared parts of a prompt.
@@ -119,7 +119,7 @@
         endpoint: EndpointId,
     },
     /// Entry to owner: an answer of the endpoint said that it leaves.
-    Leaves {
+    EndpointLeaving {
         /// The endpoint.
         endpoint: EndpointId,
     },
@@ -134,15 +134,15 @@
     /// Returns the kind of the message, for counters.
     pub const fn kind(&self) -> &'static str {
         match self {
-            Self::Beat { .. } => "beat",
+            Self::Heartbeat { .. } => "beat",
             Self::Digest { .. } => "digest",
-            Self::Seek { .. } => "seek",
+            Self::SlotRequest { .. } => "seek",
             Self::Verdict { .. } => "verdict",
             Self::Placed { .. } => "placed",
-            Self::Read { .. } => "read",
+            Self::PartsRead { .. } => "read",
             Self::Started { .. } => "started",
             Self::Ended { .. } => "ended",
-            Self::Leaves { .. } => "leaves",
+            Self::EndpointLeaving { .. } => "leaves",
             Self::Suspects { .. } => "suspects",
         }
     }
--- a/dockgate-proto/src/gateway/tests.rs
+++ b/dockgate-proto/src/gateway/tests.rs
@@ -9,19 +9,19 @@
     }
 }
 
-fn beat() -> BoxBeat {
-    BoxBeat::new("a1", "a", "10.0.0.1:7400".parse().unwrap())
+fn beat() -> BoxHeartbeat {
+    BoxHeartbeat::new("a1", "a", "10.0.0.1:7400".parse().unwrap())
 }
 
 fn messages() -> [GatewayMessage; 4] {
     [
-        GatewayMessage::Beat {
-            beat: beat(),
+        GatewayMessage::Heartbeat {
+            heartbeat: beat(),
             shares: Vec::new(),
         },
         GatewayMessage::Digest {
             digest: FleetDigest {
-                scope: DigestScope::Far,
+                scope: DigestScope::OtherDomain,
                 sender: beat(),
                 coordinators: Vec::new(),
                 members: Vec::new(),
--- a/dockgate/src/gateway.rs
+++ b/dockgate/src/gateway.rs
@@ -48,7 +48,7 @@
 use crate::error::DaemonError;
 use crate::logging::drain_lines;
 use crate::stop::wait_for_signal;
-use dockgate_core::gateway::BoxKnowledge;
+use dockgate_core::gateway::StateKind;
 use events::{GatewayEvent, log_gateway};
 use front::CallerFront;
 use gateway_state::GatewayState;
@@ -136,8 +136,8 @@
     keep(state, "lag", overload::watch_lag);
     keep(state, "domains", domain_watch::watch_domains);
     for (name, what) in [
-        ("configurations of others", BoxKnowledge::Config),
-        ("endpoints of others", BoxKnowledge::Endpoints),
+        ("configurations of others", StateKind::Config),
+        ("endpoints of others", StateKind::Endpoints),
     ] {
         keep(state, name, move |state| {
             peer_state::query_peers(state, what)
--- a/dockgate/src/gateway/domain_watch.rs
+++ b/dockgate/src/gateway/domain_watch.rs
@@ -8,7 +8,7 @@
 use super::gateway_state::GatewayState;
 use super::sockets::connect;
 use crate::clock::now_ms;
-use dockgate_core::gateway::{DomainReach, EndpointId};
+use dockgate_core::gateway::{DomainReachability, EndpointId};
 use std::collections::BTreeMap;
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -62,7 +62,7 @@
             let silent = beliefs.fleet.silent_domains(now);
             let mut suspects: Vec<String> = silent.into_iter().collect();
             suspects.retain(|domain| !answered(domain));
-            let cut = beliefs.endpoints.reach().cut();
+            let cut = beliefs.endpoints.reach().unreachable();
             suspects.extend(cut.map(str::to_owned));
             suspects.sort();
             suspects.dedup();
@@ -94,7 +94,7 @@
     fn note_changes(&mut self, state: &GatewayState) {
         let now = now_ms();
         let cut: Vec<String> = state.with(|beliefs| {
-            let cut = beliefs.endpoints.reach().cut();
+            let cut = beliefs.endpoints.reach().unreachable();
             cut.map(str::to_owned).collect()
         });
         self.cut_since.retain(|domain, since| {
@@ -131,7 +131,7 @@
     let start = rand::random_range(0..endpoints.len().max(1));
     let chosen = endpoints.iter().cycle().skip(start);
     // As many as must be silent for a cut.
-    let chosen = chosen.take(DomainReach::CUT_AT.min(endpoints.len()));
+    let chosen = chosen.take(DomainReachability::MIN_SILENT_ENDPOINTS.min(endpoints.len()));
     state.with(|beliefs| {
         let probes = chosen.filter_map(|endpoint| {
             let entry = beliefs.endpoints.get(*endpoint)?;
--- a/dockgate/src/gateway/engine_seek.rs
+++ b/dockgate/src/gateway/engine_seek.rs
@@ -217,7 +217,7 @@
     GatewayMessage::Placed {
         run,
         endpoint,
-        ask: ask.clone(),
+        request: ask.clone(),
         started,
     }
 }
--- a/dockgate/src/gateway/engine_seek/pending_seek.rs
+++ b/dockgate/src/gateway/engine_seek/pending_seek.rs
@@ -36,10 +36,10 @@
     ) -> Self {
         let (sender, verdict) = oneshot::channel();
         state.with(|beliefs| beliefs.seeks.insert(run, sender));
-        let seek = GatewayMessage::Seek {
+        let seek = GatewayMessage::SlotRequest {
             run,
             endpoint,
-            ask: ask.clone(),
+            request: ask.clone(),
         };
         send_to(state, owner, seek);
         Self {
--- a/dockgate/src/gateway/engine_seek/pending_seek/tests.rs
+++ b/dockgate/src/gateway/engine_seek/pending_seek/tests.rs
@@ -2,7 +2,7 @@
 use crate::clock::now_ms;
 use crate::gateway::gateway_state::tests::state_with_seed;
 use dockgate_core::Incarnation;
-use dockgate_core::gateway::{AskTimes, BoxBeat, PromptShape};
+use dockgate_core::gateway::{AskTimes, BoxHeartbeat, PromptShape};
 use dockgate_proto::GatewayDatagram;
 use std::net::SocketAddr;
 use tokio::net::UdpSocket;
@@ -17,8 +17,12 @@
     // The runtime knows that a socket takes datagrams once it was asked.
     datagrams.writable().await.unwrap();
     let state = state_with_seed(datagrams, owner);
-    let beat = BoxBeat::new("a2", "a", owner);
-    state.with(|beliefs| beliefs.fleet.hear(beat, Incarnation(1), now_ms()));
+    let beat = BoxHeartbeat::new("a2", "a", owner);
+    state.with(|beliefs| {
+        beliefs
+            .fleet
+            .receive_heartbeat(beat, Incarnation(1), now_ms())
+    });
     (state, BoxKey::from_name("a2"))
 }
 
--- a/dockgate/src/gateway/follow.rs
+++ b/dockgate/src/gateway/follow.rs
@@ -1,6 +1,6 @@
 //! Follows the routes and the endpoints in the platform's store.
 //!
-//! A few boxes of each failure domain do so for all ([`dockgate_core::gateway::StoreDuty`]); the
+//! A few boxes of each failure domain do so for all ([`dockgate_core::gateway::StoreFollower`]); the
 //! others learn from them what has changed. Each key is listed once and then watched. A watch that
 //! fails is made anew on a connection of its own; one whose history is lost lists anew and compares.
 //! What is known stays in force meanwhile.
--- a/dockgate/src/gateway/gateway_state.rs
+++ b/dockgate/src/gateway/gateway_state.rs
@@ -12,10 +12,10 @@
 use crate::stop::StopFlag;
 use arc_swap::ArcSwap;
 use dockgate_core::gateway::{
-    BoxBeat, BoxStanding, BrokenEndpoints, EndpointBook, EndpointChange, EndpointId, EndpointNews,
-    EngineAsk, EngineBook, EngineVerdict, EraBook, FleetView, LoopLag, ReadLog, RetryBudget,
-    RouteConfig, RouteTable, RunKey, ShareTally, ShareWindow, StoreDuty, StoreProbe, StoreRevision,
-    SuspectBook, WakeGate, WatchCheck, WorkShed,
+    BoxHeartbeat, BoxStatus, BrokenEndpoints, EndpointBook, EndpointChange, EndpointId,
+    EndpointNews, EngineAsk, EngineBook, EngineVerdict, EraBook, FleetView, LoopLag, ReadLog,
+    ResumeGate, RetryBudget, RouteConfig, RouteTable, RunKey, ShareTally, ShareWindow,
+    StoreFollower, StoreProbe, StoreRevision, SuspectBook, WatchCheck, WorkShed,
 };
 use dockgate_core::{BoxKey, Incarnation};
 use dockgate_platform::PlatformClient;
@@ -76,13 +76,13 @@
     /// Seeks that wait for a verdict, by the same counter.
     pub(super) seeks: HashMap<u32, oneshot::Sender<EngineVerdict>>,
     /// Whether this box follows the store by itself.
-    pub(super) store: StoreDuty,
+    pub(super) store: StoreFollower,
     /// Whether the store hears it.
     pub(super) probe: StoreProbe,
     /// What it follows there and was answered the last time, and up to which revision.
     pub(super) reached: BTreeMap<&'static str, StoreRevision>,
     /// Whether what is believed was heard since the box was suspended last.
-    pub(super) gate: WakeGate,
+    pub(super) gate: ResumeGate,
     /// Whether what it follows still tells of changes.
     pub(super) watches: WatchCheck,
 }
@@ -122,9 +122,9 @@
 
 impl GatewayState {
     pub(super) fn new(settings: GatewaySettings, datagrams: UdpSocket) -> Self {
-        let own = BoxBeat::new(&settings.name, &settings.domain, settings.listen.peers)
+        let own = BoxHeartbeat::new(&settings.name, &settings.domain, settings.listen.peers)
             .state_address(settings.listen.state)
-            .standing(BoxStanding::new(settings.processor));
+            .status(BoxStatus::new(settings.processor));
         let beliefs = GatewayBeliefs {
             endpoints: EndpointBook::default(),
             engines: EngineBook::default(),
@@ -141,10 +141,10 @@
             lag: LoopLag::default(),
             shed: WorkShed::default(),
             seeks: HashMap::new(),
-            store: StoreDuty::default(),
+            store: StoreFollower::default(),
             probe: StoreProbe::default(),
             reached: BTreeMap::new(),
-            gate: WakeGate::default(),
+            gate: ResumeGate::default(),
             watches: WatchCheck::default(),
         };
         Self {
@@ -344,7 +344,7 @@
         let kept = self.with(|beliefs| {
             beliefs
                 .fleet
-                .set_known(version, beliefs.endpoints.revision());
+                .set_revisions(version, beliefs.endpoints.revision());
             beliefs
                 .endpoints
                 .iter()
@@ -380,7 +380,7 @@
                 false => !fleet.is_live(run.entry, now),
             };
             engines.retain(now, |id| endpoints.get(id).is_some(), is_gone);
-            let gone = gone.iter().filter(|key| fleet.is_told_in_full(**key));
+            let gone = gone.iter().filter(|key| fleet.has_heartbeat(**key));
             let names: Vec<String> = gone.map(|key| fleet.name(*key).to_owned()).collect();
             (expired, names)
         });
--- a/dockgate/src/gateway/gateway_state/store_reach.rs
+++ b/dockgate/src/gateway/gateway_state/store_reach.rs
@@ -6,7 +6,7 @@
 use super::super::store_probe::StoreRole;
 use super::{GatewayBeliefs, GatewayState};
 use crate::clock::now_ms;
-use dockgate_core::gateway::{EraNews, OwnReach, ProbeNews, StoreDuty, StoreRevision};
+use dockgate_core::gateway::{EraNews, ProbeChange, StoreAccess, StoreFollower, StoreRevision};
 use tokio::sync::watch;
 
 impl GatewayBeliefs {
@@ -16,8 +16,8 @@
         const FOLLOWED: usize = 2;
         let follows = self.reached.len() == FOLLOWED;
         let proof_ms = self.probe.proof_ms().filter(|_| follows);
-        let before = self.fleet.own().standing.reaches_store;
-        self.fleet.set_heard_store(proof_ms);
+        let before = self.fleet.own().status.reaches_store;
+        self.fleet.set_store_proof(proof_ms);
         if before != proof_ms.is_some() {
             // What was passed on a moment ago says otherwise.
             self.digest = DigestCache::default();
@@ -26,7 +26,7 @@
 
     /// Forgets that the store was heard: the box was away since, and what it follows there is listed anew.
     pub(in super::super) fn forget_reach(&mut self, now_ms: u64) {
-        self.gate.wake(now_ms);
+        self.gate.resume(now_ms);
         self.reached.clear();
         self.probe.pause();
         self.tell_reach();
@@ -37,7 +37,7 @@
     ///
     /// What any of them told last counts for all: each is told of its own keys alone.
     fn is_stalled(&mut self, revision: Option<StoreRevision>) -> bool {
-        let follows = self.fleet.own().standing.reaches_store;
+        let follows = self.fleet.own().status.reaches_store;
         let known = self.reached.values().max().copied();
         match (revision, known) {
             (Some(revision), Some(known)) if follows => {
@@ -69,13 +69,13 @@
         let now = now_ms();
         let role = self.with(|beliefs| {
             let others = beliefs.fleet.store_watchers(now);
-            let own = OwnReach {
-                follows: beliefs.fleet.own().standing.reaches_store,
+            let own = StoreAccess {
+                follows: beliefs.fleet.own().status.reaches_store,
                 answered_since_ms: beliefs.probe.answered_since_ms(),
             };
             StoreRole {
-                follows: beliefs.store.is_due(others, own, now),
-                probes: beliefs.store.probes(others, own, now),
+                follows: beliefs.store.must_follow(others, own, now),
+                probes: beliefs.store.must_probe(others, own, now),
             }
         });
         self.role.send_if_modified(|known| {
@@ -89,7 +89,7 @@
     pub(in super::super) fn is_first_watcher(&self) -> bool {
         self.with(|beliefs| {
             let others = beliefs.fleet.store_watchers(now_ms());
-            StoreDuty::comes_first(others)
+            StoreFollower::is_primary(others)
         })
     }
 
@@ -109,14 +109,16 @@
         &self,
         revision: Option<StoreRevision>,
         sent_ms: u64,
-    ) -> Option<ProbeNews> {
+    ) -> Option<ProbeChange> {
         let (news, is_stalled) = self.with(|beliefs| {
-            let news = beliefs.probe.note(revision.is_some(), sent_ms);
+            let news = beliefs.probe.record(revision.is_some(), sent_ms);
             beliefs.tell_reach();
             (news, beliefs.is_stalled(revision))
         });
         match (news, is_stalled) {
-            (Some(ProbeNews::Back { away_ms }), _) => drop(self.returns.send_replace(away_ms)),
+            (Some(ProbeChange::Recovered { outage_ms }), _) => {
+                drop(self.returns.send_replace(outage_ms))
+            }
             (_, true) => {
                 log_gateway(&GatewayEvent::StoreLost {
                     step: "watch",
@@ -179,7 +181,7 @@
 
     /// Tells whether this box follows the store and was answered the last time.
     pub(in super::super) fn hears_store(&self) -> bool {
-        self.with(|beliefs| beliefs.fleet.own().standing.reaches_store)
+        self.with(|beliefs| beliefs.fleet.own().status.reaches_store)
     }
 
     /// Notes up to which revision the store told of what `step` names, or that it did not, for the other
@@ -194,9 +196,9 @@
                 Some(revision) => beliefs.reached.insert(step, revision),
                 None => beliefs.reached.remove(step),
             };
-            let before = beliefs.fleet.own().standing.reaches_store;
+            let before = beliefs.fleet.own().status.reaches_store;
             beliefs.tell_reach();
-            !before && beliefs.fleet.own().standing.reaches_store
+            !before && beliefs.fleet.own().status.reaches_store
         })
     }
 }
--- a/dockgate/src/gateway/membership.rs
+++ b/dockgate/src/gateway/membership.rs
@@ -15,7 +15,7 @@
 use super::share_sight::{SIGHT_MS, log_shares};
 use crate::clock::now_ms;
 use dockgate_core::gateway::{
-    BoxBeat, BoxNews, DigestScope, DomainKey, DueReads, EndpointId, FleetDigest, FleetView,
+    BoxChange, BoxHeartbeat, DigestScope, DomainKey, DueReads, EndpointId, FleetDigest, FleetView,
     ShareRow, ShareScope, ShareTeller,
 };
 use dockgate_core::{BoxKey, Incarnation};
@@ -53,12 +53,12 @@
     let now = now_ms();
     let draw = rand::random_range(0..usize::MAX);
     let (targets, message) = state.with(|beliefs| {
-        beliefs.fleet.count_saying(now);
-        let message = GatewayMessage::Beat {
-            beat: beliefs.fleet.own().clone(),
+        beliefs.fleet.advance_sequence(now);
+        let message = GatewayMessage::Heartbeat {
+            heartbeat: beliefs.fleet.own().clone(),
             shares: beliefs.shares.rows(now),
         };
-        (beliefs.fleet.beat_targets(now, draw), message)
+        (beliefs.fleet.heartbeat_targets(now, draw), message)
     });
     let Some(message) = encode(state, message) else {
         return;
@@ -75,8 +75,8 @@
 fn seeds_due(state: &GatewayState, now_ms: u64) -> Vec<SocketAddr> {
     let is_due = state.with(|beliefs| {
         let fleet = &beliefs.fleet;
-        let lonely = !fleet.hears_own_domain(now_ms);
-        let alone = || fleet.coordinates(now_ms) && fleet.far_coordinators(now_ms).is_empty();
+        let lonely = !fleet.has_live_domain_peer(now_ms);
+        let alone = || fleet.coordinates(now_ms) && fleet.remote_coordinators(now_ms).is_empty();
         let looks = || fleet.coordinates(now_ms) && rand::random_bool(SEEDS_PART);
         lonely || alone() || looks()
     });
@@ -98,7 +98,7 @@
         if !beliefs.fleet.coordinates(now) {
             return None;
         }
-        let targets = beliefs.fleet.far_coordinators(now);
+        let targets = beliefs.fleet.remote_coordinators(now);
         let shares = beliefs.shares.domain_rows(now);
         Some((targets, own_digest(beliefs, scope, shares, now)))
     });
@@ -119,7 +119,7 @@
     shares: Vec<ShareRow>,
     now_ms: u64,
 ) -> GatewayMessage {
-    beliefs.fleet.count_saying(now_ms);
+    beliefs.fleet.advance_sequence(now_ms);
     GatewayMessage::Digest {
         digest: beliefs.fleet.digest(scope, now_ms),
         shares,
@@ -130,7 +130,7 @@
 fn answer_beat(state: &GatewayState, from: SocketAddr, is_near: bool) {
     let now = now_ms();
     if !is_near {
-        let welcome = DigestScope::Welcome;
+        let welcome = DigestScope::Introduction;
         let message = state.with(|beliefs| own_digest(beliefs, welcome, Vec::new(), now));
         return send_datagram(state, from, message);
     }
@@ -148,7 +148,7 @@
 fn make_near_digest(state: &GatewayState, now_ms: u64) -> Option<EncodedMessage> {
     let message = state.with(|beliefs| {
         let shares = beliefs.shares.fleet_rows(now_ms);
-        own_digest(beliefs, DigestScope::Near, shares, now_ms)
+        own_digest(beliefs, DigestScope::SameDomain, shares, now_ms)
     });
     let message = encode(state, message);
     state.with(|beliefs| {
@@ -175,7 +175,7 @@
         let first_ms = rand::random_range(FIRST_BEAT_MS);
         let wait_ms = (first_ms << count).min(rand::random_range(BEAT_MS));
         tokio::time::sleep(Duration::from_millis(wait_ms)).await;
-        if state.with(|beliefs| beliefs.fleet.hears_own_domain(now_ms())) {
+        if state.with(|beliefs| beliefs.fleet.has_live_domain_peer(now_ms())) {
             return;
         }
     }
@@ -186,9 +186,9 @@
     announce(&state).await;
     let mut since_ms = now_ms();
     let mut logged_ms = since_ms;
-    let scopes = (0..).map(|round: u32| match round % FleetView::LIST_EVERY {
-        0 => DigestScope::FarList,
-        _ => DigestScope::Far,
+    let scopes = (0..).map(|round: u32| match round % FleetView::FULL_DIGEST_INTERVAL {
+        0 => DigestScope::OtherDomainFull,
+        _ => DigestScope::OtherDomain,
     });
     for scope in scopes {
         let wait_ms = rand::random_range(BEAT_MS);
@@ -250,7 +250,7 @@
             endpoint,
             parts,
         } = due;
-        (owner, GatewayMessage::Read { endpoint, parts })
+        (owner, GatewayMessage::PartsRead { endpoint, parts })
     });
     // What was read goes first: it is older than what runs.
     let others = reads.chain(runs).filter(|(owner, _)| *owner != state.me());
@@ -263,7 +263,7 @@
 pub(super) fn hear_beat(
     state: &GatewayState,
     from: SocketAddr,
-    beat: BoxBeat,
+    beat: BoxHeartbeat,
     incarnation: Incarnation,
     shares: &[ShareRow],
 ) {
@@ -281,12 +281,12 @@
         if is_near {
             beliefs.shares.merge(teller, shares, now);
         }
-        beliefs.fleet.hear(beat, incarnation, now)
+        beliefs.fleet.receive_heartbeat(beat, incarnation, now)
     });
     take_news(state, &[(peer, news)]);
     answer_beat(state, from, is_near);
     if is_near {
-        quarantine::tell_one(state, from, news != BoxNews::None);
+        quarantine::tell_one(state, from, news != BoxChange::None);
     }
 }
 
@@ -299,12 +299,12 @@
 ) {
     let now = now_ms();
     let scope = match digest.scope {
-        DigestScope::Near => Some(ShareScope::Fleet),
-        DigestScope::Far | DigestScope::FarList => {
+        DigestScope::SameDomain => Some(ShareScope::Fleet),
+        DigestScope::OtherDomain | DigestScope::OtherDomainFull => {
             let domain = DomainKey::from_name(&digest.sender.domain);
             Some(ShareScope::Domain(domain))
         }
-        DigestScope::Welcome => None,
+        DigestScope::Introduction => None,
     };
     let teller = scope.map(|scope| ShareTeller {
         peer: digest.sender.key(),
@@ -316,24 +316,24 @@
         if let Some(teller) = teller {
             beliefs.shares.merge(teller, shares, now);
         }
-        beliefs.fleet.hear_digest(digest, incarnation, now)
+        beliefs.fleet.receive_digest(digest, incarnation, now)
     });
     take_news(state, &news);
 }
 
 /// Acts on news of boxes: ends the runs of those that remember none, and tells those that decide for
 /// engines what they may not know.
-fn take_news(state: &GatewayState, news: &[(BoxKey, BoxNews)]) {
+fn take_news(state: &GatewayState, news: &[(BoxKey, BoxChange)]) {
     let now = now_ms();
-    let changed = news.iter().filter(|(_, news)| *news != BoxNews::None);
+    let changed = news.iter().filter(|(_, news)| *news != BoxChange::None);
     let mut seen = Vec::new();
     for (peer, news) in changed {
         let told = state.with(|beliefs| {
-            if *news == BoxNews::NewLife {
+            if *news == BoxChange::Restarted {
                 beliefs.engines.forget_entry(*peer, now);
             }
             let fleet = &beliefs.fleet;
-            let told = fleet.is_told_in_full(*peer);
+            let told = fleet.has_heartbeat(*peer);
             told.then(|| (fleet.name(*peer).to_owned(), fleet.domain(*peer).to_owned()))
         });
         if let Some((name, domain)) = told {
--- a/dockgate/src/gateway/membership/tests.rs
+++ b/dockgate/src/gateway/membership/tests.rs
@@ -37,8 +37,12 @@
         "nobody was heard"
     );
 
-    let beat = BoxBeat::new("a2", "a", seed.local_addr().unwrap());
-    state.with(|beliefs| beliefs.fleet.hear(beat, Incarnation(1), now_ms()));
+    let beat = BoxHeartbeat::new("a2", "a", seed.local_addr().unwrap());
+    state.with(|beliefs| {
+        beliefs
+            .fleet
+            .receive_heartbeat(beat, Incarnation(1), now_ms())
+    });
     announce(&state).await;
     seed.readable().await.unwrap();
     assert_eq!(count_datagrams(&seed), 1, "it is known by now");
@@ -57,10 +61,10 @@
         given: 20,
     };
     for (name, domain, scope) in [
-        ("a2", "a", DigestScope::Near),
-        ("b1", "b", DigestScope::Welcome),
+        ("a2", "a", DigestScope::SameDomain),
+        ("b1", "b", DigestScope::Introduction),
     ] {
-        let beat = BoxBeat::new(name, domain, from);
+        let beat = BoxHeartbeat::new(name, domain, from);
         hear_beat(&state, from, beat, Incarnation(1), &[row]);
         other.readable().await.unwrap();
         let mut buffer = [0; 2_000];
--- a/dockgate/src/gateway/notices.rs
+++ b/dockgate/src/gateway/notices.rs
@@ -50,7 +50,7 @@
     });
     if let Some(owner) = owner.filter(|owner| *owner != state.me()) {
         let endpoint = target.id;
-        send_to(state, owner, GatewayMessage::Leaves { endpoint });
+        send_to(state, owner, GatewayMessage::EndpointLeaving { endpoint });
     }
 }
 
--- a/dockgate/src/gateway/peer_net.rs
+++ b/dockgate/src/gateway/peer_net.rs
@@ -53,15 +53,19 @@
         number,
     };
     match message {
-        GatewayMessage::Beat { beat, shares } => {
-            hear_beat(state, from, beat, incarnation, &shares);
+        GatewayMessage::Heartbeat { heartbeat, shares } => {
+            hear_beat(state, from, heartbeat, incarnation, &shares);
         }
         GatewayMessage::Digest { digest, shares } => {
             hear_digest(state, digest, incarnation, &shares);
         }
-        GatewayMessage::Seek { run, endpoint, ask } => {
+        GatewayMessage::SlotRequest {
+            run,
+            endpoint,
+            request,
+        } => {
             let key = run_of(run);
-            if let Some(verdict) = answer_seek(state, run, endpoint, key, &ask) {
+            if let Some(verdict) = answer_seek(state, run, endpoint, key, &request) {
                 send_datagram(state, from, verdict);
             }
         }
@@ -83,16 +87,16 @@
         GatewayMessage::Placed {
             run,
             endpoint,
-            ask,
+            request,
             started,
         } => {
             let key = run_of(run);
-            place_here(state, endpoint, key, &ask);
+            place_here(state, endpoint, key, &request);
             if started {
                 state.with(|beliefs| beliefs.engines.start(endpoint, key, now, true));
             }
         }
-        GatewayMessage::Read { endpoint, parts } => {
+        GatewayMessage::PartsRead { endpoint, parts } => {
             note_cached_here(state, endpoint, &parts);
         }
         GatewayMessage::Started { run, endpoint } => {
@@ -103,7 +107,7 @@
             let key = run_of(run);
             state.with(|beliefs| beliefs.engines.end(endpoint, key));
         }
-        GatewayMessage::Leaves { endpoint } => hear_told(state, endpoint),
+        GatewayMessage::EndpointLeaving { endpoint } => hear_told(state, endpoint),
         GatewayMessage::Suspects { rows } => quarantine::hear(state, from, &rows),
     }
 }
--- a/dockgate/src/gateway/peer_state.rs
+++ b/dockgate/src/gateway/peer_state.rs
@@ -14,7 +14,7 @@
 use crate::clock::{now_ms, wakings};
 use crate::door::RpcDoor;
 use crate::error::DaemonError;
-use dockgate_core::gateway::{BoxKnowledge, InformedBox, StoreRevision};
+use dockgate_core::gateway::{StateKind, StateSource, StoreRevision};
 use dockgate_proto::{StateAnswer, StateRequest, methods};
 use http::{Extensions, HeaderMap};
 use jsonrpsee::RpcModule;
@@ -96,16 +96,16 @@
     /// Returns which box to ask now, if any.
     fn due(
         &mut self,
-        better: Option<InformedBox>,
+        better: Option<StateSource>,
         has_watch: bool,
         now_ms: u64,
-    ) -> Option<InformedBox> {
+    ) -> Option<StateSource> {
         let Some(better) = better else {
             self.behind_since_ms = None;
             return None;
         };
         let behind_ms = now_ms - *self.behind_since_ms.get_or_insert(now_ms);
-        let patience_ms = match (has_watch, better.is_near) {
+        let patience_ms = match (has_watch, better.is_same_domain) {
             (true, _) => WATCH_PATIENCE_MS,
             (false, false) => FAR_PATIENCE_MS,
             (false, true) => 0,
@@ -130,14 +130,15 @@
 }
 
 /// Asks boxes that know more of `what`, until the process ends.
-pub(super) async fn query_peers(state: Arc<GatewayState>, what: BoxKnowledge) {
+pub(super) async fn query_peers(state: Arc<GatewayState>, what: StateKind) {
     let mut backoff = QueryBackoff::default();
     loop {
         let version = state.table().config().version;
         let look = if version == 0 { FIRST_LOOK } else { LOOK };
         tokio::time::sleep(look).await;
         let now = now_ms();
-        let better = state.with(|beliefs| beliefs.fleet.better_informed(what, backoff.silent, now));
+        let better =
+            state.with(|beliefs| beliefs.fleet.find_state_source(what, backoff.silent, now));
         // A box that knows nothing yet has no time to wait for its watch.
         let has_watch = version > 0 && state.hears_store();
         if let Some(better) = backoff.due(better, has_watch, now) {
@@ -157,7 +158,7 @@
 async fn ask_noted(
     state: &GatewayState,
     peer: SocketAddr,
-    what: BoxKnowledge,
+    what: StateKind,
     limit: Duration,
 ) -> bool {
     let began_ms = now_ms();
@@ -179,7 +180,7 @@
 async fn ask(
     state: &GatewayState,
     peer: SocketAddr,
-    what: BoxKnowledge,
+    what: StateKind,
     limit: Duration,
 ) -> Result<(), ClientError> {
     let client = WsClientBuilder::new()
@@ -189,7 +190,7 @@
         .await?;
     let source = peer.to_string();
     match what {
-        BoxKnowledge::Config => {
+        StateKind::Config => {
             let request = StateRequest::config(state.table().config().version);
             let answer = request_state(&client, request).await?;
             answer
@@ -197,7 +198,7 @@
                 .into_iter()
                 .for_each(|config| state.offer_routes(config, &source));
         }
-        BoxKnowledge::Endpoints => {
+        StateKind::Endpoints => {
             let known = state.with(|beliefs| beliefs.endpoints.revision());
             let answer = request_state(&client, StateRequest::endpoints(known)).await?;
             let agrees = answer
--- a/dockgate/src/gateway/peer_state/tests.rs
+++ b/dockgate/src/gateway/peer_state/tests.rs
@@ -1,16 +1,20 @@
 use super::*;
 
-fn better(is_near: bool) -> Option<InformedBox> {
-    Some(InformedBox {
+fn better(is_same_domain: bool) -> Option<StateSource> {
+    Some(StateSource {
         state_address: "10.0.0.1:7500".parse().unwrap(),
-        is_near,
+        is_same_domain,
     })
 }
 
 /// Returns after how many milliseconds a box that is behind asks.
-fn asks_after_ms(is_near: bool, has_watch: bool) -> u64 {
+fn asks_after_ms(is_same_domain: bool, has_watch: bool) -> u64 {
     let mut backoff = QueryBackoff::default();
-    let asks = |at_ms: &u64| backoff.due(better(is_near), has_watch, *at_ms).is_some();
+    let asks = |at_ms: &u64| {
+        backoff
+            .due(better(is_same_domain), has_watch, *at_ms)
+            .is_some()
+    };
     (1_000..3_000).find(asks).unwrap() - 1_000
 }
 
--- a/dockgate/src/gateway/store_probe.rs
+++ b/dockgate/src/gateway/store_probe.rs
@@ -6,7 +6,7 @@
 use super::membership::send_beat;
 use super::quarantine_store;
 use crate::clock::{now_ms, timeout, wakings};
-use dockgate_core::gateway::{ProbeNews, ProbeRule, StoreRevision};
+use dockgate_core::gateway::{ProbeChange, ProbeTiming, StoreRevision};
 use dockgate_platform::{PlatformClient, QUARANTINES};
 use std::ops::Range;
 use std::sync::Arc;
@@ -52,14 +52,14 @@
             // The state that sends it lives as long as this task.
             let _ = roles.wait_for(|role| role.probes).await;
         }
-        let rule = ProbeRule::within(state.settings().drain.as_millis() as u64);
+        let rule = ProbeTiming::within(state.settings().drain.as_millis() as u64);
         tokio::select! {
             () = probe_once(&state, &client, rule) => {}
             // Its connection is as old as the time away: the next one says how it stands.
             _ = wakings.changed() => continue,
         }
         let wait_ms = match state.is_first_watcher() || state.follows_store() {
-            true => rule.every_ms,
+            true => rule.interval_ms,
             false => rand::random_range(STAND_BY_MS),
         };
         // Over at once where the box was suspended: the channel lives as long as the process.
@@ -68,10 +68,10 @@
 }
 
 /// Probes the store once, and says at once to the other boxes what is new by it.
-async fn probe_once(state: &Arc<GatewayState>, client: &PlatformClient, rule: ProbeRule) {
+async fn probe_once(state: &Arc<GatewayState>, client: &PlatformClient, rule: ProbeTiming) {
     const STEP: &str = "probe";
     let sent_ms = now_ms();
-    let patience = Duration::from_millis(rule.patience_ms);
+    let patience = Duration::from_millis(rule.timeout_ms);
     let answer = client.probe(QUARANTINES, patience).await;
     let outcome = if answer.is_ok() { "answered" } else { "failed" };
     let counter = &GATEWAY_METRICS.store_calls;
@@ -82,7 +82,7 @@
         Some(StoreRevision::new(era, listing.revision))
     });
     let news = state.note_probe(revision, sent_ms);
-    if let (Some(ProbeNews::Lost), Err(error)) = (news, answer) {
+    if let (Some(ProbeChange::Lost), Err(error)) = (news, answer) {
         log_gateway(&GatewayEvent::StoreLost {
             step: STEP,
             problem: error.to_string(),
--- a/dockgate/src/gateway/waking.rs
+++ b/dockgate/src/gateway/waking.rs
@@ -9,7 +9,7 @@
 use super::gateway_state::GatewayState;
 use super::membership::send_beat;
 use crate::clock::{ClockInstant, note_suspension, now_ms};
-use dockgate_core::gateway::WakeGate;
+use dockgate_core::gateway::ResumeGate;
 use std::time::Duration;
 
 /// How often a request that waits for the box to know the present looks whether it does.
@@ -23,7 +23,7 @@
     GATEWAY_METRICS.note_suspension(away);
     let away_ms = away.as_millis() as u64;
     log_gateway(&GatewayEvent::Woke { away_ms });
-    if away_ms < WakeGate::LEAST_AWAY_MS {
+    if away_ms < ResumeGate::MIN_SUSPENSION_MS {
         return;
     }
     state.forget_reach();
--- a/dockgate/src/probed_wait.rs
+++ b/dockgate/src/probed_wait.rs
@@ -1,6 +1,6 @@
 //! Waits for a long answer of the platform's store, and probes the store meanwhile.
 
-use dockgate_core::gateway::ProbeRule;
+use dockgate_core::gateway::ProbeTiming;
 use dockgate_platform::{PlatformClient, PlatformError, QUARANTINES};
 use std::future::Future;
 use std::time::Duration;
@@ -28,10 +28,10 @@
 }
 
 async fn notice_silence(client: &PlatformClient) -> PlatformError {
-    let rule = ProbeRule::within(IN_FORCE_MS);
+    let rule = ProbeTiming::within(IN_FORCE_MS);
     loop {
-        tokio::time::sleep(Duration::from_millis(rule.every_ms)).await;
-        let patience = Duration::from_millis(rule.patience_ms);
+        tokio::time::sleep(Duration::from_millis(rule.interval_ms)).await;
+        let patience = Duration::from_millis(rule.timeout_ms);
         if let Err(silence) = client.probe(QUARANTINES, patience).await {
             return silence;
         }
