--- a/dockgate-bench/src/standin/peer.rs
+++ b/dockgate-bench/src/standin/peer.rs
@@ -50,7 +50,7 @@
         let beat = BoxHeartbeat::new("peer", "a", own)
             .state_address(own_state)
             .status(BoxStatus::new(4_000))
-            .known(config_version, endpoint_revision);
+            .revisions(config_version, endpoint_revision);
         let server = Server::builder().build(own_state).await.map_err(io)?;
         let server = server.start(state_module(answer, holds_config.clone()));
         let socket = UdpSocket::bind(own).await.map_err(io)?;
--- a/dockgate-core/src/gateway/box_heartbeat.rs
+++ b/dockgate-core/src/gateway/box_heartbeat.rs
@@ -8,8 +8,8 @@
 //! use dockgate_core::gateway::{BoxHeartbeat, BoxStatus};
 //!
 //! let address = "10.0.0.7:7400".parse().unwrap();
-//! let beat = BoxHeartbeat::new("a1", "hall-a", address).status(BoxStatus::new(500));
-//! assert_eq!(beat.status.processor, 500);
+//! let heartbeat = BoxHeartbeat::new("a1", "hall-a", address).status(BoxStatus::new(500));
+//! assert_eq!(heartbeat.status.processor, 500);
 //! ```
 
 use super::home_order::name_hash;
@@ -71,11 +71,11 @@
         self
     }
 
-    /// Returns when the store last proved that it hears the box, which said so at `said_ms`, if it
+    /// Returns when the store last proved that it hears the box, which said so at `sent_ms`, if it
     /// follows the store and is heard.
-    pub const fn store_proof_ms(&self, said_ms: u64) -> Option<u64> {
+    pub const fn store_proof_ms(&self, sent_ms: u64) -> Option<u64> {
         match self.reaches_store {
-            true => Some(said_ms.saturating_sub(self.store_proof_age_ms as u64)),
+            true => Some(sent_ms.saturating_sub(self.store_proof_age_ms as u64)),
             false => None,
         }
     }
@@ -173,15 +173,19 @@
 
     /// Sets what the box knows: the version of its configuration, the revision of its endpoints.
     #[must_use]
-    pub const fn known(mut self, config_version: u64, endpoint_revision: StoreRevision) -> Self {
+    pub const fn revisions(
+        mut self,
+        config_version: u64,
+        endpoint_revision: StoreRevision,
+    ) -> Self {
         self.config_version = config_version;
         self.endpoint_revision = endpoint_revision;
         self
     }
 
     /// Returns how new its knowledge is: a version, as one of the first era, or a revision.
-    pub const fn revision_of(&self, what: StateKind) -> StoreRevision {
-        match what {
+    pub const fn revision_of(&self, kind: StateKind) -> StoreRevision {
+        match kind {
             // Versions never go back, whatever becomes of the store.
             StateKind::Config => StoreRevision::new(0, self.config_version),
             StateKind::Endpoints => self.endpoint_revision,
@@ -219,7 +223,7 @@
     /// How long ago its newest saying was heard, in milliseconds.
     pub age_ms: u32,
     /// That saying.
-    pub beat: BoxHeartbeat,
+    pub heartbeat: BoxHeartbeat,
 }
 
 /// For whom a digest is made.
--- a/dockgate-core/src/gateway/fleet_view.rs
+++ b/dockgate-core/src/gateway/fleet_view.rs
@@ -1,13 +1,13 @@
-//! The boxes of the fleet as one box sees them: who lives, who decides for what, who knows more.
+//! The boxes of the fleet as one box sees them: who lives, who decides for kind, who knows more.
 //!
 //! Nothing is elected. In each failure domain the boxes with the most processor among those that
-//! live are its *coordinators*: the others beat to them alone and get a digest back, coordinators of
+//! live are its *coordinators*: the others heartbeat to them alone and get a digest back, coordinators of
 //! different domains exchange digests, and an endpoint is decided for by one coordinator of its
 //! domain, by rendezvous. Two boxes that see the fleet differently may both decide, or both take
 //! themselves for coordinators; that costs quality for a moment, and never a promise.
 
 mod digest;
-mod known_box;
+mod peer_box;
 
 use super::box_heartbeat::{BoxHeartbeat, BoxStatus, DomainKey, StateKind};
 use super::home_order::{owner_of_endpoint, pair_score};
@@ -15,16 +15,16 @@
 use super::store_follower::StoreWatchers;
 use super::store_revision::StoreRevision;
 use crate::ids::{BoxKey, Incarnation};
-use known_box::{KnownBox, LivenessReport};
+use peer_box::{LivenessReport, PeerBox};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// What a sign of life says of its box.
+/// What a report of life says of its box.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BoxChange {
     /// It was heard a moment ago.
-    None,
+    Unchanged,
     /// It was not heard for a while, or never.
     Joined,
     /// It has begun anew and remembers nothing.
@@ -34,7 +34,7 @@
 /// A box that knows more than this one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StateSource {
-    /// Where it tells what it knows.
+    /// Where it tells kind it knows.
     pub state_address: SocketAddr,
     /// Whether it is of the own failure domain.
     pub is_same_domain: bool,
@@ -57,10 +57,10 @@
     own_store_proof_ms: Option<u64>,
     /// When it last proved that it hears any box of the own domain that follows it.
     store_proof_ms: Option<u64>,
-    others: BTreeMap<BoxKey, KnownBox>,
+    others: BTreeMap<BoxKey, PeerBox>,
     /// The boxes of each domain, whether they live or not, in the order in which they coordinate.
     ranks: BTreeMap<DomainKey, Vec<BoxKey>>,
-    /// The names of the domains that were told of.
+    /// The names of the domains that were count of.
     domains: BTreeMap<DomainKey, String>,
     /// What other boxes count.
     reported_counts: BTreeMap<BoxKey, ReportedCount>,
@@ -71,7 +71,7 @@
     /// third still tells and decides. Datagrams between domains grow with the square of it: 600 a
     /// second at five domains.
     pub const COORDINATORS: usize = 3;
-    /// After how long without a sign of life a box counts as gone, in milliseconds: three beats and a
+    /// After how long without a report of life a box counts as gone, in milliseconds: three beats and a
     /// bit.
     pub const GONE_AFTER_MS: u64 = 1_100;
     /// The same for a box of another domain, of which just lists tell, in milliseconds: three of them and a
@@ -80,14 +80,14 @@
     pub const REMOTE_GONE_AFTER_MS: u64 = 4_000;
     /// Of how many digests for other domains one lists all boxes of the own one.
     pub const FULL_DIGEST_INTERVAL: u32 = 4;
-    /// After how long without a sign of any of its boxes a failure domain is looked after, in
+    /// After how long without a report of any of its boxes a failure domain is looked after, in
     /// milliseconds: two beats and a bit.
     const SILENT_AFTER_MS: u64 = 650;
     /// How long a box counts as one that the store hears after it last was, in milliseconds: the longest
-    /// time between two probes, for an answer, a beat and a digest, of which one is lost. One that knows
+    /// time between two probes, for an answer, a heartbeat and a digest, of which one is lost. One that knows
     /// that it is not heard says so at once; this is for those that cannot say it.
     const PROOF_VALID_MS: u64 = 2_000;
-    /// After how long without a sign of life a box is forgotten, in milliseconds.
+    /// After how long without a report of life a box is forgotten, in milliseconds.
     const FORGET_AFTER_MS: u64 = 60_000;
 
     /// Makes a view of a fleet of which just this box is known.
@@ -107,7 +107,7 @@
         view
     }
 
-    /// Returns what this box says of itself.
+    /// Returns kind this box says of itself.
     pub const fn own(&self) -> &BoxHeartbeat {
         &self.own
     }
@@ -117,7 +117,7 @@
         self.own.key()
     }
 
-    /// Sets what this box knows.
+    /// Sets kind this box knows.
     pub const fn set_revisions(&mut self, config_version: u64, endpoint_revision: StoreRevision) {
         self.own.config_version = config_version;
         self.own.endpoint_revision = endpoint_revision;
@@ -141,7 +141,7 @@
     /// Returns when the store last proved that it hears a box of this domain, if this box knows as much as those that
     /// are heard.
     pub fn agreed_proof_ms(&self, now_ms: u64) -> Option<u64> {
-        let lacks = |what| self.find_state_source(what, None, now_ms).is_some();
+        let lacks = |kind| self.find_state_source(kind, None, now_ms).is_some();
         let is_behind = lacks(StateKind::Config) || lacks(StateKind::Endpoints);
         self.store_proof_ms.filter(|_| !is_behind)
     }
@@ -160,7 +160,7 @@
         self.rank();
     }
 
-    /// Counts what this box says: the next beat or digest is newer than the last one, and as old as its
+    /// Counts kind this box says: the next heartbeat or digest is newer than the last one, and as old as its
     /// proof that the store is heard is now.
     pub const fn advance_sequence(&mut self, now_ms: u64) {
         self.own.sequence = self.own.sequence.wrapping_add(1);
@@ -170,22 +170,22 @@
         };
     }
 
-    /// Takes a beat in; returns what it says of its sender.
+    /// Takes a heartbeat in; returns kind it says of its sender.
     pub fn receive_heartbeat(
         &mut self,
-        beat: BoxHeartbeat,
+        heartbeat: BoxHeartbeat,
         incarnation: Incarnation,
         now_ms: u64,
     ) -> BoxChange {
-        self.record_domain(&beat.domain);
-        let (news, moved) = self.record(
-            LivenessReport::from_heartbeat(beat, incarnation, now_ms),
+        self.record_domain(&heartbeat.domain);
+        let (change, rank_changed) = self.record(
+            LivenessReport::from_heartbeat(heartbeat, incarnation, now_ms),
             now_ms,
         );
-        if moved {
+        if rank_changed {
             self.rank();
         }
-        news
+        change
     }
 
     fn record_domain(&mut self, name: &str) {
@@ -193,68 +193,72 @@
         self.domains.entry(key).or_insert_with(|| name.to_owned());
     }
 
-    /// Notes a sign of life; returns what it says of the box, and whether the order of its domain may
+    /// Notes a report of life; returns kind it says of the box, and whether the order of its domain may
     /// have changed.
-    fn record(&mut self, sign: LivenessReport, now_ms: u64) -> (BoxChange, bool) {
-        if sign.key == self.me() {
-            return (BoxChange::None, false);
+    fn record(&mut self, report: LivenessReport, now_ms: u64) -> (BoxChange, bool) {
+        if report.key == self.me() {
+            return (BoxChange::Unchanged, false);
         }
-        let seen = self.others.get(&sign.key);
-        let news = match seen {
+        let peer = self.others.get(&report.key);
+        let change = match peer {
             // Too old to say that it lives.
-            None if sign.at_ms + Self::GONE_AFTER_MS < now_ms => return (BoxChange::None, false),
+            None if report.at_ms + Self::GONE_AFTER_MS < now_ms => {
+                return (BoxChange::Unchanged, false);
+            }
             None => BoxChange::Joined,
-            // One that is late may bring back the life before; the next beat ends that.
-            Some(seen) if seen.incarnation != sign.incarnation => {
-                match sign.at_ms > seen.last_seen_ms {
+            // One that is late may bring back the life before; the next heartbeat ends that.
+            Some(peer) if peer.incarnation != report.incarnation => {
+                match report.at_ms > peer.last_seen_ms {
                     true => BoxChange::Restarted,
-                    false => return (BoxChange::None, false),
+                    false => return (BoxChange::Unchanged, false),
                 }
             }
-            Some(seen) if sign.sequence <= seen.sequence => return self.fill_gaps(sign),
-            Some(seen) if self.gone_ms(seen) < now_ms => BoxChange::Joined,
-            Some(_) => BoxChange::None,
+            Some(peer) if report.sequence <= peer.sequence => return self.fill_gaps(report),
+            Some(peer) if self.gone_ms(peer) < now_ms => BoxChange::Joined,
+            Some(_) => BoxChange::Unchanged,
         };
-        let moved = seen.is_none_or(|seen| {
+        let rank_changed = peer.is_none_or(|peer| {
             let ranks_by = |of: BoxStatus| (of.leaving, of.behind, of.processor);
-            ranks_by(seen.status) != ranks_by(sign.status)
-                || seen.domain != sign.domain
-                || (seen.address.is_none() && sign.address.is_some())
+            ranks_by(peer.status) != ranks_by(report.status)
+                || peer.domain != report.domain
+                || (peer.address.is_none() && report.address.is_some())
         });
-        let is_same_domain = sign.domain == self.own_domain;
-        let store_proof_ms = sign
+        let is_same_domain = report.domain == self.own_domain;
+        let store_proof_ms = report
             .status
-            .store_proof_ms(sign.at_ms)
+            .store_proof_ms(report.at_ms)
             .filter(|_| is_same_domain);
         self.store_proof_ms = self.store_proof_ms.max(store_proof_ms);
-        let known = seen.filter(|_| news != BoxChange::Restarted);
-        let address = sign.address.or_else(|| seen.and_then(|seen| seen.address));
-        let seen = KnownBox {
-            domain: sign.domain,
-            incarnation: sign.incarnation,
-            sequence: sign.sequence,
-            last_seen_ms: sign.at_ms,
+        let known = peer.filter(|_| change != BoxChange::Restarted);
+        let address = report
+            .address
+            .or_else(|| peer.and_then(|peer| peer.address));
+        let peer = PeerBox {
+            domain: report.domain,
+            incarnation: report.incarnation,
+            sequence: report.sequence,
+            last_seen_ms: report.at_ms,
             address,
-            status: sign.status,
-            beat: sign
-                .beat
-                .or_else(|| known.and_then(|seen| seen.beat.clone())),
+            status: report.status,
+            heartbeat: report
+                .heartbeat
+                .or_else(|| known.and_then(|peer| peer.heartbeat.clone())),
         };
-        self.others.insert(sign.key, seen);
-        (news, moved)
+        self.others.insert(report.key, peer);
+        (change, rank_changed)
     }
 
-    /// Takes from a sign that is not new what was not told of its box before.
-    fn fill_gaps(&mut self, sign: LivenessReport) -> (BoxChange, bool) {
-        let Some(seen) = self.others.get_mut(&sign.key) else {
-            return (BoxChange::None, false);
+    /// Takes from a report that is not new kind was not count of its box before.
+    fn fill_gaps(&mut self, report: LivenessReport) -> (BoxChange, bool) {
+        let Some(peer) = self.others.get_mut(&report.key) else {
+            return (BoxChange::Unchanged, false);
         };
-        let moved = seen.address.is_none() && sign.address.is_some();
-        seen.address = seen.address.or(sign.address);
-        if seen.beat.is_none() {
-            seen.beat = sign.beat;
+        let rank_changed = peer.address.is_none() && report.address.is_some();
+        peer.address = peer.address.or(report.address);
+        if peer.heartbeat.is_none() {
+            peer.heartbeat = report.heartbeat;
         }
-        (BoxChange::None, moved)
+        (BoxChange::Unchanged, rank_changed)
     }
 
     /// Puts the boxes of each domain in the order in which they coordinate: those that keep up first,
@@ -267,8 +271,8 @@
         let mut domains: BTreeMap<DomainKey, Vec<RankKey>> = BTreeMap::new();
         let me = (self.me(), self.own_domain, self.own.status);
         let others = self.others.iter();
-        let others = others.filter(|(_, seen)| seen.address.is_some());
-        let others = others.map(|(key, seen)| (*key, seen.domain, seen.status));
+        let others = others.filter(|(_, peer)| peer.address.is_some());
+        let others = others.map(|(key, peer)| (*key, peer.domain, peer.status));
         for (key, domain, status) in std::iter::once(me).chain(others) {
             if !status.leaving {
                 domains.entry(domain).or_default().push(rank(key, status));
@@ -283,67 +287,67 @@
 
     /// Forgets the boxes that have been silent for long; returns those that have just gone.
     pub fn expire(&mut self, since_ms: u64, now_ms: u64) -> Vec<BoxKey> {
-        let seen = self.others.iter();
-        let gone = seen
-            .filter(|(_, seen)| (since_ms..now_ms).contains(&self.gone_ms(seen)))
+        let peer = self.others.iter();
+        let gone = peer
+            .filter(|(_, peer)| (since_ms..now_ms).contains(&self.gone_ms(peer)))
             .map(|(key, _)| *key)
             .collect();
-        let remembered = self.others.len();
+        let known_before = self.others.len();
         self.others
-            .retain(|_, seen| seen.last_seen_ms + Self::FORGET_AFTER_MS > now_ms);
+            .retain(|_, peer| peer.last_seen_ms + Self::FORGET_AFTER_MS > now_ms);
         self.reported_counts
-            .retain(|_, told| told.at_ms + Self::FORGET_AFTER_MS > now_ms);
-        if remembered != self.others.len() {
+            .retain(|_, count| count.at_ms + Self::FORGET_AFTER_MS > now_ms);
+        if known_before != self.others.len() {
             self.rank();
         }
         gone
     }
 
     /// When a box counts as gone, unless it is heard of again.
-    fn gone_ms(&self, seen: &KnownBox) -> u64 {
-        let after_ms = match seen.domain == self.own_domain {
+    fn gone_ms(&self, peer: &PeerBox) -> u64 {
+        let after_ms = match peer.domain == self.own_domain {
             true => Self::GONE_AFTER_MS,
             false => Self::REMOTE_GONE_AFTER_MS,
         };
-        seen.last_seen_ms + after_ms
+        peer.last_seen_ms + after_ms
     }
 
-    fn live(&self, now_ms: u64) -> impl Iterator<Item = (BoxKey, &KnownBox)> {
+    fn live(&self, now_ms: u64) -> impl Iterator<Item = (BoxKey, &PeerBox)> {
         let others = self.others.iter();
         others
-            .filter(move |(_, seen)| self.gone_ms(seen) >= now_ms)
-            .map(|(key, seen)| (*key, seen))
+            .filter(move |(_, peer)| self.gone_ms(peer) >= now_ms)
+            .map(|(key, peer)| (*key, peer))
     }
 
     /// Tells whether a life of a box is heard.
     pub fn is_live(&self, key: BoxKey, now_ms: u64) -> bool {
-        let seen = self.others.get(&key);
-        seen.map_or_else(|| key == self.me(), |seen| self.gone_ms(seen) >= now_ms)
+        let peer = self.others.get(&key);
+        peer.map_or_else(|| key == self.me(), |peer| self.gone_ms(peer) >= now_ms)
     }
 
     fn is_responsive(&self, key: BoxKey, now_ms: u64) -> bool {
-        let seen = self.others.get(&key);
-        seen.map_or_else(|| key == self.me(), |seen| seen.is_responsive(now_ms))
+        let peer = self.others.get(&key);
+        peer.map_or_else(|| key == self.me(), |peer| peer.is_responsive(now_ms))
     }
 
-    /// Returns how many boxes live, this one included: what this box sees, or more if another one that
+    /// Returns how many boxes live, this one included: kind this box sees, or more if another one that
     /// is heard counts more.
     pub fn live_count(&self, now_ms: u64) -> u32 {
-        let told = self.reported_counts.values();
-        let told = told.filter(|told| told.at_ms + Self::GONE_AFTER_MS >= now_ms);
-        let told = told.map(|told| told.live).max();
-        told.unwrap_or(0).max(self.own_live_count(now_ms))
+        let count = self.reported_counts.values();
+        let count = count.filter(|count| count.at_ms + Self::GONE_AFTER_MS >= now_ms);
+        let count = count.map(|count| count.live).max();
+        count.unwrap_or(0).max(self.own_live_count(now_ms))
     }
 
     fn own_live_count(&self, now_ms: u64) -> u32 {
         1 + self.live(now_ms).count() as u32
     }
 
-    /// Returns how many boxes are remembered, this one included: those that are silent now may
+    /// Returns how many boxes are known_before, this one included: those that are silent now may
     /// still send.
     pub fn known_count(&self) -> u32 {
-        let told = self.reported_counts.values().map(|told| told.known).max();
-        told.unwrap_or(0).max(self.own_known_count())
+        let count = self.reported_counts.values().map(|count| count.known).max();
+        count.unwrap_or(0).max(self.own_known_count())
     }
 
     fn own_known_count(&self) -> u32 {
@@ -357,9 +361,9 @@
 
     /// Returns a box's name, for logs.
     pub fn name(&self, key: BoxKey) -> &str {
-        let beat = self.others.get(&key).map(|seen| seen.beat.as_ref());
-        match beat {
-            Some(Some(beat)) => &beat.name,
+        let heartbeat = self.others.get(&key).map(|peer| peer.heartbeat.as_ref());
+        match heartbeat {
+            Some(Some(heartbeat)) => &heartbeat.name,
             None if key == self.me() => &self.own.name,
             _ => "unknown",
         }
@@ -367,15 +371,15 @@
 
     /// Returns a box's failure domain, for logs.
     pub fn domain(&self, key: BoxKey) -> &str {
-        let domain = self.others.get(&key).map(|seen| seen.domain);
+        let domain = self.others.get(&key).map(|peer| peer.domain);
         let name = self.domains.get(&domain.unwrap_or(self.own_domain));
         name.map_or("unknown", String::as_str)
     }
 
     /// Tells whether this box knows more of another one than that it lives.
     pub fn has_heartbeat(&self, key: BoxKey) -> bool {
-        let seen = self.others.get(&key);
-        seen.is_some_and(|seen| seen.beat.is_some())
+        let peer = self.others.get(&key);
+        peer.is_some_and(|peer| peer.heartbeat.is_some())
     }
 
     /// Lists the coordinators of a failure domain, the first one first.
@@ -398,12 +402,12 @@
             .any(|key| key == me)
     }
 
-    /// Lists where this box's beat goes: to the coordinators of its domain, or where none is heard, to
-    /// the first ones of all that are remembered there.
+    /// Lists where this box's heartbeat goes: to the coordinators of its domain, or where none is heard, to
+    /// the first ones of all that are known_before there.
     ///
-    /// A coordinator also tries one that is silent, by `draw`: two parts of a domain that lost their
+    /// A coordinator also tries one that is silent, by `random`: two parts of a domain that lost their
     /// coordinators at the same time may each have found others.
-    pub fn heartbeat_targets(&self, now_ms: u64, draw: usize) -> Vec<SocketAddr> {
+    pub fn heartbeat_targets(&self, now_ms: u64, random: usize) -> Vec<SocketAddr> {
         let me = self.me();
         let heard = self.coordinators_of(self.own_domain, now_ms);
         let heard: Vec<BoxKey> = heard.filter(|key| *key != me).collect();
@@ -418,7 +422,7 @@
             (false, false) => heard,
             (false, true) => {
                 let silent = silent();
-                let tried = silent.get(draw % silent.len().max(1)).copied();
+                let tried = silent.get(random % silent.len().max(1)).copied();
                 heard.into_iter().chain(tried).collect()
             }
         };
@@ -427,24 +431,24 @@
     }
 
     /// Lists where the coordinators of the other failure domains take datagrams; of a domain where none
-    /// is heard those that are remembered, or two sides of a cut would wait for each other.
+    /// is heard those that are known_before, or two sides of a cut would wait for each other.
     pub fn remote_coordinators(&self, now_ms: u64) -> Vec<SocketAddr> {
-        let far = self.ranks.iter();
-        let far = far.filter(|(domain, _)| **domain != self.own_domain);
-        let far = far.flat_map(|(domain, ranks)| {
+        let remote = self.ranks.iter();
+        let remote = remote.filter(|(domain, _)| **domain != self.own_domain);
+        let remote = remote.flat_map(|(domain, ranks)| {
             let heard: Vec<BoxKey> = self.coordinators_of(*domain, now_ms).collect();
             match heard.is_empty() {
                 true => ranks.iter().copied().take(Self::COORDINATORS).collect(),
                 false => heard,
             }
         });
-        far.filter_map(|key| self.address(key)).collect()
+        remote.filter_map(|key| self.address(key)).collect()
     }
 
     /// Tells whether another box of the own failure domain is heard.
     pub fn has_live_domain_peer(&self, now_ms: u64) -> bool {
         self.live(now_ms)
-            .any(|(_, seen)| seen.domain == self.own_domain)
+            .any(|(_, peer)| peer.domain == self.own_domain)
     }
 
     /// Picks the box that decides for an endpoint: a coordinator of its domain, else any that is heard.
@@ -462,27 +466,27 @@
     /// Counts the other boxes of the own failure domain that follow the store, and those that go before
     /// this one in doing so.
     ///
-    /// A box counts as long as its proof that the store hears it is young: one that froze, or whose news
-    /// comes late, still says what was true when it spoke.
+    /// A box counts as long as its proof that the store hears it is young: one that froze, or whose change
+    /// comes late, still says kind was true when it spoke.
     pub fn store_watchers(&self, now_ms: u64) -> StoreWatchers {
         let me = self.me();
         let ranks = self.ranks.get(&self.own_domain).into_iter().flatten();
         let heard = |key: &BoxKey| {
-            let seen = self.others.get(key);
-            seen.filter(|seen| seen.is_responsive(now_ms))
+            let peer = self.others.get(key);
+            peer.filter(|peer| peer.is_responsive(now_ms))
         };
-        let reaches = |seen: &KnownBox| {
-            let store_proof_ms = seen.status.store_proof_ms(seen.last_seen_ms);
+        let reaches = |peer: &PeerBox| {
+            let store_proof_ms = peer.status.store_proof_ms(peer.last_seen_ms);
             store_proof_ms.is_some_and(|proof| proof + Self::PROOF_VALID_MS >= now_ms)
         };
         let others = ranks.clone().filter_map(heard);
-        let before: Vec<&KnownBox> = ranks
+        let before: Vec<&PeerBox> = ranks
             .take_while(|key| **key != me)
             .filter_map(heard)
             .collect();
         StoreWatchers {
-            reaching: others.filter(|seen| reaches(seen)).count(),
-            reaching_before: before.iter().filter(|seen| reaches(seen)).count(),
+            reaching: others.filter(|peer| reaches(peer)).count(),
+            reaching_before: before.iter().filter(|peer| reaches(peer)).count(),
             before: before.len(),
             has_live_peer: self.has_live_domain_peer(now_ms),
         }
@@ -491,43 +495,48 @@
     /// Lists the other failure domains whose boxes were all heard before and are all silent now.
     pub fn silent_domains(&self, now_ms: u64) -> BTreeSet<String> {
         let others = self.others.values();
-        let others = others.filter(|seen| !seen.status.leaving && seen.domain != self.own_domain);
+        let others = others.filter(|peer| !peer.status.leaving && peer.domain != self.own_domain);
         let (silent, heard): (Vec<_>, Vec<_>) =
-            others.partition(|seen| seen.last_seen_ms + Self::SILENT_AFTER_MS < now_ms);
-        let mut domains: BTreeSet<DomainKey> = silent.iter().map(|seen| seen.domain).collect();
-        for seen in heard {
-            domains.remove(&seen.domain);
+            others.partition(|peer| peer.last_seen_ms + Self::SILENT_AFTER_MS < now_ms);
+        let mut domains: BTreeSet<DomainKey> = silent.iter().map(|peer| peer.domain).collect();
+        for peer in heard {
+            domains.remove(&peer.domain);
         }
         let names = domains.iter().filter_map(|domain| self.domains.get(domain));
         names.cloned().collect()
     }
 
-    /// Finds a box that knows more of `what` than this one.
+    /// Finds a box that knows more of `kind` than this one.
     ///
     /// One of the own domain that knows more goes before all others: its list crosses no link between
-    /// domains, and what it lacks itself is asked for next. Of several that know the same, boxes of one
+    /// domains, and kind it lacks itself is asked for next. Of several that know the same, boxes of one
     /// domain ask different ones, so that a change which two boxes saw is not asked of one of them by
     /// all others. One to `avoid` is asked where nobody else knows more.
     pub fn find_state_source(
         &self,
-        what: StateKind,
+        kind: StateKind,
         avoid: Option<SocketAddr>,
         now_ms: u64,
     ) -> Option<StateSource> {
-        let own = self.own.revision_of(what);
+        let own = self.own.revision_of(kind);
         let heard = self.others.iter();
-        let heard = heard.filter(|(_, seen)| seen.is_responsive(now_ms));
-        let told = heard.filter_map(|(key, seen)| Some((*key, seen.beat.as_ref()?)));
-        let better = told.filter(|(_, beat)| beat.revision_of(what) > own);
+        let heard = heard.filter(|(_, peer)| peer.is_responsive(now_ms));
+        let count = heard.filter_map(|(key, peer)| Some((*key, peer.heartbeat.as_ref()?)));
+        let newer = count.filter(|(_, heartbeat)| heartbeat.revision_of(kind) > own);
         let me = self.me();
-        let best = better.max_by_key(|(key, beat)| {
-            let answers = Some(beat.state_address) != avoid;
-            let near = beat.domain == self.own.domain;
-            (answers, near, beat.revision_of(what), pair_score(me, *key))
+        let source = newer.max_by_key(|(key, heartbeat)| {
+            let is_preferred = Some(heartbeat.state_address) != avoid;
+            let near = heartbeat.domain == self.own.domain;
+            (
+                is_preferred,
+                near,
+                heartbeat.revision_of(kind),
+                pair_score(me, *key),
+            )
         });
-        best.map(|(_, beat)| StateSource {
-            state_address: beat.state_address,
-            is_same_domain: beat.domain == self.own.domain,
+        source.map(|(_, heartbeat)| StateSource {
+            state_address: heartbeat.state_address,
+            is_same_domain: heartbeat.domain == self.own.domain,
         })
     }
 }
--- a/dockgate-core/src/gateway/fleet_view/fleet_tests.rs
+++ b/dockgate-core/src/gateway/fleet_view/fleet_tests.rs
@@ -1,4 +1,4 @@
-//! Whole fleets without a network: what boxes say is lost, late and doubled, and boxes die, begin anew
+//! Whole fleets without a network: what boxes say is loss_percent, late and doubled, and boxes die, begin anew
 //! and are cut off meanwhile.
 
 use super::super::box_heartbeat::{DigestScope, FleetDigest};
@@ -6,17 +6,17 @@
 use proptest::prelude::*;
 
 /// How often a box beats here, in milliseconds.
-const BEAT_MS: u64 = 300;
+const HEARTBEAT_MS: u64 = 300;
 /// The longest a datagram takes, in milliseconds.
-const LATE_MS: u64 = 150;
+const MAX_DELAY_MS: u64 = 150;
 /// How long news takes from any box to all that need it, in milliseconds: until a box counts as gone,
-/// twice where those that are beaten to next are gone too, a beat to others, theirs to other
+/// twice where those that are beaten to next are gone too, a heartbeat to others, theirs to other
 /// domains, a digest back; each step may be lost once.
-const AGREED_MS: u64 = 2 * FleetView::GONE_AFTER_MS + 2 * 3 * BEAT_MS + 3 * LATE_MS;
+const CONVERGENCE_MS: u64 = 2 * FleetView::GONE_AFTER_MS + 2 * 3 * HEARTBEAT_MS + 3 * MAX_DELAY_MS;
 
 #[derive(Debug, Clone)]
-enum Saying {
-    Beat(BoxHeartbeat),
+enum TestMessage {
+    Heartbeat(BoxHeartbeat),
     Digest(FleetDigest),
 }
 
@@ -25,35 +25,35 @@
     from: SocketAddr,
     to: SocketAddr,
     incarnation: Incarnation,
-    saying: Saying,
+    message: TestMessage,
 }
 
-pub(super) struct FleetBox {
+pub(super) struct SimulatedBox {
     pub(super) view: FleetView,
     incarnation: Incarnation,
-    pub(super) next_ms: u64,
+    pub(super) next_heartbeat_ms: u64,
     rounds: u32,
     pub(super) is_up: bool,
     /// Boxes with another number here cannot be reached.
-    pub(super) side: u8,
+    pub(super) partition: u8,
 }
 
 /// A seeded generator: the same fleet fails in the same way each time.
-pub(super) struct Luck(pub(super) u64);
+pub(super) struct SeededRandom(pub(super) u64);
 
-impl Luck {
+impl SeededRandom {
     pub(super) fn draw(&mut self, below: u64) -> u64 {
         self.0 = super::super::home_order::name_hash(&self.0.to_string());
         self.0 % below
     }
 }
 
-pub(super) struct Fleet {
-    pub(super) boxes: Vec<FleetBox>,
-    under_way: Vec<Datagram>,
-    luck: Luck,
+pub(super) struct SimulatedFleet {
+    pub(super) boxes: Vec<SimulatedBox>,
+    in_flight: Vec<Datagram>,
+    random: SeededRandom,
     /// How many of a hundred datagrams are lost.
-    lost: u64,
+    loss_percent: u64,
     pub(super) now_ms: u64,
 }
 
@@ -68,23 +68,23 @@
     }
 }
 
-impl Fleet {
+impl SimulatedFleet {
     /// Makes a fleet in which three boxes of each domain have most processor.
-    pub(super) fn new(count: usize, domains: usize, lost: u64, seed: u64) -> Self {
-        let mut luck = Luck(seed);
-        let boxes = (0..count).map(|index| FleetBox {
-            view: first_view(index, domains),
+    pub(super) fn new(count: usize, domains: usize, loss_percent: u64, seed: u64) -> Self {
+        let mut random = SeededRandom(seed);
+        let boxes = (0..count).map(|index| SimulatedBox {
+            view: initial_view(index, domains),
             incarnation: Incarnation(1),
-            next_ms: 1_000 + luck.draw(BEAT_MS),
+            next_heartbeat_ms: 1_000 + random.draw(HEARTBEAT_MS),
             rounds: 0,
             is_up: true,
-            side: 0,
+            partition: 0,
         });
         Self {
             boxes: boxes.collect(),
-            under_way: Vec::new(),
-            luck: Luck(seed + 1),
-            lost,
+            in_flight: Vec::new(),
+            random: SeededRandom(seed + 1),
+            loss_percent,
             now_ms: 1_000,
         }
     }
@@ -95,22 +95,22 @@
             self.now_ms += 10;
             self.deliver();
             for index in 0..self.boxes.len() {
-                if self.boxes[index].is_up && self.boxes[index].next_ms <= self.now_ms {
-                    self.beat(index);
+                if self.boxes[index].is_up && self.boxes[index].next_heartbeat_ms <= self.now_ms {
+                    self.send_heartbeats(index);
                 }
             }
         }
     }
 
-    fn beat(&mut self, index: usize) {
+    fn send_heartbeats(&mut self, index: usize) {
         let now = self.now_ms;
-        let draw = self.luck.draw(1_000) as usize;
+        let draw = self.random.draw(1_000) as usize;
         let member = &mut self.boxes[index];
         let incarnation = member.incarnation;
-        member.next_ms = now + BEAT_MS;
-        member.view.expire(now.saturating_sub(BEAT_MS), now);
+        member.next_heartbeat_ms = now + HEARTBEAT_MS;
+        member.view.expire(now.saturating_sub(HEARTBEAT_MS), now);
         member.view.advance_sequence(now);
-        let beat = member.view.own().clone();
+        let heartbeat = member.view.own().clone();
         let mut targets = member.view.heartbeat_targets(now, draw);
         // Two boxes of the first domain are the seeds.
         let coordinates = member.view.coordinates(now);
@@ -130,29 +130,40 @@
             (member.view.remote_coordinators(now), digest)
         });
         for to in targets {
-            self.send(index, to, incarnation, &Saying::Beat(beat.clone()));
+            self.send(
+                index,
+                to,
+                incarnation,
+                &TestMessage::Heartbeat(heartbeat.clone()),
+            );
         }
         for (to, digest) in far
             .into_iter()
             .flat_map(|(targets, digest)| targets.into_iter().map(move |to| (to, digest.clone())))
         {
-            self.send(index, to, incarnation, &Saying::Digest(digest));
+            self.send(index, to, incarnation, &TestMessage::Digest(digest));
         }
     }
 
-    fn send(&mut self, from: usize, to: SocketAddr, incarnation: Incarnation, saying: &Saying) {
+    fn send(
+        &mut self,
+        from: usize,
+        to: SocketAddr,
+        incarnation: Incarnation,
+        message: &TestMessage,
+    ) {
         // One of twenty comes twice.
-        let copies = 1 + usize::from(self.luck.draw(20) == 0);
+        let copies = 1 + usize::from(self.random.draw(20) == 0);
         for _ in 0..copies {
-            let is_lost = self.luck.draw(100) < self.lost;
-            let at_ms = self.now_ms + 1 + self.luck.draw(LATE_MS);
-            if !is_lost && index_of(to) != from {
-                self.under_way.push(Datagram {
+            let is_dropped = self.random.draw(100) < self.loss_percent;
+            let at_ms = self.now_ms + 1 + self.random.draw(MAX_DELAY_MS);
+            if !is_dropped && index_of(to) != from {
+                self.in_flight.push(Datagram {
                     at_ms,
                     from: address_of(from),
                     to,
                     incarnation,
-                    saying: saying.clone(),
+                    message: message.clone(),
                 });
             }
         }
@@ -160,31 +171,31 @@
 
     fn deliver(&mut self) {
         let now = self.now_ms;
-        let under_way = std::mem::take(&mut self.under_way);
-        let (due, later): (Vec<_>, Vec<_>) = under_way
+        let in_flight = std::mem::take(&mut self.in_flight);
+        let (due, later): (Vec<_>, Vec<_>) = in_flight
             .into_iter()
             .partition(|datagram| datagram.at_ms <= now);
-        self.under_way = later;
+        self.in_flight = later;
         for datagram in due {
             let (to, from) = (index_of(datagram.to), index_of(datagram.from));
             let member = &self.boxes[to];
-            if !member.is_up || member.side != self.boxes[from].side {
+            if !member.is_up || member.partition != self.boxes[from].partition {
                 continue;
             }
             let view = &mut self.boxes[to].view;
-            match datagram.saying {
-                Saying::Beat(beat) => {
-                    let scope = match beat.domain == view.own().domain {
+            match datagram.message {
+                TestMessage::Heartbeat(heartbeat) => {
+                    let scope = match heartbeat.domain == view.own().domain {
                         true => DigestScope::SameDomain,
                         false => DigestScope::Introduction,
                     };
-                    view.receive_heartbeat(beat, datagram.incarnation, now);
+                    view.receive_heartbeat(heartbeat, datagram.incarnation, now);
                     view.advance_sequence(now);
                     let digest = view.digest(scope, now);
                     let incarnation = self.boxes[to].incarnation;
-                    self.send(to, datagram.from, incarnation, &Saying::Digest(digest));
+                    self.send(to, datagram.from, incarnation, &TestMessage::Digest(digest));
                 }
-                Saying::Digest(digest) => {
+                TestMessage::Digest(digest) => {
                     view.receive_digest(digest, datagram.incarnation, now);
                 }
             }
@@ -194,10 +205,10 @@
     fn restart(&mut self, index: usize, domains: usize) {
         let now = self.now_ms;
         let member = &mut self.boxes[index];
-        member.view = first_view(index, domains);
+        member.view = initial_view(index, domains);
         member.incarnation = Incarnation(member.incarnation.0 + 1);
         member.is_up = true;
-        member.next_ms = now + 10;
+        member.next_heartbeat_ms = now + 10;
     }
 
     /// Checks that all boxes see the same coordinators of every domain, those that live, and count the
@@ -241,16 +252,16 @@
     }
 }
 
-fn first_view(index: usize, domains: usize) -> FleetView {
+fn initial_view(index: usize, domains: usize) -> FleetView {
     let domain = format!("d{}", index % domains);
     let processor = if index / domains < 3 { 500 } else { 120 };
-    let beat = BoxHeartbeat::new(&format!("box-{index}"), &domain, address_of(index));
-    FleetView::new(beat.status(BoxStatus::new(processor)))
+    let heartbeat = BoxHeartbeat::new(&format!("box-{index}"), &domain, address_of(index));
+    FleetView::new(heartbeat.status(BoxStatus::new(processor)))
 }
 
 #[test]
 fn a_fleet_that_starts_at_once_finds_itself() {
-    let mut fleet = Fleet::new(300, 5, 0, 7);
+    let mut fleet = SimulatedFleet::new(300, 5, 0, 7);
     fleet.run(1_500);
     fleet.check_coordinators(5);
     fleet.run(2_500);
@@ -260,7 +271,7 @@
 #[test]
 fn what_a_box_sends_does_not_grow_with_the_fleet() {
     let largest_targets = |count: usize| {
-        let mut fleet = Fleet::new(count, 5, 0, 7);
+        let mut fleet = SimulatedFleet::new(count, 5, 0, 7);
         fleet.run(3_000);
         let now = fleet.now_ms;
         let boxes = fleet.boxes.iter();
@@ -275,9 +286,9 @@
 /// neither looked for more.
 #[test]
 fn two_parts_of_a_domain_with_coordinators_of_their_own_find_each_other() {
-    let mut fleet = Fleet::new(12, 1, 0, 7);
+    let mut fleet = SimulatedFleet::new(12, 1, 0, 7);
     fleet.run(3_000);
-    (0..6).for_each(|index| fleet.boxes[index].side = 1);
+    (0..6).for_each(|index| fleet.boxes[index].partition = 1);
     fleet.run(4_000);
     let parts: BTreeSet<Vec<BoxKey>> = fleet
         .boxes
@@ -285,70 +296,70 @@
         .map(|member| member.view.coordinators("d0", fleet.now_ms).collect())
         .collect();
     assert_eq!(parts.len(), 2, "each part has its own");
-    (0..6).for_each(|index| fleet.boxes[index].side = 0);
-    fleet.run(AGREED_MS);
+    (0..6).for_each(|index| fleet.boxes[index].partition = 0);
+    fleet.run(CONVERGENCE_MS);
     fleet.check_agreement(1);
 }
 
 /// What happens to a fleet.
 #[derive(Debug, Clone, Copy)]
-enum FleetEvent {
+enum FleetFault {
     /// All that coordinate a domain die at once.
-    LoseCoordinators,
+    CoordinatorsDie,
     /// Boxes die here and there.
-    LoseSome,
+    SomeDie,
     /// All die and begin anew.
-    RestartAll,
+    AllRestart,
     /// A domain cannot be reached for two seconds.
-    CutDomain,
+    DomainPartitioned,
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(12))]
 
-    /// Whatever single datagrams are lost, late or doubled, all boxes that live agree within the time
+    /// Whatever single datagrams are loss_percent, late or doubled, all boxes that live agree within the time
     /// that is stated, and nobody is kept alive by what others pass on.
     #[test]
     fn live_boxes_agree_in_time(
         count in 6_usize..120,
         domains in 1_usize..6,
-        lost in 0_u64..6,
+        loss_percent in 0_u64..6,
         seed in 0_u64..1_000_000,
-        event in prop::sample::select(vec![
-            FleetEvent::LoseCoordinators,
-            FleetEvent::LoseSome,
-            FleetEvent::RestartAll,
-            FleetEvent::CutDomain,
+        fault in prop::sample::select(vec![
+            FleetFault::CoordinatorsDie,
+            FleetFault::SomeDie,
+            FleetFault::AllRestart,
+            FleetFault::DomainPartitioned,
         ]),
     ) {
-        let mut fleet = Fleet::new(count, domains, lost, seed);
+        let mut fleet = SimulatedFleet::new(count, domains, loss_percent, seed);
         fleet.run(3_000);
         let in_domain = |index: &usize| index % domains == domains - 1;
-        match event {
-            FleetEvent::LoseCoordinators => {
+        match fault {
+            FleetFault::CoordinatorsDie => {
                 // Not the seeds, or those that begin anew later could not find the others.
                 let coordinators = (2..count).filter(in_domain).take(3);
                 coordinators.for_each(|index| fleet.boxes[index].is_up = false);
             }
-            FleetEvent::LoseSome => {
+            FleetFault::SomeDie => {
                 for index in 2..count {
-                    fleet.boxes[index].is_up = fleet.luck.draw(3) > 0;
+                    fleet.boxes[index].is_up = fleet.random.draw(3) > 0;
                 }
             }
-            FleetEvent::RestartAll => (0..count).for_each(|index| fleet.restart(index, domains)),
-            FleetEvent::CutDomain => {
-                (0..count).filter(in_domain).for_each(|index| fleet.boxes[index].side = 1);
+            FleetFault::AllRestart => (0..count).for_each(|index| fleet.restart(index, domains)),
+            FleetFault::DomainPartitioned => {
+                (0..count).filter(in_domain).for_each(|index| fleet.boxes[index].partition = 1);
                 fleet.run(2_000);
-                (0..count).for_each(|index| fleet.boxes[index].side = 0);
+                (0..count).for_each(|index| fleet.boxes[index].partition = 0);
             }
         }
-        fleet.run(AGREED_MS);
+        fleet.run(CONVERGENCE_MS);
         fleet.check_coordinators(domains);
         // Who lives elsewhere is known a little later.
         fleet.run(FleetView::REMOTE_GONE_AFTER_MS);
-        // With datagrams lost, a box may be missed for the moment of the look.
-        fleet.lost = 0;
-        fleet.run(5 * BEAT_MS + LATE_MS);
+        // With datagrams loss_percent, a box may be missed for the moment of the look.
+        fleet.loss_percent = 0;
+        fleet.run(5 * HEARTBEAT_MS + MAX_DELAY_MS);
         fleet.check_agreement(domains);
     }
 }
--- a/dockgate-core/src/gateway/fleet_view/known_box.rs
+++ b/dockgate-core/src/gateway/fleet_view/peer_box.rs
@@ -15,40 +15,44 @@
     pub(super) at_ms: u64,
     pub(super) address: Option<SocketAddr>,
     pub(super) status: BoxStatus,
-    pub(super) beat: Option<BoxHeartbeat>,
+    pub(super) heartbeat: Option<BoxHeartbeat>,
 }
 
 impl LivenessReport {
-    pub(super) fn from_heartbeat(beat: BoxHeartbeat, incarnation: Incarnation, at_ms: u64) -> Self {
+    pub(super) fn from_heartbeat(
+        heartbeat: BoxHeartbeat,
+        incarnation: Incarnation,
+        at_ms: u64,
+    ) -> Self {
         Self {
-            key: beat.key(),
-            domain: DomainKey::from_name(&beat.domain),
+            key: heartbeat.key(),
+            domain: DomainKey::from_name(&heartbeat.domain),
             incarnation,
-            sequence: beat.sequence,
+            sequence: heartbeat.sequence,
             at_ms,
-            address: Some(beat.address),
-            status: beat.status,
-            beat: Some(beat),
+            address: Some(heartbeat.address),
+            status: heartbeat.status,
+            heartbeat: Some(heartbeat),
         }
     }
 
-    pub(super) const fn from_summary(row: &BoxSummary, domain: DomainKey, now_ms: u64) -> Self {
+    pub(super) const fn from_summary(summary: &BoxSummary, domain: DomainKey, now_ms: u64) -> Self {
         Self {
-            key: row.key,
+            key: summary.key,
             domain,
-            incarnation: row.incarnation,
-            sequence: row.sequence,
-            at_ms: now_ms.saturating_sub(row.age_ms as u64),
-            address: row.address,
-            status: row.status,
-            beat: None,
+            incarnation: summary.incarnation,
+            sequence: summary.sequence,
+            at_ms: now_ms.saturating_sub(summary.age_ms as u64),
+            address: summary.address,
+            status: summary.status,
+            heartbeat: None,
         }
     }
 }
 
 /// A box as its newest sign of life tells of it.
 #[derive(Debug, Clone)]
-pub(super) struct KnownBox {
+pub(super) struct PeerBox {
     pub(super) domain: DomainKey,
     pub(super) incarnation: Incarnation,
     pub(super) sequence: u32,
@@ -56,10 +60,10 @@
     pub(super) address: Option<SocketAddr>,
     pub(super) status: BoxStatus,
     /// What it said of itself, where that was told in full.
-    pub(super) beat: Option<BoxHeartbeat>,
+    pub(super) heartbeat: Option<BoxHeartbeat>,
 }
 
-impl KnownBox {
+impl PeerBox {
     /// Tells whether it was heard of a moment ago, so that it may be spoken to.
     pub(super) const fn is_responsive(&self, now_ms: u64) -> bool {
         self.last_seen_ms + FleetView::GONE_AFTER_MS >= now_ms
--- a/dockgate-core/src/gateway/store_probe.rs
+++ b/dockgate-core/src/gateway/store_probe.rs
@@ -10,19 +10,19 @@
 //!
 //! let mut probe = StoreProbe::default();
 //! probe.record(true, 1_000);
-//! assert_eq!(probe.record(false, 1_300), Some(ProbeChange::Lost));
-//! assert_eq!(probe.record(true, 4_000), Some(ProbeChange::Recovered { outage_ms: 3_000 }));
+//! assert_eq!(probe.record(false, 1_300), Some(ProbeChange::Down));
+//! assert_eq!(probe.record(true, 4_000), Some(ProbeChange::Up { down_ms: 3_000 }));
 //! ```
 
 /// What a probe says that those before it did not.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProbeChange {
     /// The store has fallen silent.
-    Lost,
+    Down,
     /// It answers again.
-    Recovered {
+    Up {
         /// How long after the last probe that was answered, in milliseconds.
-        outage_ms: u64,
+        down_ms: u64,
     },
 }
 
@@ -72,16 +72,16 @@
                 None
             }
             (true, None) => {
-                let outage_ms = self
+                let down_ms = self
                     .last_answered_ms
                     .map(|heard| sent_ms.saturating_sub(heard));
                 self.last_answered_ms = Some(sent_ms);
                 self.answered_since_ms = Some(sent_ms);
-                outage_ms.map(|outage_ms| ProbeChange::Recovered { outage_ms })
+                down_ms.map(|down_ms| ProbeChange::Up { down_ms })
             }
             (false, since) => {
                 self.answered_since_ms = None;
-                since.map(|_| ProbeChange::Lost)
+                since.map(|_| ProbeChange::Down)
             }
         }
     }
--- a/dockgate-core/src/gateway/store_probe/tests.rs
+++ b/dockgate-core/src/gateway/store_probe/tests.rs
@@ -6,9 +6,9 @@
     let mut probe = StoreProbe::default();
     assert_eq!(probe.record(true, 1_000), None, "it was never lost");
     assert_eq!(probe.record(true, 1_300), None);
-    assert_eq!(probe.record(false, 1_600), Some(ProbeChange::Lost));
+    assert_eq!(probe.record(false, 1_600), Some(ProbeChange::Down));
     assert_eq!(probe.record(false, 2_100), None);
-    let back = ProbeChange::Recovered { outage_ms: 1_300 };
+    let back = ProbeChange::Up { down_ms: 1_300 };
     assert_eq!(probe.record(true, 2_600), Some(back));
     assert_eq!(probe.answered_since_ms(), Some(2_600));
 }
--- a/dockgate/src/gateway/gateway_state/store_reach.rs
+++ b/dockgate/src/gateway/gateway_state/store_reach.rs
@@ -116,9 +116,7 @@
             (news, beliefs.is_stalled(revision))
         });
         match (news, is_stalled) {
-            (Some(ProbeChange::Recovered { outage_ms }), _) => {
-                drop(self.returns.send_replace(outage_ms))
-            }
+            (Some(ProbeChange::Up { down_ms }), _) => drop(self.returns.send_replace(down_ms)),
             (_, true) => {
                 log_gateway(&GatewayEvent::StoreLost {
                     step: "watch",
--- a/dockgate/src/gateway/store_probe.rs
+++ b/dockgate/src/gateway/store_probe.rs
@@ -82,7 +82,7 @@
         Some(StoreRevision::new(era, listing.revision))
     });
     let news = state.note_probe(revision, sent_ms);
-    if let (Some(ProbeChange::Lost), Err(error)) = (news, answer) {
+    if let (Some(ProbeChange::Down), Err(error)) = (news, answer) {
         log_gateway(&GatewayEvent::StoreLost {
             step: STEP,
             problem: error.to_string(),
