--- a/dockgate-core/src/gateway/box_heartbeat.rs
+++ b/dockgate-core/src/gateway/box_heartbeat.rs
@@ -1,9 +1,3 @@
-//! What boxes say of themselves, and what others pass on of it.
-//!
-//! A box numbers what it says. Whatever way news of it takes, and however often it is passed on, only
-//! a higher number of the same life counts as a sign that it lives: news that is late, doubled or
-//! told in a circle keeps nobody alive.
-//!
 //! ```
 //! use dockgate_core::gateway::{BoxHeartbeat, BoxStatus};
 //!
@@ -18,7 +12,7 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Names a failure domain in messages and maps: a hash of its name.
+/// The key of a failure domain: a hash of its name.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct DomainKey(pub u32);
@@ -30,23 +24,23 @@
     }
 }
 
-/// How a box stands among those of its domain.
+/// The status of a box that decides its role in its domain.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BoxStatus {
-    /// Its part of a core, in thousandths.
+    /// Its share of a processor core, in thousandths.
     pub processor: u32,
     /// Whether it is about to stop.
     pub leaving: bool,
     /// Whether it falls behind with its work.
     pub behind: bool,
-    /// Whether it follows the store and reached it the last time.
+    /// Whether it follows the store and its last probe was answered.
     pub reaches_store: bool,
-    /// How long before this saying the store last proved that it hears this box, in milliseconds.
+    /// How long before the heartbeat the store last answered this box, in milliseconds.
     pub store_proof_age_ms: u32,
 }
 
 impl BoxStatus {
-    /// Makes the standing of a box that has just begun, with this many thousandths of a core.
+    /// Creates the status of a newly started box with a share of a core in thousandths.
     pub const fn new(processor: u32) -> Self {
         Self {
             processor,
@@ -57,22 +51,22 @@
         }
     }
 
-    /// Sets whether it follows the store and reached it the last time.
+    /// Sets whether it follows the store and its last probe was answered.
     #[must_use]
     pub const fn reaches_store(mut self, reaches: bool) -> Self {
         self.reaches_store = reaches;
         self
     }
 
-    /// Sets how long before the saying the store last proved that it hears the box.
+    /// Sets how long before the heartbeat the store last answered the box, in milliseconds.
     #[must_use]
     pub const fn store_proof_age_ms(mut self, age_ms: u32) -> Self {
         self.store_proof_age_ms = age_ms;
         self
     }
 
-    /// Returns when the store last proved that it hears the box, which said so at `sent_ms`, if it
-    /// follows the store and is heard.
+    /// Returns when the store last answered the box, given when the box reported it; `None` if the
+    /// box does not reach the store.
     pub const fn store_proof_ms(&self, sent_ms: u64) -> Option<u64> {
         match self.reaches_store {
             true => Some(sent_ms.saturating_sub(self.store_proof_age_ms as u64)),
@@ -95,7 +89,7 @@
     }
 }
 
-/// What one box may know more of than another.
+/// A kind of state that boxes fetch from each other.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StateKind {
     /// The configuration.
@@ -105,7 +99,7 @@
 }
 
 impl StateKind {
-    /// Returns the name, for logs and counters.
+    /// Returns the name used in logs and metrics.
     pub const fn name(self) -> &'static str {
         match self {
             Self::Config => "config",
@@ -114,29 +108,30 @@
     }
 }
 
-/// What a box says of itself.
+/// The heartbeat in which a box describes itself.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BoxHeartbeat {
     /// Its name.
     pub name: String,
     /// Its failure domain.
     pub domain: String,
-    /// Where it takes datagrams.
+    /// The address at which it receives datagrams.
     pub address: SocketAddr,
-    /// Where it tells what it knows.
+    /// The address that serves its state.
     pub state_address: SocketAddr,
-    /// How it stands.
+    /// Its status.
     pub status: BoxStatus,
-    /// The number of this saying within the life of the box.
+    /// The sequence number within the incarnation of the box.
     pub sequence: u32,
-    /// The version of its configuration; 0 where it has none.
+    /// The version of its configuration; 0 if it has none.
     pub config_version: u64,
-    /// The store's revision up to which it knows the endpoints.
+    /// The store revision up to which it knows the endpoints.
     pub endpoint_revision: StoreRevision,
 }
 
 impl BoxHeartbeat {
-    /// Makes the first beat of a box that takes datagrams at `address`, and tells its state there.
+    /// Creates the first heartbeat of a box that receives datagrams and serves its state at
+    /// `address`.
     pub fn new(name: &str, domain: &str, address: SocketAddr) -> Self {
         Self {
             name: name.to_owned(),
@@ -150,28 +145,28 @@
         }
     }
 
-    /// Sets where it tells what it knows.
+    /// Sets the address that serves its state.
     #[must_use]
     pub const fn state_address(mut self, address: SocketAddr) -> Self {
         self.state_address = address;
         self
     }
 
-    /// Sets how it stands.
+    /// Sets its status.
     #[must_use]
     pub const fn status(mut self, status: BoxStatus) -> Self {
         self.status = status;
         self
     }
 
-    /// Sets the number of this saying.
+    /// Sets the sequence number.
     #[must_use]
     pub const fn sequence(mut self, sequence: u32) -> Self {
         self.sequence = sequence;
         self
     }
 
-    /// Sets what the box knows: the version of its configuration, the revision of its endpoints.
+    /// Sets the version of its configuration and the revision of its endpoints.
     #[must_use]
     pub const fn revisions(
         mut self,
@@ -183,10 +178,10 @@
         self
     }
 
-    /// Returns how new its knowledge is: a version, as one of the first era, or a revision.
+    /// Returns the revision of a kind of state; a configuration version counts as one of era 0.
     pub const fn revision_of(&self, kind: StateKind) -> StoreRevision {
         match kind {
-            // Versions never go back, whatever becomes of the store.
+            // Configuration versions never decrease, even in a new era of the store.
             StateKind::Config => StoreRevision::new(0, self.config_version),
             StateKind::Endpoints => self.endpoint_revision,
         }
@@ -198,60 +193,60 @@
     }
 }
 
-/// A box as another one tells of it, in short.
+/// The short form in which another box reports a box.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BoxSummary {
     /// The box.
     pub key: BoxKey,
-    /// Its life.
+    /// Its incarnation.
     pub incarnation: Incarnation,
-    /// The number of the newest saying that has been heard of.
+    /// The newest known sequence number.
     pub sequence: u32,
-    /// How long ago that was heard, in milliseconds.
+    /// The age of that number, in milliseconds.
     pub age_ms: u32,
-    /// Where it takes datagrams; other domains need not know.
+    /// The address at which it receives datagrams; omitted for other domains.
     pub address: Option<SocketAddr>,
-    /// How it stands.
+    /// Its status.
     pub status: BoxStatus,
 }
 
-/// A box as another one tells of it, in full.
+/// The full form in which another box reports a box.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BoxReport {
-    /// Its life.
+    /// Its incarnation.
     pub incarnation: Incarnation,
-    /// How long ago its newest saying was heard, in milliseconds.
+    /// The age of its last heartbeat, in milliseconds.
     pub age_ms: u32,
-    /// That saying.
+    /// Its last heartbeat.
     pub heartbeat: BoxHeartbeat,
 }
 
-/// For whom a digest is made.
+/// The recipient of a digest, which decides what the digest contains.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DigestScope {
-    /// For a box of the sender's domain: sums of the whole fleet, all boxes of the domain.
+    /// A box of the sender's domain: all coordinators and all boxes of the domain.
     SameDomain,
-    /// For a coordinator of another domain: sums of the sender's domain.
+    /// A coordinator of another domain: only the sender itself.
     OtherDomain,
-    /// The same, and all boxes of the sender's domain.
+    /// A coordinator of another domain: also all boxes of the sender's domain.
     OtherDomainFull,
-    /// For a box of another domain that looks for its own: just whom to ask.
+    /// A box of another domain that looks for its own: only the coordinators.
     Introduction,
 }
 
-/// What a box passes on of the fleet.
+/// A digest of the fleet as one box knows it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FleetDigest {
-    /// For whom it is made.
+    /// The recipient.
     pub scope: DigestScope,
-    /// What the sender says of itself.
+    /// The heartbeat of the sender.
     pub sender: BoxHeartbeat,
-    /// The coordinators of all domains; none in what goes to those of another one.
+    /// The coordinators of all domains; empty for coordinators of other domains.
     pub coordinators: Vec<BoxReport>,
-    /// The other boxes of the sender's domain, or none where this is no list of them.
+    /// The other boxes of the sender's domain; empty unless the scope includes them.
     pub members: Vec<BoxSummary>,
-    /// How many boxes of the fleet live, as far as the sender knows.
+    /// The number of live boxes in the fleet, as far as the sender knows.
     pub live: u32,
-    /// How many boxes of the fleet are remembered.
+    /// The number of known boxes in the fleet, live or not.
     pub known: u32,
 }
--- a/dockgate-core/src/gateway/fleet_view.rs
+++ b/dockgate-core/src/gateway/fleet_view.rs
@@ -1,10 +1,10 @@
-//! The boxes of the fleet as one box sees them: who lives, who decides for kind, who knows more.
+//! One box's view of the fleet: which boxes are alive, which coordinate, which have newer state.
 //!
-//! Nothing is elected. In each failure domain the boxes with the most processor among those that
-//! live are its *coordinators*: the others heartbeat to them alone and get a digest back, coordinators of
-//! different domains exchange digests, and an endpoint is decided for by one coordinator of its
-//! domain, by rendezvous. Two boxes that see the fleet differently may both decide, or both take
-//! themselves for coordinators; that costs quality for a moment, and never a promise.
+//! There is no election. The *coordinators* of a failure domain are its live boxes with the most
+//! processor. The other boxes send heartbeats to them only and get digests back, coordinators of
+//! different domains exchange digests, and each endpoint is owned by one coordinator of its domain,
+//! chosen by rendezvous hashing. Boxes with different views may both own an endpoint or both act as
+//! coordinators; that makes decisions worse for a moment, but breaks no guarantee.
 
 mod digest;
 mod peer_box;
@@ -20,27 +20,27 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// What a report of life says of its box.
+/// How a liveness report changes what is known of a box.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BoxChange {
-    /// It was heard a moment ago.
+    /// The box was already known to be alive.
     Unchanged,
-    /// It was not heard for a while, or never.
+    /// The box is new, or was considered gone.
     Joined,
-    /// It has begun anew and remembers nothing.
+    /// The box restarted and lost its state.
     Restarted,
 }
 
-/// A box that knows more than this one.
+/// A box with newer state than this one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StateSource {
-    /// Where it tells kind it knows.
+    /// The address that serves its state.
     pub state_address: SocketAddr,
-    /// Whether it is of the own failure domain.
+    /// Whether it belongs to this box's failure domain.
     pub is_same_domain: bool,
 }
 
-/// How many boxes another box counts.
+/// The numbers of boxes that another box reported.
 #[derive(Debug, Clone, Copy)]
 struct ReportedCount {
     live: u32,
@@ -48,49 +48,46 @@
     at_ms: u64,
 }
 
-/// The boxes that were heard.
+/// The boxes that this box knows of.
 #[derive(Debug)]
 pub struct FleetView {
     own: BoxHeartbeat,
     own_domain: DomainKey,
-    /// When the store last proved that it hears this box, where this box follows it.
+    /// When the store last answered this box, if this box follows it.
     own_store_proof_ms: Option<u64>,
-    /// When it last proved that it hears any box of the own domain that follows it.
+    /// When the store last answered any follower of the own domain.
     store_proof_ms: Option<u64>,
     others: BTreeMap<BoxKey, PeerBox>,
-    /// The boxes of each domain, whether they live or not, in the order in which they coordinate.
+    /// The boxes of each domain, live or not, in order of precedence as coordinators.
     ranks: BTreeMap<DomainKey, Vec<BoxKey>>,
-    /// The names of the domains that were count of.
+    /// The names of the known domains.
     domains: BTreeMap<DomainKey, String>,
-    /// What other boxes count.
+    /// The numbers of boxes that other boxes reported.
     reported_counts: BTreeMap<BoxKey, ReportedCount>,
 }
 
 impl FleetView {
-    /// How many boxes of a failure domain coordinate: while one is frozen and another one dies, the
-    /// third still tells and decides. Datagrams between domains grow with the square of it: 600 a
-    /// second at five domains.
+    /// The number of coordinators of a failure domain: one may be suspended while another one dies.
+    /// The number of datagrams between domains grows with its square.
     pub const COORDINATORS: usize = 3;
-    /// After how long without a report of life a box counts as gone, in milliseconds: three beats and a
-    /// bit.
+    /// The silence after which a box counts as gone, in milliseconds: over three heartbeats.
     pub const GONE_AFTER_MS: u64 = 1_100;
-    /// The same for a box of another domain, of which just lists tell, in milliseconds: three of them and a
-    /// bit. What it has at engines is believed to be there for as long; with the list in each digest,
-    /// bytes between domains were a third more at 18 boxes. Who coordinates is not taken from lists.
+    /// The same for a box of another domain, in milliseconds: over three full digests, the only
+    /// messages that list it. The selection of coordinators does not use this limit.
     pub const REMOTE_GONE_AFTER_MS: u64 = 4_000;
-    /// Of how many digests for other domains one lists all boxes of the own one.
+    /// Every n-th digest for other domains lists all boxes of the sender's domain.
     pub const FULL_DIGEST_INTERVAL: u32 = 4;
-    /// After how long without a report of any of its boxes a failure domain is looked after, in
-    /// milliseconds: two beats and a bit.
+    /// The silence of all its boxes after which a failure domain counts as silent, in milliseconds:
+    /// over two heartbeats.
     const SILENT_AFTER_MS: u64 = 650;
-    /// How long a box counts as one that the store hears after it last was, in milliseconds: the longest
-    /// time between two probes, for an answer, a heartbeat and a digest, of which one is lost. One that knows
-    /// that it is not heard says so at once; this is for those that cannot say it.
+    /// How long the last answer of the store counts as proof that a box reaches it, in
+    /// milliseconds: covers a probe interval, an answer, a heartbeat and a digest with one message
+    /// lost. A box that notices the loss reports it at once; the limit covers boxes that cannot.
     const PROOF_VALID_MS: u64 = 2_000;
-    /// After how long without a report of life a box is forgotten, in milliseconds.
+    /// The silence after which a box is forgotten, in milliseconds.
     const FORGET_AFTER_MS: u64 = 60_000;
 
-    /// Makes a view of a fleet of which just this box is known.
+    /// Creates a view that knows only this box.
     pub fn new(own: BoxHeartbeat) -> Self {
         let own_domain = DomainKey::from_name(&own.domain);
         let mut view = Self {
@@ -107,7 +104,7 @@
         view
     }
 
-    /// Returns kind this box says of itself.
+    /// Returns this box's own heartbeat.
     pub const fn own(&self) -> &BoxHeartbeat {
         &self.own
     }
@@ -117,36 +114,36 @@
         self.own.key()
     }
 
-    /// Sets kind this box knows.
+    /// Sets the version of this box's configuration and the revision of its endpoints.
     pub const fn set_revisions(&mut self, config_version: u64, endpoint_revision: StoreRevision) {
         self.own.config_version = config_version;
         self.own.endpoint_revision = endpoint_revision;
     }
 
-    /// Sets when the store last proved that it hears this box; none where this box does not follow it, or
-    /// did not reach it the last time.
-    pub fn set_store_proof(&mut self, last_seen_ms: Option<u64>) {
-        self.own.status.reaches_store = last_seen_ms.is_some();
-        self.own_store_proof_ms = last_seen_ms;
-        self.store_proof_ms = self.store_proof_ms.max(last_seen_ms);
+    /// Sets when the store last answered this box; `None` if this box does not follow the store or
+    /// the last probe failed.
+    pub fn set_store_proof(&mut self, proof_ms: Option<u64>) {
+        self.own.status.reaches_store = proof_ms.is_some();
+        self.own_store_proof_ms = proof_ms;
+        self.store_proof_ms = self.store_proof_ms.max(proof_ms);
     }
 
-    /// Returns how old the newest proof is, of this box or of one of its domain, that the store's changes
-    /// are heard, in milliseconds; none where nobody here was heard yet.
+    /// Returns the time since the store last answered a follower of this domain, in milliseconds;
+    /// `None` if it never did.
     pub fn store_proof_age_ms(&self, now_ms: u64) -> Option<u64> {
         self.store_proof_ms
             .map(|proof| now_ms.saturating_sub(proof))
     }
 
-    /// Returns when the store last proved that it hears a box of this domain, if this box knows as much as those that
-    /// are heard.
+    /// Returns when the store last answered a follower of this domain; `None` if another live box
+    /// has newer state than this one.
     pub fn agreed_proof_ms(&self, now_ms: u64) -> Option<u64> {
         let lacks = |kind| self.find_state_source(kind, None, now_ms).is_some();
         let is_behind = lacks(StateKind::Config) || lacks(StateKind::Endpoints);
         self.store_proof_ms.filter(|_| !is_behind)
     }
 
-    /// Sets whether this box falls behind with its work: others then coordinate in its place.
+    /// Sets whether this box falls behind with its work; other boxes then coordinate first.
     pub fn set_behind(&mut self, behind: bool) {
         if self.own.status.behind != behind {
             self.own.status.behind = behind;
@@ -154,23 +151,23 @@
         }
     }
 
-    /// Notes that this box is about to stop.
+    /// Marks this box as about to stop.
     pub fn set_leaving(&mut self) {
         self.own.status.leaving = true;
         self.rank();
     }
 
-    /// Counts kind this box says: the next heartbeat or digest is newer than the last one, and as old as its
-    /// proof that the store is heard is now.
+    /// Advances the sequence number and the age of the store proof for the next heartbeat or
+    /// digest.
     pub const fn advance_sequence(&mut self, now_ms: u64) {
         self.own.sequence = self.own.sequence.wrapping_add(1);
         self.own.status.store_proof_age_ms = match self.own_store_proof_ms {
-            Some(last_seen_ms) => now_ms.saturating_sub(last_seen_ms) as u32,
+            Some(proof_ms) => now_ms.saturating_sub(proof_ms) as u32,
             None => 0,
         };
     }
 
-    /// Takes a heartbeat in; returns kind it says of its sender.
+    /// Processes a heartbeat and returns the change of its sender.
     pub fn receive_heartbeat(
         &mut self,
         heartbeat: BoxHeartbeat,
@@ -193,20 +190,20 @@
         self.domains.entry(key).or_insert_with(|| name.to_owned());
     }
 
-    /// Notes a report of life; returns kind it says of the box, and whether the order of its domain may
-    /// have changed.
+    /// Records a liveness report; returns the change of the box, and whether the ranking of its
+    /// domain may have changed.
     fn record(&mut self, report: LivenessReport, now_ms: u64) -> (BoxChange, bool) {
         if report.key == self.me() {
             return (BoxChange::Unchanged, false);
         }
         let peer = self.others.get(&report.key);
         let change = match peer {
-            // Too old to say that it lives.
+            // Too old to show that the box is alive.
             None if report.at_ms + Self::GONE_AFTER_MS < now_ms => {
                 return (BoxChange::Unchanged, false);
             }
             None => BoxChange::Joined,
-            // One that is late may bring back the life before; the next heartbeat ends that.
+            // A late report may restore the previous incarnation; the next heartbeat corrects that.
             Some(peer) if peer.incarnation != report.incarnation => {
                 match report.at_ms > peer.last_seen_ms {
                     true => BoxChange::Restarted,
@@ -248,7 +245,7 @@
         (change, rank_changed)
     }
 
-    /// Takes from a report that is not new kind was not count of its box before.
+    /// Fills in missing data from a report that is not newer.
     fn fill_gaps(&mut self, report: LivenessReport) -> (BoxChange, bool) {
         let Some(peer) = self.others.get_mut(&report.key) else {
             return (BoxChange::Unchanged, false);
@@ -261,8 +258,8 @@
         (BoxChange::Unchanged, rank_changed)
     }
 
-    /// Puts the boxes of each domain in the order in which they coordinate: those that keep up first,
-    /// then by their processor.
+    /// Sorts the boxes of each domain by precedence as coordinators: boxes that keep up first, then
+    /// by processor.
     fn rank(&mut self) {
         type RankKey = (bool, Reverse<u32>, BoxKey);
         let rank = |key: BoxKey, status: BoxStatus| -> RankKey {
@@ -285,25 +282,25 @@
         self.ranks = sorted.collect();
     }
 
-    /// Forgets the boxes that have been silent for long; returns those that have just gone.
+    /// Forgets boxes after a long silence; returns those that went between the two times.
     pub fn expire(&mut self, since_ms: u64, now_ms: u64) -> Vec<BoxKey> {
-        let peer = self.others.iter();
-        let gone = peer
+        let peers = self.others.iter();
+        let gone = peers
             .filter(|(_, peer)| (since_ms..now_ms).contains(&self.gone_ms(peer)))
             .map(|(key, _)| *key)
             .collect();
-        let known_before = self.others.len();
+        let count_before = self.others.len();
         self.others
             .retain(|_, peer| peer.last_seen_ms + Self::FORGET_AFTER_MS > now_ms);
         self.reported_counts
             .retain(|_, count| count.at_ms + Self::FORGET_AFTER_MS > now_ms);
-        if known_before != self.others.len() {
+        if count_before != self.others.len() {
             self.rank();
         }
         gone
     }
 
-    /// When a box counts as gone, unless it is heard of again.
+    /// Returns when a box counts as gone unless another report arrives.
     fn gone_ms(&self, peer: &PeerBox) -> u64 {
         let after_ms = match peer.domain == self.own_domain {
             true => Self::GONE_AFTER_MS,
@@ -319,7 +316,7 @@
             .map(|(key, peer)| (*key, peer))
     }
 
-    /// Tells whether a life of a box is heard.
+    /// Returns whether a box counts as alive.
     pub fn is_live(&self, key: BoxKey, now_ms: u64) -> bool {
         let peer = self.others.get(&key);
         peer.map_or_else(|| key == self.me(), |peer| self.gone_ms(peer) >= now_ms)
@@ -330,12 +327,12 @@
         peer.map_or_else(|| key == self.me(), |peer| peer.is_responsive(now_ms))
     }
 
-    /// Returns how many boxes live, this one included: kind this box sees, or more if another one that
-    /// is heard counts more.
+    /// Returns the number of live boxes, this one included: the highest of the own count and the
+    /// counts reported recently.
     pub fn live_count(&self, now_ms: u64) -> u32 {
-        let count = self.reported_counts.values();
-        let count = count.filter(|count| count.at_ms + Self::GONE_AFTER_MS >= now_ms);
-        let count = count.map(|count| count.live).max();
+        let counts = self.reported_counts.values();
+        let counts = counts.filter(|count| count.at_ms + Self::GONE_AFTER_MS >= now_ms);
+        let count = counts.map(|count| count.live).max();
         count.unwrap_or(0).max(self.own_live_count(now_ms))
     }
 
@@ -343,8 +340,8 @@
         1 + self.live(now_ms).count() as u32
     }
 
-    /// Returns how many boxes are known_before, this one included: those that are silent now may
-    /// still send.
+    /// Returns the number of known boxes, live or not, this one included: silent boxes may still
+    /// send.
     pub fn known_count(&self) -> u32 {
         let count = self.reported_counts.values().map(|count| count.known).max();
         count.unwrap_or(0).max(self.own_known_count())
@@ -354,7 +351,7 @@
         1 + self.others.len() as u32
     }
 
-    /// Returns where a box takes datagrams.
+    /// Returns the address at which a box receives datagrams.
     pub fn address(&self, key: BoxKey) -> Option<SocketAddr> {
         self.others.get(&key)?.address
     }
@@ -376,13 +373,13 @@
         name.map_or("unknown", String::as_str)
     }
 
-    /// Tells whether this box knows more of another one than that it lives.
+    /// Returns whether a heartbeat of a box is known, not only its liveness.
     pub fn has_heartbeat(&self, key: BoxKey) -> bool {
         let peer = self.others.get(&key);
         peer.is_some_and(|peer| peer.heartbeat.is_some())
     }
 
-    /// Lists the coordinators of a failure domain, the first one first.
+    /// Lists the coordinators of a failure domain in order of precedence.
     fn coordinators_of(&self, domain: DomainKey, now_ms: u64) -> impl Iterator<Item = BoxKey> {
         let ranks = self.ranks.get(&domain).into_iter().flatten().copied();
         ranks
@@ -390,88 +387,88 @@
             .take(Self::COORDINATORS)
     }
 
-    /// Lists the coordinators of a failure domain, the first one first.
+    /// Lists the coordinators of a failure domain in order of precedence.
     pub fn coordinators(&self, domain: &str, now_ms: u64) -> impl Iterator<Item = BoxKey> {
         self.coordinators_of(DomainKey::from_name(domain), now_ms)
     }
 
-    /// Tells whether this box coordinates its failure domain.
+    /// Returns whether this box coordinates its failure domain.
     pub fn coordinates(&self, now_ms: u64) -> bool {
         let me = self.me();
         self.coordinators_of(self.own_domain, now_ms)
             .any(|key| key == me)
     }
 
-    /// Lists where this box's heartbeat goes: to the coordinators of its domain, or where none is heard, to
-    /// the first ones of all that are known_before there.
+    /// Lists the addresses for this box's heartbeat: the coordinators of its domain, or if none is
+    /// live, the highest-ranked boxes that are known there.
     ///
-    /// A coordinator also tries one that is silent, by `random`: two parts of a domain that lost their
-    /// coordinators at the same time may each have found others.
+    /// A coordinator also tries a silent box, selected by `random`: after a split, the two parts of
+    /// a domain may have different coordinators that do not know of each other.
     pub fn heartbeat_targets(&self, now_ms: u64, random: usize) -> Vec<SocketAddr> {
         let me = self.me();
-        let heard = self.coordinators_of(self.own_domain, now_ms);
-        let heard: Vec<BoxKey> = heard.filter(|key| *key != me).collect();
+        let live = self.coordinators_of(self.own_domain, now_ms);
+        let live: Vec<BoxKey> = live.filter(|key| *key != me).collect();
         let silent = || {
             let ranks = self.ranks.get(&self.own_domain).into_iter().flatten();
             let silent = ranks.filter(|key| !self.is_responsive(**key, now_ms));
             silent.copied().collect::<Vec<BoxKey>>()
         };
-        let targets = match (heard.is_empty(), self.coordinates(now_ms)) {
-            // Twice as many: those that coordinated are probably the ones that are gone.
+        let targets = match (live.is_empty(), self.coordinates(now_ms)) {
+            // Twice as many, since the former coordinators are probably gone.
             (true, _) => silent().into_iter().take(2 * Self::COORDINATORS).collect(),
-            (false, false) => heard,
+            (false, false) => live,
             (false, true) => {
                 let silent = silent();
                 let tried = silent.get(random % silent.len().max(1)).copied();
-                heard.into_iter().chain(tried).collect()
+                live.into_iter().chain(tried).collect()
             }
         };
         let targets = targets.into_iter();
         targets.filter_map(|key| self.address(key)).collect()
     }
 
-    /// Lists where the coordinators of the other failure domains take datagrams; of a domain where none
-    /// is heard those that are known_before, or two sides of a cut would wait for each other.
+    /// Lists the addresses of the coordinators of the other failure domains; of a domain without
+    /// live ones, the known boxes, so that contact is restored after a partition.
     pub fn remote_coordinators(&self, now_ms: u64) -> Vec<SocketAddr> {
         let remote = self.ranks.iter();
         let remote = remote.filter(|(domain, _)| **domain != self.own_domain);
         let remote = remote.flat_map(|(domain, ranks)| {
-            let heard: Vec<BoxKey> = self.coordinators_of(*domain, now_ms).collect();
-            match heard.is_empty() {
+            let live: Vec<BoxKey> = self.coordinators_of(*domain, now_ms).collect();
+            match live.is_empty() {
                 true => ranks.iter().copied().take(Self::COORDINATORS).collect(),
-                false => heard,
+                false => live,
             }
         });
         remote.filter_map(|key| self.address(key)).collect()
     }
 
-    /// Tells whether another box of the own failure domain is heard.
+    /// Returns whether another box of the own failure domain is live.
     pub fn has_live_domain_peer(&self, now_ms: u64) -> bool {
         self.live(now_ms)
             .any(|(_, peer)| peer.domain == self.own_domain)
     }
 
-    /// Picks the box that decides for an endpoint: a coordinator of its domain, else any that is heard.
+    /// Picks the owner of an endpoint: a coordinator of its domain, or else of any domain.
     pub fn owner(&self, endpoint: EndpointId, domain: &str, now_ms: u64) -> BoxKey {
-        let near = self.coordinators(domain, now_ms);
+        let in_domain = self.coordinators(domain, now_ms);
         let all = || {
             let domains = self.ranks.keys();
             domains.flat_map(|domain| self.coordinators_of(*domain, now_ms))
         };
-        owner_of_endpoint(endpoint, near)
+        owner_of_endpoint(endpoint, in_domain)
             .or_else(|| owner_of_endpoint(endpoint, all()))
             .unwrap_or(self.me())
     }
 
-    /// Counts the other boxes of the own failure domain that follow the store, and those that go before
-    /// this one in doing so.
+    /// Counts the other boxes of the own failure domain that follow the store, and those that take
+    /// precedence over this one.
     ///
-    /// A box counts as long as its proof that the store hears it is young: one that froze, or whose change
-    /// comes late, still says kind was true when it spoke.
+    /// A box counts only while its last answer from the store is recent: a suspended box, or one
+    /// whose heartbeats arrive late, still reports an old state.
     pub fn store_watchers(&self, now_ms: u64) -> StoreWatchers {
         let me = self.me();
         let ranks = self.ranks.get(&self.own_domain).into_iter().flatten();
-        let heard = |key: &BoxKey| {
+        let live = |key: &BoxKey| {
             let peer = self.others.get(key);
             peer.filter(|peer| peer.is_responsive(now_ms))
         };
@@ -479,10 +476,10 @@
             let store_proof_ms = peer.status.store_proof_ms(peer.last_seen_ms);
             store_proof_ms.is_some_and(|proof| proof + Self::PROOF_VALID_MS >= now_ms)
         };
-        let others = ranks.clone().filter_map(heard);
+        let others = ranks.clone().filter_map(live);
         let before: Vec<&PeerBox> = ranks
             .take_while(|key| **key != me)
-            .filter_map(heard)
+            .filter_map(live)
             .collect();
         StoreWatchers {
             reaching: others.filter(|peer| reaches(peer)).count(),
@@ -492,26 +489,26 @@
         }
     }
 
-    /// Lists the other failure domains whose boxes were all heard before and are all silent now.
+    /// Lists the other failure domains of which every known box is silent.
     pub fn silent_domains(&self, now_ms: u64) -> BTreeSet<String> {
         let others = self.others.values();
         let others = others.filter(|peer| !peer.status.leaving && peer.domain != self.own_domain);
-        let (silent, heard): (Vec<_>, Vec<_>) =
+        let (silent, live): (Vec<_>, Vec<_>) =
             others.partition(|peer| peer.last_seen_ms + Self::SILENT_AFTER_MS < now_ms);
         let mut domains: BTreeSet<DomainKey> = silent.iter().map(|peer| peer.domain).collect();
-        for peer in heard {
+        for peer in live {
             domains.remove(&peer.domain);
         }
         let names = domains.iter().filter_map(|domain| self.domains.get(domain));
         names.cloned().collect()
     }
 
-    /// Finds a box that knows more of `kind` than this one.
+    /// Finds a box with newer state of the given kind than this one.
     ///
-    /// One of the own domain that knows more goes before all others: its list crosses no link between
-    /// domains, and kind it lacks itself is asked for next. Of several that know the same, boxes of one
-    /// domain ask different ones, so that a change which two boxes saw is not asked of one of them by
-    /// all others. One to `avoid` is asked where nobody else knows more.
+    /// A box of the own domain is preferred, since its answer crosses no link between domains;
+    /// state that it lacks is requested from elsewhere afterwards. Among equals, the boxes of a
+    /// domain choose different sources, which spreads the load. The address to `avoid` is chosen
+    /// last.
     pub fn find_state_source(
         &self,
         kind: StateKind,
@@ -519,17 +516,17 @@
         now_ms: u64,
     ) -> Option<StateSource> {
         let own = self.own.revision_of(kind);
-        let heard = self.others.iter();
-        let heard = heard.filter(|(_, peer)| peer.is_responsive(now_ms));
-        let count = heard.filter_map(|(key, peer)| Some((*key, peer.heartbeat.as_ref()?)));
-        let newer = count.filter(|(_, heartbeat)| heartbeat.revision_of(kind) > own);
+        let live = self.others.iter();
+        let live = live.filter(|(_, peer)| peer.is_responsive(now_ms));
+        let heartbeats = live.filter_map(|(key, peer)| Some((*key, peer.heartbeat.as_ref()?)));
+        let newer = heartbeats.filter(|(_, heartbeat)| heartbeat.revision_of(kind) > own);
         let me = self.me();
         let source = newer.max_by_key(|(key, heartbeat)| {
             let is_preferred = Some(heartbeat.state_address) != avoid;
-            let near = heartbeat.domain == self.own.domain;
+            let is_same_domain = heartbeat.domain == self.own.domain;
             (
                 is_preferred,
-                near,
+                is_same_domain,
                 heartbeat.revision_of(kind),
                 pair_score(me, *key),
             )
--- a/dockgate-core/src/gateway/fleet_view/digest.rs
+++ b/dockgate-core/src/gateway/fleet_view/digest.rs
@@ -1,4 +1,4 @@
-//! What a box passes on of the fleet, and what it takes in of what others pass on.
+//! Creates and processes digests of the fleet.
 
 use super::super::box_heartbeat::{BoxReport, BoxSummary, DigestScope, DomainKey, FleetDigest};
 use super::peer_box::LivenessReport;
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 
 impl FleetView {
-    /// Takes a digest in; returns the boxes that it brings change of, the sender among them.
+    /// Processes a digest and returns the boxes that changed, the sender included.
     pub fn receive_digest(
         &mut self,
         digest: FleetDigest,
@@ -37,8 +37,9 @@
                 at_ms,
             ));
         }
-        let rows = digest.members.iter();
-        reports.extend(rows.map(|row| LivenessReport::from_summary(row, domain, now_ms)));
+        let summaries = digest.members.iter();
+        reports
+            .extend(summaries.map(|summary| LivenessReport::from_summary(summary, domain, now_ms)));
         let mut changed = Vec::new();
         let mut needs_ranking = false;
         for report in reports {
@@ -55,9 +56,9 @@
         changed
     }
 
-    /// Makes what this box passes on of the fleet.
+    /// Creates the digest of the fleet for the given scope.
     pub fn digest(&self, scope: DigestScope, now_ms: u64) -> FleetDigest {
-        // Each coordinator of a domain tells others of itself.
+        // Each coordinator reports itself to the other domains.
         let (with_coordinators, with_members) = match scope {
             DigestScope::SameDomain => (true, true),
             DigestScope::OtherDomain => (false, false),
--- a/dockgate-core/src/gateway/fleet_view/fleet_tests.rs
+++ b/dockgate-core/src/gateway/fleet_view/fleet_tests.rs
@@ -1,17 +1,16 @@
-//! Whole fleets without a network: what boxes say is loss_percent, late and doubled, and boxes die, begin anew
-//! and are cut off meanwhile.
+//! Simulates fleets without a network: datagrams are lost, delayed and duplicated while boxes die,
+//! restart and are partitioned.
 
 use super::super::box_heartbeat::{DigestScope, FleetDigest};
 use super::*;
 use proptest::prelude::*;
 
-/// How often a box beats here, in milliseconds.
+/// The interval between the heartbeats of a box, in milliseconds.
 const HEARTBEAT_MS: u64 = 300;
-/// The longest a datagram takes, in milliseconds.
+/// The maximum delay of a datagram, in milliseconds.
 const MAX_DELAY_MS: u64 = 150;
-/// How long news takes from any box to all that need it, in milliseconds: until a box counts as gone,
-/// twice where those that are beaten to next are gone too, a heartbeat to others, theirs to other
-/// domains, a digest back; each step may be lost once.
+/// The time in which all boxes must agree, in milliseconds: two rounds of detecting that a box is
+/// gone, then a heartbeat, a digest between domains and a digest back, each of them lost once.
 const CONVERGENCE_MS: u64 = 2 * FleetView::GONE_AFTER_MS + 2 * 3 * HEARTBEAT_MS + 3 * MAX_DELAY_MS;
 
 #[derive(Debug, Clone)]
@@ -34,11 +33,11 @@
     pub(super) next_heartbeat_ms: u64,
     rounds: u32,
     pub(super) is_up: bool,
-    /// Boxes with another number here cannot be reached.
+    /// Boxes with different numbers cannot reach each other.
     pub(super) partition: u8,
 }
 
-/// A seeded generator: the same fleet fails in the same way each time.
+/// A seeded generator that makes failures reproducible.
 pub(super) struct SeededRandom(pub(super) u64);
 
 impl SeededRandom {
@@ -52,7 +51,7 @@
     pub(super) boxes: Vec<SimulatedBox>,
     in_flight: Vec<Datagram>,
     random: SeededRandom,
-    /// How many of a hundred datagrams are lost.
+    /// The percentage of datagrams that are lost.
     loss_percent: u64,
     pub(super) now_ms: u64,
 }
@@ -64,12 +63,12 @@
 pub(super) fn index_of(address: SocketAddr) -> usize {
     match address.ip() {
         std::net::IpAddr::V4(ip) => usize::from(ip.octets()[2]) * 250 + usize::from(ip.octets()[3]),
-        std::net::IpAddr::V6(_) => unreachable!("all have numbers of four parts"),
+        std::net::IpAddr::V6(_) => unreachable!("all addresses are IPv4"),
     }
 }
 
 impl SimulatedFleet {
-    /// Makes a fleet in which three boxes of each domain have most processor.
+    /// Creates a fleet in which three boxes of each domain have the most processor.
     pub(super) fn new(count: usize, domains: usize, loss_percent: u64, seed: u64) -> Self {
         let mut random = SeededRandom(seed);
         let boxes = (0..count).map(|index| SimulatedBox {
@@ -104,22 +103,22 @@
 
     fn send_heartbeats(&mut self, index: usize) {
         let now = self.now_ms;
-        let draw = self.random.draw(1_000) as usize;
+        let random = self.random.draw(1_000) as usize;
         let member = &mut self.boxes[index];
         let incarnation = member.incarnation;
         member.next_heartbeat_ms = now + HEARTBEAT_MS;
         member.view.expire(now.saturating_sub(HEARTBEAT_MS), now);
         member.view.advance_sequence(now);
         let heartbeat = member.view.own().clone();
-        let mut targets = member.view.heartbeat_targets(now, draw);
-        // Two boxes of the first domain are the seeds.
+        let mut targets = member.view.heartbeat_targets(now, random);
+        // The first two boxes are the seeds.
         let coordinates = member.view.coordinates(now);
         if !member.view.has_live_domain_peer(now)
             || (coordinates && member.view.remote_coordinators(now).is_empty())
         {
             targets.extend([address_of(0), address_of(1)]);
         }
-        let far = coordinates.then(|| {
+        let remote = coordinates.then(|| {
             member.view.advance_sequence(now);
             member.rounds += 1;
             let scope = match member.rounds % FleetView::FULL_DIGEST_INTERVAL {
@@ -137,7 +136,7 @@
                 &TestMessage::Heartbeat(heartbeat.clone()),
             );
         }
-        for (to, digest) in far
+        for (to, digest) in remote
             .into_iter()
             .flat_map(|(targets, digest)| targets.into_iter().map(move |to| (to, digest.clone())))
         {
@@ -152,7 +151,7 @@
         incarnation: Incarnation,
         message: &TestMessage,
     ) {
-        // One of twenty comes twice.
+        // One datagram of twenty is duplicated.
         let copies = 1 + usize::from(self.random.draw(20) == 0);
         for _ in 0..copies {
             let is_dropped = self.random.draw(100) < self.loss_percent;
@@ -211,8 +210,8 @@
         member.next_heartbeat_ms = now + 10;
     }
 
-    /// Checks that all boxes see the same coordinators of every domain, those that live, and count the
-    /// same boxes.
+    /// Checks that all live boxes agree on the coordinators of every domain and on the number of
+    /// live boxes.
     fn check_agreement(&self, domains: usize) {
         self.check_coordinators(domains);
         let up = || self.boxes.iter().filter(|member| member.is_up);
@@ -233,7 +232,7 @@
         for domain in 0..domains {
             let name = format!("d{domain}");
             let of_domain = up().filter(|member| member.view.own().domain == name);
-            let mut best: Vec<_> = of_domain
+            let mut expected: Vec<_> = of_domain
                 .map(|member| {
                     (
                         Reverse(member.view.own().status.processor),
@@ -241,12 +240,12 @@
                     )
                 })
                 .collect();
-            best.sort_unstable();
-            best.truncate(FleetView::COORDINATORS);
-            let best: Vec<BoxKey> = best.into_iter().map(|(_, key)| key).collect();
+            expected.sort_unstable();
+            expected.truncate(FleetView::COORDINATORS);
+            let expected: Vec<BoxKey> = expected.into_iter().map(|(_, key)| key).collect();
             for member in up() {
-                let seen: Vec<BoxKey> = member.view.coordinators(&name, now).collect();
-                assert_eq!(seen, best, "{} of {name}", member.view.own().name);
+                let actual: Vec<BoxKey> = member.view.coordinators(&name, now).collect();
+                assert_eq!(actual, expected, "{} of {name}", member.view.own().name);
             }
         }
     }
@@ -260,7 +259,7 @@
 }
 
 #[test]
-fn a_fleet_that_starts_at_once_finds_itself() {
+fn a_fleet_started_at_once_converges() {
     let mut fleet = SimulatedFleet::new(300, 5, 0, 7);
     fleet.run(1_500);
     fleet.check_coordinators(5);
@@ -269,7 +268,7 @@
 }
 
 #[test]
-fn what_a_box_sends_does_not_grow_with_the_fleet() {
+fn heartbeat_targets_do_not_grow_with_the_fleet() {
     let largest_targets = |count: usize| {
         let mut fleet = SimulatedFleet::new(count, 5, 0, 7);
         fleet.run(3_000);
@@ -282,10 +281,9 @@
     assert_eq!(largest_targets(300), FleetView::COORDINATORS);
 }
 
-/// Two parts of a domain that lost its coordinators while datagrams were lost had each found others, and
-/// neither looked for more.
+/// Guards against a domain that stays split between two groups of coordinators.
 #[test]
-fn two_parts_of_a_domain_with_coordinators_of_their_own_find_each_other() {
+fn split_domains_merge_after_a_partition() {
     let mut fleet = SimulatedFleet::new(12, 1, 0, 7);
     fleet.run(3_000);
     (0..6).for_each(|index| fleet.boxes[index].partition = 1);
@@ -295,32 +293,32 @@
         .iter()
         .map(|member| member.view.coordinators("d0", fleet.now_ms).collect())
         .collect();
-    assert_eq!(parts.len(), 2, "each part has its own");
+    assert_eq!(parts.len(), 2, "each part has its own coordinators");
     (0..6).for_each(|index| fleet.boxes[index].partition = 0);
     fleet.run(CONVERGENCE_MS);
     fleet.check_agreement(1);
 }
 
-/// What happens to a fleet.
+/// A fault of a simulated fleet.
 #[derive(Debug, Clone, Copy)]
 enum FleetFault {
-    /// All that coordinate a domain die at once.
+    /// All coordinators of a domain die at once.
     CoordinatorsDie,
-    /// Boxes die here and there.
+    /// Some boxes die.
     SomeDie,
-    /// All die and begin anew.
+    /// All boxes restart.
     AllRestart,
-    /// A domain cannot be reached for two seconds.
+    /// A domain is unreachable for two seconds.
     DomainPartitioned,
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(12))]
 
-    /// Whatever single datagrams are loss_percent, late or doubled, all boxes that live agree within the time
-    /// that is stated, and nobody is kept alive by what others pass on.
+    /// Guards against disagreement after the time limit, and against reports of other boxes that
+    /// keep a dead box alive.
     #[test]
-    fn live_boxes_agree_in_time(
+    fn live_boxes_agree_within_the_time_limit(
         count in 6_usize..120,
         domains in 1_usize..6,
         loss_percent in 0_u64..6,
@@ -337,7 +335,7 @@
         let in_domain = |index: &usize| index % domains == domains - 1;
         match fault {
             FleetFault::CoordinatorsDie => {
-                // Not the seeds, or those that begin anew later could not find the others.
+                // Keeps the seeds up, since restarting boxes need them.
                 let coordinators = (2..count).filter(in_domain).take(3);
                 coordinators.for_each(|index| fleet.boxes[index].is_up = false);
             }
@@ -355,9 +353,9 @@
         }
         fleet.run(CONVERGENCE_MS);
         fleet.check_coordinators(domains);
-        // Who lives elsewhere is known a little later.
+        // Boxes of other domains expire later.
         fleet.run(FleetView::REMOTE_GONE_AFTER_MS);
-        // With datagrams loss_percent, a box may be missed for the moment of the look.
+        // Without further loss, no box is missed at the time of the check.
         fleet.loss_percent = 0;
         fleet.run(5 * HEARTBEAT_MS + MAX_DELAY_MS);
         fleet.check_agreement(domains);
--- a/dockgate-core/src/gateway/fleet_view/peer_box.rs
+++ b/dockgate-core/src/gateway/fleet_view/peer_box.rs
@@ -1,11 +1,11 @@
-//! What a box remembers of another one, and the signs of life from which it learns it.
+//! The record kept of another box, and the liveness reports that update it.
 
 use super::super::box_heartbeat::{BoxHeartbeat, BoxStatus, BoxSummary, DomainKey};
 use super::FleetView;
 use crate::ids::{BoxKey, Incarnation};
 use std::net::SocketAddr;
 
-/// One sign of life of a box, by whatever way.
+/// A report that a box was alive, received from the box itself or through a digest.
 #[derive(Debug, Clone)]
 pub(super) struct LivenessReport {
     pub(super) key: BoxKey,
@@ -50,7 +50,7 @@
     }
 }
 
-/// A box as its newest sign of life tells of it.
+/// Another box, as of the newest liveness report.
 #[derive(Debug, Clone)]
 pub(super) struct PeerBox {
     pub(super) domain: DomainKey,
@@ -59,17 +59,17 @@
     pub(super) last_seen_ms: u64,
     pub(super) address: Option<SocketAddr>,
     pub(super) status: BoxStatus,
-    /// What it said of itself, where that was told in full.
+    /// Its last heartbeat, if a full one was received.
     pub(super) heartbeat: Option<BoxHeartbeat>,
 }
 
 impl PeerBox {
-    /// Tells whether it was heard of a moment ago, so that it may be spoken to.
+    /// Returns whether the box was seen recently enough to send to it.
     pub(super) const fn is_responsive(&self, now_ms: u64) -> bool {
         self.last_seen_ms + FleetView::GONE_AFTER_MS >= now_ms
     }
 
-    /// Returns how long ago it was heard of, in milliseconds.
+    /// Returns the time since the last liveness report, in milliseconds.
     pub(super) const fn age_ms(&self, now_ms: u64) -> u32 {
         now_ms.saturating_sub(self.last_seen_ms) as u32
     }
--- a/dockgate-core/src/gateway/fleet_view/store_tests.rs
+++ b/dockgate-core/src/gateway/fleet_view/store_tests.rs
@@ -1,47 +1,46 @@
-//! A fleet and a store without a network: the store falls silent for some boxes while it changes, and
-//! boxes die, freeze and are cut off. While one box of a domain is reachable, all of it know each change in
-//! time.
+//! Simulates a fleet and a store without a network: the store stops answering some boxes while its
+//! data changes, and boxes die, freeze and are partitioned.
 
 use super::fleet_tests::{SeededRandom, SimulatedFleet, index_of};
 use super::*;
 use crate::gateway::{ProbeTiming, StoreAccess, StoreFollower, StoreProbe};
 use proptest::prelude::*;
 
-/// Within which time every box has to know of a change, in milliseconds.
+/// The time within which every box must know a change, in milliseconds.
 const MAX_STALENESS_MS: u64 = 3_000;
-/// How long the store and other boxes take to answer, in milliseconds.
+/// The response time of the store and of other boxes, in milliseconds.
 const RESPONSE_MS: u64 = 10;
-/// How is_frequent a box looks what its part is, how is_frequent whether others know more, and how long it pauses
-/// between changes that it watches, in milliseconds: as the daemon does.
+/// The daemon's intervals for role updates, queries to other boxes, watches and standby probes, in
+/// milliseconds.
 const ROLE_INTERVAL_MS: u64 = 100;
 const QUERY_INTERVAL_MS: u64 = 150;
 const WATCH_INTERVAL_MS: u64 = 300;
 const STANDBY_INTERVAL_MS: u64 = 1_300;
-/// For how long a box of another domain must be ahead until it is asked.
+/// How long a box of another domain must be ahead before it is queried, in milliseconds.
 const REMOTE_QUERY_DELAY_MS: u64 = 350;
-/// How is_frequent the store changes, in milliseconds.
+/// The interval between changes of the store, in milliseconds.
 const CHANGE_INTERVAL_MS: u64 = 500;
 
-/// What a box does about the store.
+/// The store client of a simulated box.
 struct StoreClient {
     follower: StoreFollower,
     probe: StoreProbe,
     follows: bool,
     probes: bool,
-    /// The last change that it knows of.
+    /// The number of the last known change.
     known: u64,
-    /// Whether it has has_listed the store since it began to follow it.
+    /// Whether the store was listed since this box began to follow it.
     has_listed: bool,
-    /// Whether the watch that waits was made while the store reachable it.
+    /// Whether the pending watch was created while the store was reachable.
     is_watch_valid: bool,
     role_ms: u64,
     query_ms: u64,
     watch_ms: u64,
     probe_ms: u64,
-    /// A call under way: when it was made.
+    /// When the pending probe was sent.
     sent_ms: Option<u64>,
     behind_since_ms: Option<u64>,
-    /// Whether the store reaches_store it.
+    /// Whether the store answers this box.
     is_store_reachable: bool,
 }
 
@@ -71,7 +70,7 @@
     clients: Vec<StoreClient>,
     random: SeededRandom,
     timing: ProbeTiming,
-    /// When each change was made.
+    /// The times of all changes.
     changes: Vec<u64>,
 }
 
@@ -145,14 +144,14 @@
         let before = view.own().status.reaches_store;
         view.set_store_proof(store_proof_ms);
         if before != store_proof_ms.is_some() {
-            // It says so at once.
+            // A change is announced at once.
             self.fleet.boxes[index].next_heartbeat_ms = self.fleet.now_ms;
         }
     }
 
     fn probe_store(&mut self, index: usize, now: u64) {
         let timing = self.timing;
-        let stand_by_ms = STANDBY_INTERVAL_MS - self.random.draw(STANDBY_INTERVAL_MS / 2);
+        let standby_ms = STANDBY_INTERVAL_MS - self.random.draw(STANDBY_INTERVAL_MS / 2);
         let view = &self.fleet.boxes[index].view;
         let is_primary = StoreFollower::is_primary(view.store_watchers(now));
         let client = &mut self.clients[index];
@@ -166,15 +165,15 @@
                 }
                 let change = client.probe.record(answered, sent_ms);
                 client.sent_ms = None;
-                let is_frequent = is_primary || client.follows;
+                let is_active = is_primary || client.follows;
                 client.probe_ms = now
-                    + if is_frequent {
+                    + if is_active {
                         timing.interval_ms
                     } else {
-                        stand_by_ms
+                        standby_ms
                     };
                 if change.is_some() {
-                    // A watch is made anew when the store is back.
+                    // Watches are recreated once the store is reachable again.
                     client.is_watch_valid = answered;
                     client.role_ms = now;
                     self.publish_store_proof(index);
@@ -200,7 +199,7 @@
                 client.known = newest;
                 self.on_store_update(index, now);
             }
-            // What it was answered meanwhile is lost.
+            // Events sent in the meantime are lost.
             (_, false) => client.is_watch_valid = false,
             _ => {}
         }
@@ -215,17 +214,17 @@
     }
 
     fn query_peer(&mut self, index: usize, now: u64) {
-        let client = &self.fleet.boxes[index];
-        let source = client
+        let member = &self.fleet.boxes[index];
+        let source = member
             .view
             .find_state_source(StateKind::Endpoints, None, now);
-        let reaches_store = client.view.own().status.reaches_store;
+        let reaches_store = member.view.own().status.reaches_store;
         let Some(source) = source else {
             self.clients[index].behind_since_ms = None;
             return;
         };
         let since = *self.clients[index].behind_since_ms.get_or_insert(now);
-        let patience_ms = match (reaches_store, source.is_same_domain) {
+        let delay_ms = match (reaches_store, source.is_same_domain) {
             (true, _) => 2 * REMOTE_QUERY_DELAY_MS,
             (false, false) => REMOTE_QUERY_DELAY_MS,
             (false, true) => 0,
@@ -233,55 +232,52 @@
         let peer = index_of(source.state_address);
         let reached = self.fleet.boxes[peer].is_up
             && self.fleet.boxes[peer].partition == self.fleet.boxes[index].partition;
-        if now >= since + patience_ms && reached {
+        if now >= since + delay_ms && reached {
             let received = self.clients[peer].known;
             self.clients[index].known = received.max(self.clients[index].known);
             self.clients[index].behind_since_ms = None;
         }
     }
 
-    /// Checks that every box that is up knows each change that is older than the bound.
+    /// Checks that a box knows every change older than the limit.
     fn check_staleness(&self, index: usize) {
         let now = self.fleet.now_ms;
         let due = self
             .changes
             .iter()
             .filter(|at| **at + MAX_STALENESS_MS < now);
-        let client = &self.fleet.boxes[index].view.own().name;
+        let name = &self.fleet.boxes[index].view.own().name;
         let known = self.clients[index].known;
         assert!(
             known >= due.count() as u64,
-            "{client} knows {known} of {:?} at {now}",
+            "{name} knows {known} of {:?} at {now}",
             self.changes
         );
     }
 }
 
-/// What happens while the store is silent for some.
+/// A fault that occurs while the store answers only some boxes.
 #[derive(Debug, Clone, Copy)]
 enum ConcurrentFault {
     None,
-    /// Boxes that come first in each domain die.
+    /// The primary followers of each domain die.
     PrimariesDie,
-    /// Boxes here and there stand still.
+    /// Some boxes freeze.
     SomeFreeze,
-    /// A domain cannot be reached by the others.
+    /// One domain is cut off from the others.
     DomainPartitioned,
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(12))]
 
-    /// Whichever boxes the store is silent for, and for how long: as long as it reaches_store one of a domain
-    /// (or, where no domain is cut off, one of the fleet), each box of it knows every change in time.
-    ///
-    /// Before, with the store silent for six to nine of ten boxes: 28 and 53 requests at endpoints that
-    /// had left, on two days of 85 boxes (one run each).
+    /// Guards against requests to endpoints that have left: while the store answers one box that
+    /// others can reach, all of these must know each change in time.
     #[test]
-    fn while_one_box_is_heard_by_the_store_all_know_each_change_in_time(
+    fn changes_reach_all_boxes_while_the_store_answers_one(
         count in 6_usize..60,
         domains in 1_usize..4,
-        silent in 1_u64..10,
+        silent_tenths in 1_u64..10,
         seed in 0_u64..1_000_000,
         fault in prop::sample::select(vec![
             ConcurrentFault::None,
@@ -293,7 +289,7 @@
         let mut store = SimulatedStore::new(count, domains, seed);
         store.run(4_000, false);
         for index in 0..count {
-            store.clients[index].is_store_reachable = store.random.draw(10) >= silent;
+            store.clients[index].is_store_reachable = store.random.draw(10) >= silent_tenths;
         }
         let after_ms = store.random.draw(1_500);
         store.run(after_ms, true);
@@ -311,7 +307,7 @@
                 _ => {}
             }
         }
-        // Those that died or stand still are missed after a while; what is asked holds from then on.
+        // The limit holds only once dead and frozen boxes have been detected.
         let detection_ms = match fault {
             ConcurrentFault::None => 0,
             _ => 2 * FleetView::GONE_AFTER_MS,
@@ -322,10 +318,10 @@
             .collect();
         for _ in 0..60 {
             store.run(100, true);
-            let sides = reachable.iter().map(|index| store.fleet.boxes[*index].partition);
-            let sides: BTreeSet<u8> = sides.collect();
+            let partitions = reachable.iter().map(|index| store.fleet.boxes[*index].partition);
+            let partitions: BTreeSet<u8> = partitions.collect();
             let up = (0..count).filter(|index| store.fleet.boxes[*index].is_up);
-            let reached = up.filter(|index| sides.contains(&store.fleet.boxes[*index].partition));
+            let reached = up.filter(|index| partitions.contains(&store.fleet.boxes[*index].partition));
             reached.for_each(|index| store.check_staleness(index));
         }
     }
--- a/dockgate-core/src/gateway/fleet_view/tests.rs
+++ b/dockgate-core/src/gateway/fleet_view/tests.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn an_endpoint_is_decided_for_in_its_own_domain_while_anyone_lives_there() {
+fn endpoints_are_owned_within_their_domain_while_it_has_live_boxes() {
     let view = view();
     let b1 = BoxKey::from_name("b1");
     assert!((0..50).all(|id| view.owner(EndpointId(id), "b", 1_000) == b1));
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_box_that_leaves_decides_for_nothing() {
+fn leaving_boxes_own_no_endpoints() {
     let mut view = view();
     let leaving = BoxStatus::new(1_000).leaving(true);
     let leaving = heartbeat("b1", "b").sequence(2).status(leaving);
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_box_that_falls_silent_is_gone_once_and_new_when_it_is_heard_again() {
+fn silent_boxes_expire_once_and_join_again() {
     let mut view = view();
     view.receive_heartbeat(heartbeat("a3", "a"), Incarnation(1), 1_000);
     assert_eq!(
@@ -58,20 +58,20 @@
 }
 
 #[test]
-fn a_silent_box_of_another_domain_decides_for_nothing_long_before_what_it_has_is_given_up() {
+fn silent_remote_boxes_lose_ownership_before_they_expire() {
     let mut view = view();
     let b1 = BoxKey::from_name("b1");
     assert_ne!(view.owner(EndpointId(1), "b", 2_200), b1);
     assert!(
         view.is_live(b1, 2_200),
-        "kind it has at engines may be there"
+        "its requests may still run at engines"
     );
     assert_eq!(view.expire(4_900, 5_200), vec![b1]);
     assert!(!view.is_live(b1, 5_200));
 }
 
 #[test]
-fn the_box_that_knows_most_is_asked() {
+fn state_is_requested_from_a_box_with_newer_state() {
     let mut view = view();
     let newest = |view: &FleetView, kind: StateKind, now_ms: u64| {
         let source = view.find_state_source(kind, None, now_ms);
@@ -90,21 +90,21 @@
 }
 
 #[test]
-fn a_domain_is_silent_when_none_of_its_boxes_is_heard() {
+fn domains_are_silent_when_all_their_boxes_are() {
     let mut view = view();
     view.receive_heartbeat(heartbeat("b2", "b"), Incarnation(1), 1_500);
-    assert!(view.silent_domains(1_800).is_empty(), "one of two is heard");
+    assert!(view.silent_domains(1_800).is_empty(), "one of two is live");
     assert_eq!(
         view.silent_domains(2_300).len(),
         1,
-        "the own domain is none"
+        "the own domain is not listed"
     );
     view.receive_heartbeat(heartbeat("b1", "b").sequence(2), Incarnation(1), 2_300);
     assert!(view.silent_domains(2_300).is_empty());
 }
 
 #[test]
-fn two_boxes_of_a_domain_follow_the_store_for_all() {
+fn two_boxes_of_a_domain_follow_the_store() {
     let names = ["a1", "a2", "a3", "a4", "a5"];
     let follows = |name: &str| {
         let mut view = FleetView::new(heartbeat(name, "a"));
@@ -116,7 +116,7 @@
                 1_000,
             );
         }
-        // Boxes of other domains follow it for their own.
+        // Boxes of other domains are not counted.
         view.receive_heartbeat(heartbeat("b1", "b"), Incarnation(1), 1_000);
         let own = StoreAccess::default();
         StoreFollower::default().must_follow(view.store_watchers(1_000), own, 1_000)
@@ -125,14 +125,14 @@
 }
 
 #[test]
-fn boxes_that_lack_a_change_ask_different_ones_of_their_domain() {
+fn boxes_of_a_domain_spread_their_state_requests() {
     let queried = |name: &str| {
         let mut view = FleetView::new(heartbeat(name, "a"));
         for (index, other) in ["a7", "a8", "b7", "b8"].into_iter().enumerate() {
             let state_address = SocketAddr::from(([10, 0, 0, index as u8], 7_500));
-            let informed = heartbeat(other, &other[..1]).revisions(5, StoreRevision::NONE);
-            let informed = informed.state_address(state_address);
-            view.receive_heartbeat(informed, Incarnation(1), 1_000);
+            let newer = heartbeat(other, &other[..1]).revisions(5, StoreRevision::NONE);
+            let newer = newer.state_address(state_address);
+            view.receive_heartbeat(newer, Incarnation(1), 1_000);
         }
         let source = view.find_state_source(StateKind::Config, None, 1_000);
         source.unwrap().state_address
@@ -144,9 +144,9 @@
     assert_eq!(queried, BTreeSet::from(same_domain));
 }
 
-/// With 3,000 endpoints and 300 boxes, each change was source for at whichever domain saw it first.
+/// Guards against requests for each change going to whichever domain saw it first.
 #[test]
-fn a_box_of_the_own_domain_is_asked_first_and_others_for_what_it_lacks() {
+fn state_sources_of_the_own_domain_are_preferred() {
     let mut view = FleetView::new(heartbeat("a1", "a"));
     let address = |index: u8| SocketAddr::from(([10, 0, 0, index], 7_500));
     let newest = |view: &FleetView, avoid: Option<SocketAddr>| {
@@ -162,20 +162,19 @@
     view.receive_heartbeat(same_domain, Incarnation(1), 1_000);
     view.receive_heartbeat(other_domain, Incarnation(1), 1_000);
     assert_eq!(newest(&view, None), Some(address(2)));
-    let silent = Some(address(2));
+    let avoided = Some(address(2));
     assert_eq!(
-        newest(&view, silent),
+        newest(&view, avoided),
         Some(address(3)),
-        "one that gave no answer goes last"
+        "an unresponsive source is chosen last"
     );
     view.set_revisions(5, StoreRevision::NONE);
     assert_eq!(newest(&view, None), Some(address(3)));
 }
 
-/// Two boxes that followed the store said that they reach it for nine seconds in which it told them
-/// nothing, and no other box began to.
+/// Guards against counting boxes as followers that the store no longer answers.
 #[test]
-fn who_has_not_been_heard_by_the_store_for_long_does_not_count_as_one_that_reaches_it() {
+fn boxes_with_an_old_store_proof_are_not_counted_as_reaching() {
     let mut view = FleetView::new(heartbeat("a1", "a"));
     let reaching = |name: &str, sequence: u32, age_ms: u32| {
         let status = BoxStatus::new(2_000).reaches_store(true);
@@ -188,7 +187,7 @@
     assert_eq!((watchers.reaching, watchers.before), (1, 2));
     assert_eq!(view.store_proof_age_ms(11_000), Some(400));
     assert_eq!(view.store_watchers(12_050).reaching, 1, "not yet gone");
-    // Its store falls silent, and it does not say so.
+    // The store stops answering the box, which still reports that it reaches the store.
     view.receive_heartbeat(reaching("a2", 2, 1_900), Incarnation(1), 11_400);
     assert_eq!(view.store_watchers(11_500).reaching, 1);
     assert_eq!(view.store_watchers(11_501).reaching, 0);
--- a/dockgate-core/src/gateway/resume_gate.rs
+++ b/dockgate-core/src/gateway/resume_gate.rs
@@ -1,9 +1,10 @@
 //! Whether a box that was suspended knows the present again.
 //!
-//! All that such a box believes is as old as the suspension was long, and others have acted on newer things
-//! meanwhile: configurations, endpoints that left. What it reads in the first moments, from connections that may be
-//! dead, says nothing. So it waits until the store, or a box of its failure domain that the store hears, has told
-//! it something since; where nobody does, it serves what it can.
+//! All that such a box believes is as old as the suspension was long, and others have acted on
+//! newer things meanwhile: configurations, endpoints that left. What it reads in the first moments,
+//! from connections that may be dead, says nothing. So it waits until the store, or a box of its
+//! failure domain that the store hears, has told it something since; where nobody does, it serves
+//! what it can.
 //!
 //! ```
 //! use dockgate_core::gateway::ResumeGate;
@@ -22,15 +23,16 @@
 }
 
 impl ResumeGate {
-    /// From which suspension on, in milliseconds, the gate closes: below it a box knows what it would know by its
-    /// usual means, which hear of changes each 0.3 s.
+    /// From which suspension on, in milliseconds, the gate closes: below it a box knows what it
+    /// would know by its usual means, which hear of changes each 0.3 s.
     pub const MIN_SUSPENSION_MS: u64 = 300;
-    /// For how long it is closed at most, in milliseconds: two probes of the store, or a beat and its answer, of
-    /// which one is lost. Callers of plain services wait no longer than that for an answer.
+    /// For how long it is closed at most, in milliseconds: two probes of the store, or a beat and
+    /// its answer, of which one is lost. Callers of plain services wait no longer than that for an
+    /// answer.
     const MAX_CLOSED_MS: u64 = 1_000;
 
-    /// How much later than it was made a proof may seem, in milliseconds: a digest that is kept for a tenth of a
-    /// second, and its way.
+    /// How much later than it was made a proof may seem, in milliseconds: a digest that is kept for
+    /// a tenth of a second, and its way.
     const MAX_PROOF_DELAY_MS: u64 = 150;
 
     /// Notes that the box has woken.
@@ -38,8 +40,8 @@
         self.resumed_ms = Some(now_ms);
     }
 
-    /// Tells whether the box knows the present, where `proof_ms` is when the store last proved that it hears a box of
-    /// this domain with whom this one agrees.
+    /// Tells whether the box knows the present, where `proof_ms` is when the store last proved that
+    /// it hears a box of this domain with whom this one agrees.
     pub fn is_open(&mut self, proof_ms: Option<u64>, now_ms: u64) -> bool {
         let Some(resumed_ms) = self.resumed_ms else {
             return true;
--- a/dockgate-core/src/gateway/route_table.rs
+++ b/dockgate-core/src/gateway/route_table.rs
@@ -7,11 +7,12 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// Names one lifetime of an endpoint: a hash of its id and of when it started, so that every box derives the
-/// same key.
+/// Names one lifetime of an endpoint: a hash of its id and of when it started, so that every box
+/// derives the same key.
 ///
-/// An endpoint may start again under its id, and holds and knows nothing of before then. All that boxes believe of
-/// an endpoint is kept under this key, so that nothing of one lifetime is taken for the next one's.
+/// An endpoint may start again under its id, and holds and knows nothing of before then. All that
+/// boxes believe of an endpoint is kept under this key, so that nothing of one lifetime is taken
+/// for the next one's.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, Default,
 )]
@@ -24,7 +25,8 @@
         Self::of_lifetime(id, None)
     }
 
-    /// Derives the key of the lifetime of an endpoint that started at `born_ms`, in Unix milliseconds.
+    /// Derives the key of the lifetime of an endpoint that started at `born_ms`, in Unix
+    /// milliseconds.
     pub fn of_lifetime(id: &str, born_ms: Option<u64>) -> Self {
         let name = EndpointName::new(id).0;
         Self(match born_ms {
@@ -34,7 +36,8 @@
     }
 }
 
-/// Names an endpoint over all its lifetimes: a hash of its id, under which the store has one record.
+/// Names an endpoint over all its lifetimes: a hash of its id, under which the store has one
+/// record.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, Default,
 )]
@@ -61,8 +64,8 @@
     Ready,
     /// It finishes what it has and takes nothing new.
     Draining,
-    /// Its record was overwritten by one that names no endpoint to use: it takes nothing new until it has written
-    /// its own again.
+    /// Its record was overwritten by one that names no endpoint to use: it takes nothing new until
+    /// it has written its own again.
     Unusable,
 }
 
@@ -71,7 +74,8 @@
 pub struct EndpointRecord {
     /// Its id, under which it may start again.
     pub id: String,
-    /// When this lifetime of it started, in Unix milliseconds by its own clock; none where it does not say.
+    /// When this lifetime of it started, in Unix milliseconds by its own clock; none where it does
+    /// not say.
     #[serde(default)]
     pub born_ms: Option<u64>,
     /// The service that it belongs to.
--- a/dockgate-core/src/gateway/store_follower.rs
+++ b/dockgate-core/src/gateway/store_follower.rs
@@ -1,9 +1,9 @@
 //! Whether this box follows the platform's store by itself.
 //!
-//! Every call to the store costs, and what one box learns all learn from its beats: two boxes of each
-//! failure domain that are heard by the store are enough. These are the two that come first in their
-//! domain. Where the store is silent for them, any other box may be heard by it: all probe it, which
-//! costs little, and those that are answered follow it in their place.
+//! Every call to the store costs, and what one box learns all learn from its beats: two boxes of
+//! each failure domain that are heard by the store are enough. These are the two that come first in
+//! their domain. Where the store is silent for them, any other box may be heard by it: all probe
+//! it, which costs little, and those that are answered follow it in their place.
 //!
 //! ```
 //! use dockgate_core::gateway::{StoreAccess, StoreFollower, StoreWatchers};
@@ -52,18 +52,19 @@
 impl StoreFollower {
     /// How many boxes of a failure domain follow the store: one may freeze, stop, or be cut off.
     const FOLLOWERS: usize = 2;
-    /// For how long a box that has just begun waits to hear who goes before it, in milliseconds: 295 boxes
-    /// that started together made 1,400 calls before they had heard of each other. A round trip to the
-    /// seeds and the wait for a turn there; with 250, all of eight boxes that lost power together had no
-    /// configuration for 0.3 s.
+    /// For how long a box that has just begun waits to hear who goes before it, in milliseconds:
+    /// 295 boxes that started together made 1,400 calls before they had heard of each other. A
+    /// round trip to the seeds and the wait for a turn there; with 250, all of eight boxes that
+    /// lost power together had no configuration for 0.3 s.
     const STARTUP_WAIT_MS: u64 = 50;
-    /// For how long boxes wait for those that come first, where one of these still reaches the store or
-    /// none has done so yet, in milliseconds: two beats, within which a box that has begun to follow
-    /// the store is heard to reach it.
+    /// For how long boxes wait for those that come first, where one of these still reaches the
+    /// store or none has done so yet, in milliseconds: two beats, within which a box that has begun
+    /// to follow the store is heard to reach it.
     const PRIMARY_GRACE_MS: u64 = 600;
-    /// How much later each further box begins, in milliseconds: so that a store which is back for all is
-    /// not listed by all, since the first ones are heard to reach it meanwhile, and so that in a domain of
-    /// 28 boxes of which three are heard one begins within 0.5 s on average. A bound, not tuned.
+    /// How much later each further box begins, in milliseconds: so that a store which is back for
+    /// all is not listed by all, since the first ones are heard to reach it meanwhile, and so that
+    /// in a domain of 28 boxes of which three are heard one begins within 0.5 s on average. A
+    /// bound, not tuned.
     const STAGGER_MS: u64 = 60;
 
     /// Tells whether a box is one of those of its domain that follow the store before all others.
--- a/dockgate-core/src/gateway/store_follower/tests.rs
+++ b/dockgate-core/src/gateway/store_follower/tests.rs
@@ -36,8 +36,9 @@
     }
 }
 
-/// Before: just the first eight of a domain ever tried, two more each 0.6 s, whether the store heard them
-/// or not; with the store silent for nine of ten boxes, nobody was heard in most domains.
+/// Before: just the first eight of a domain ever tried, two more each 0.6 s, whether the store
+/// heard them or not; with the store silent for nine of ten boxes, nobody was heard in most
+/// domains.
 #[test]
 fn where_those_that_come_first_are_not_heard_every_box_probes_and_the_next_that_is_heard_follows() {
     let follows_at = |before: usize| {
--- a/dockgate-core/src/gateway/store_probe.rs
+++ b/dockgate-core/src/gateway/store_probe.rs
@@ -1,9 +1,9 @@
 //! Whether the platform's store hears this box.
 //!
-//! A watch that is not answered looks like one during which nothing changes. So a box that relies on its
-//! watches probes the store beside them, and takes a probe that is not answered in time for silence: it
-//! then no longer says that it follows the store, and makes its watches anew once it is heard again,
-//! since what they were answered meanwhile may be lost.
+//! A watch that is not answered looks like one during which nothing changes. So a box that relies
+//! on its watches probes the store beside them, and takes a probe that is not answered in time for
+//! silence: it then no longer says that it follows the store, and makes its watches anew once it is
+//! heard again, since what they were answered meanwhile may be lost.
 //!
 //! ```
 //! use dockgate_core::gateway::{ProbeChange, StoreProbe};
@@ -36,9 +36,10 @@
 }
 
 impl ProbeTiming {
-    /// Of the time within which all boxes must know of a change, which part passes between probes, and
-    /// which part until one counts as unanswered. Both, and the time in which another box is found that is
-    /// heard and tells the others, must fit into it: at 3 s, 0.8 s of the 2.3 s that are counted for all.
+    /// Of the time within which all boxes must know of a change, which part passes between probes,
+    /// and which part until one counts as unanswered. Both, and the time in which another box is
+    /// found that is heard and tells the others, must fit into it: at 3 s, 0.8 s of the 2.3 s that
+    /// are counted for all.
     const INTERVAL_DIVISOR: u64 = 10;
     const TIMEOUT_DIVISOR: u64 = 6;
     /// The least of both, in milliseconds: a store that is sixty times slower than usual takes 240.
--- a/dockgate-core/src/gateway/watch_check.rs
+++ b/dockgate-core/src/gateway/watch_check.rs
@@ -1,7 +1,7 @@
 //! Whether the watches of the store still tell what changes.
 //!
-//! An open connection can fall silent for good while others work: probes are answered, and the watch that
-//! waits hears nothing more. The store's revision, which each answer names, shows it.
+//! An open connection can fall silent for good while others work: probes are answered, and the
+//! watch that waits hears nothing more. The store's revision, which each answer names, shows it.
 //!
 //! ```
 //! use dockgate_core::gateway::{StoreRevision, WatchCheck};
@@ -23,13 +23,14 @@
 }
 
 impl WatchCheck {
-    /// For how long a watch may lack a revision, in milliseconds: the pause between two watches of 300 and
-    /// the answer of a store that is a hundred times slower than usual, 400. A third of the bound of 3 s
-    /// on a connection that is silent, for which a probe of the connection takes all of it.
+    /// For how long a watch may lack a revision, in milliseconds: the pause between two watches of
+    /// 300 and the answer of a store that is a hundred times slower than usual, 400. A third of the
+    /// bound of 3 s on a connection that is silent, for which a probe of the connection takes all
+    /// of it.
     const STALL_TIMEOUT_MS: u64 = 1_000;
 
-    /// Tells whether watches that have told of changes up to `known` have to be made anew, where the store
-    /// has this revision. An old revision is never too high, so that it does no harm.
+    /// Tells whether watches that have told of changes up to `known` have to be made anew, where
+    /// the store has this revision. An old revision is never too high, so that it does no harm.
     pub fn is_stalled(
         &mut self,
         revision: StoreRevision,
--- a/dockgate-proto/src/gateway.rs
+++ b/dockgate-proto/src/gateway.rs
@@ -56,8 +56,8 @@
         /// What its workspaces asked for and were given within the window.
         shares: Vec<ShareRow>,
     },
-    /// Answers a beat, and goes from coordinators to those of other domains: what the sender knows of
-    /// the fleet.
+    /// Answers a beat, and goes from coordinators to those of other domains: what the sender knows
+    /// of the fleet.
     Digest {
         /// The boxes.
         digest: FleetDigest,
@@ -123,7 +123,8 @@
         /// The endpoint.
         endpoint: EndpointId,
     },
-    /// To boxes that pass it on, and in answer to a beat: requests under which endpoints have ended.
+    /// To boxes that pass it on, and in answer to a beat: requests under which endpoints have
+    /// ended.
     Suspects {
         /// What happened to them.
         rows: Vec<SuspectRow>,
@@ -150,8 +151,8 @@
 
 /// Asks a box what it knows: the configuration or the endpoints, never both.
 ///
-/// A notice that an endpoint leaves is some bytes and is due within seconds; a configuration may be a
-/// megabyte. In one answer the small one waits for the large one, and is lost with it.
+/// A notice that an endpoint leaves is some bytes and is due within seconds; a configuration may be
+/// a megabyte. In one answer the small one waits for the large one, and is lost with it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StateRequest {
     /// The version of the configuration that the asking box has.
--- a/dockgate-proto/src/gateway/tests.rs
+++ b/dockgate-proto/src/gateway/tests.rs
@@ -53,7 +53,8 @@
     }
 }
 
-/// Boxes of the version before read a datagram without looking for its form, and send theirs without.
+/// Boxes of the version before read a datagram without looking for its form, and send theirs
+/// without.
 #[test]
 fn boxes_of_another_version_take_nothing_of_each_other() {
     for message in messages() {
