--- a/dockgate-core/src/gateway/store_probe.rs
+++ b/dockgate-core/src/gateway/store_probe.rs
@@ -1,9 +1,9 @@
-//! Whether the platform's store hears this box.
+//! Tracks whether the platform's store answers this box.
 //!
-//! A watch that is not answered looks like one during which nothing changes. So a box that relies
-//! on its watches probes the store beside them, and takes a probe that is not answered in time for
-//! silence: it then no longer says that it follows the store, and makes its watches anew once it is
-//! heard again, since what they were answered meanwhile may be lost.
+//! A watch that has lost its connection looks like one without changes. A box that relies on
+//! watches therefore also probes the store. If a probe is not answered in time, the box stops
+//! reporting that it follows the store, and recreates its watches once the store answers again,
+//! since events may have been lost in the meantime.
 //!
 //! ```
 //! use dockgate_core::gateway::{ProbeChange, StoreProbe};
@@ -14,39 +14,37 @@
 //! assert_eq!(probe.record(true, 4_000), Some(ProbeChange::Up { down_ms: 3_000 }));
 //! ```
 
-/// What a probe says that those before it did not.
+/// A change of the store's reachability.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProbeChange {
-    /// The store has fallen silent.
+    /// The store stopped answering.
     Down,
-    /// It answers again.
+    /// The store answers again.
     Up {
-        /// How long after the last probe that was answered, in milliseconds.
+        /// The time since the last answered probe, in milliseconds.
         down_ms: u64,
     },
 }
 
-/// How often the store is probed, and how long each answer may take.
+/// The interval and timeout of probes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ProbeTiming {
-    /// How long after an answer the next probe is sent, in milliseconds.
+    /// The delay between an answer and the next probe, in milliseconds.
     pub interval_ms: u64,
-    /// After how long without an answer the store is taken for silent, in milliseconds.
+    /// The time without an answer after which a probe has failed, in milliseconds.
     pub timeout_ms: u64,
 }
 
 impl ProbeTiming {
-    /// Of the time within which all boxes must know of a change, which part passes between probes,
-    /// and which part until one counts as unanswered. Both, and the time in which another box is
-    /// found that is heard and tells the others, must fit into it: at 3 s, 0.8 s of the 2.3 s that
-    /// are counted for all.
+    /// The parts of the bound that the interval and the timeout take. The rest is needed for
+    /// another box to take over and report the changes.
     const INTERVAL_DIVISOR: u64 = 10;
     const TIMEOUT_DIVISOR: u64 = 6;
-    /// The least of both, in milliseconds: a store that is sixty times slower than usual takes 240.
+    /// The lower limits of both, which tolerate a very slow store.
     const MIN_INTERVAL_MS: u64 = 200;
     const MIN_TIMEOUT_MS: u64 = 350;
 
-    /// Makes the rule for a time within which all boxes must know of a change, in milliseconds.
+    /// Creates the timing for a bound in which all boxes must learn of a change, in milliseconds.
     pub fn within(bound_ms: u64) -> Self {
         Self {
             interval_ms: (bound_ms / Self::INTERVAL_DIVISOR).max(Self::MIN_INTERVAL_MS),
@@ -55,17 +53,17 @@
     }
 }
 
-/// What the probes so far say.
+/// The outcome of the probes so far.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct StoreProbe {
-    /// When the last probe that was answered was sent.
+    /// When the last answered probe was sent.
     last_answered_ms: Option<u64>,
-    /// Since when each one was.
+    /// When the current series of answered probes began.
     answered_since_ms: Option<u64>,
 }
 
 impl StoreProbe {
-    /// Notes what became of a probe that was sent at `sent_ms`.
+    /// Records the outcome of a probe sent at `sent_ms`; returns the change that it reveals.
     pub fn record(&mut self, answered: bool, sent_ms: u64) -> Option<ProbeChange> {
         match (answered, self.answered_since_ms) {
             (true, Some(_)) => {
@@ -75,7 +73,7 @@
             (true, None) => {
                 let down_ms = self
                     .last_answered_ms
-                    .map(|heard| sent_ms.saturating_sub(heard));
+                    .map(|answered| sent_ms.saturating_sub(answered));
                 self.last_answered_ms = Some(sent_ms);
                 self.answered_since_ms = Some(sent_ms);
                 down_ms.map(|down_ms| ProbeChange::Up { down_ms })
@@ -87,17 +85,17 @@
         }
     }
 
-    /// Forgets what was noted: the store is not probed for a while.
+    /// Forgets all outcomes, since probing is suspended.
     pub fn pause(&mut self) {
         *self = Self::default();
     }
 
-    /// Returns since when each probe is answered; none where the last one was not.
+    /// Returns since when all probes have been answered; `None` if the last one was not.
     pub const fn answered_since_ms(&self) -> Option<u64> {
         self.answered_since_ms
     }
 
-    /// Returns when the last probe was sent, where it was answered.
+    /// Returns when the last probe was sent; `None` if it was not answered.
     pub fn proof_ms(&self) -> Option<u64> {
         self.answered_since_ms.and(self.last_answered_ms)
     }
--- a/dockgate-core/src/gateway/store_probe/tests.rs
+++ b/dockgate-core/src/gateway/store_probe/tests.rs
@@ -2,30 +2,30 @@
 use yare::parameterized;
 
 #[test]
-fn only_what_changes_is_news() {
+fn only_changes_of_reachability_are_returned() {
     let mut probe = StoreProbe::default();
-    assert_eq!(probe.record(true, 1_000), None, "it was never lost");
+    assert_eq!(probe.record(true, 1_000), None, "it was never down");
     assert_eq!(probe.record(true, 1_300), None);
     assert_eq!(probe.record(false, 1_600), Some(ProbeChange::Down));
     assert_eq!(probe.record(false, 2_100), None);
-    let back = ProbeChange::Up { down_ms: 1_300 };
-    assert_eq!(probe.record(true, 2_600), Some(back));
+    let up = ProbeChange::Up { down_ms: 1_300 };
+    assert_eq!(probe.record(true, 2_600), Some(up));
     assert_eq!(probe.answered_since_ms(), Some(2_600));
 }
 
 #[test]
-fn a_proof_is_as_old_as_the_call_that_was_answered() {
+fn a_proof_dates_from_the_sending_of_the_probe() {
     let mut probe = StoreProbe::default();
     assert_eq!(probe.proof_ms(), None);
     probe.record(true, 1_000);
     probe.record(true, 1_300);
     assert_eq!(probe.proof_ms(), Some(1_300));
     probe.record(false, 1_600);
-    assert_eq!(probe.proof_ms(), None, "silence is no proof");
+    assert_eq!(probe.proof_ms(), None, "an unanswered probe is no proof");
 }
 
 #[test]
-fn who_pauses_begins_anew() {
+fn a_pause_clears_the_outcomes() {
     let mut probe = StoreProbe::default();
     probe.record(true, 1_000);
     probe.pause();
@@ -33,7 +33,7 @@
     assert_eq!(
         probe.record(true, 9_000),
         None,
-        "nothing is known of between"
+        "nothing is known about the pause"
     );
 }
 
@@ -43,10 +43,10 @@
     long = { 4_000, 400, 666 },
     least = { 500, 200, 350 },
 )]
-fn silence_is_found_within_a_part_of_the_bound(bound_ms: u64, interval_ms: u64, timeout_ms: u64) {
-    let rule = ProbeTiming {
+fn timing_is_derived_from_the_bound(bound_ms: u64, interval_ms: u64, timeout_ms: u64) {
+    let timing = ProbeTiming {
         interval_ms,
         timeout_ms,
     };
-    assert_eq!(ProbeTiming::within(bound_ms), rule);
+    assert_eq!(ProbeTiming::within(bound_ms), timing);
 }
