--- a/dockgate-core/src/gateway.rs
+++ b/dockgate-core/src/gateway.rs
@@ -1,8 +1,8 @@
-//! Decisions for requests that are routed by host and path to the endpoints of a service.
+//! Decisions about requests that are routed by host and path to the endpoints of a service.
 //!
-//! A service is either *plain* (an application with a few places) or a set of *model engines* that
-//! batch, cache prompts and serve in order of arrival. Everything here is fed with events and the
-//! time; the daemon around it does the I/O.
+//! A service is either *plain* (an application with a few slots) or a set of *model engines* that
+//! batch requests, cache prompts and serve in order of arrival. This module does no I/O: the daemon
+//! passes in events and the current time.
 //!
 //! ```
 //! use dockgate_core::gateway::{PromptPart, PromptShape};
--- a/dockgate-core/src/gateway/domain_reachability.rs
+++ b/dockgate-core/src/gateway/domain_reachability.rs
@@ -1,9 +1,9 @@
-//! Which failure domains cannot be reached from this box.
+//! Tracks which failure domains are unreachable from this box.
 //!
-//! A link that is cut says nothing: each try at an endpoint behind it costs a request the time of a
-//! connection that does not open. Two endpoints of a domain that both stay silent, with none of the
-//! domain answering since, make the whole domain one that gets nothing until it is seen to answer.
-//! An endpoint that refuses a connection has answered: it is down, its domain is not.
+//! On a broken link, each attempt to reach an endpoint costs a request a full connection timeout. A
+//! domain counts as unreachable once connections to two of its endpoints have timed out with no
+//! answer from the domain since; it then gets no requests until one of its endpoints answers. A
+//! refused connection counts as an answer: the endpoint is down, but its domain is reachable.
 //!
 //! ```
 //! use dockgate_core::gateway::{DomainReachability, EndpointId};
@@ -20,34 +20,34 @@
 use super::route_table::EndpointId;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The failure domains with endpoints that were silent lately.
+/// The endpoints that have not answered lately, by failure domain.
 #[derive(Debug, Clone, Default)]
 pub struct DomainReachability {
     silent: BTreeMap<String, BTreeSet<EndpointId>>,
 }
 
 impl DomainReachability {
-    /// How many endpoints of a domain must be silent: one alone may be down.
+    /// The number of silent endpoints that make a domain unreachable: a single one may be down.
     pub const MIN_SILENT_ENDPOINTS: usize = 2;
 
-    /// Notes that a connection to an endpoint did not open, and was not refused either.
+    /// Records that a connection to an endpoint was neither opened nor refused.
     pub fn record_silence(&mut self, domain: &str, endpoint: EndpointId) {
         let silent = self.silent.entry(domain.to_owned()).or_default();
         silent.insert(endpoint);
     }
 
-    /// Notes that an endpoint of a domain was heard.
+    /// Records that an endpoint of a domain answered.
     pub fn record_answer(&mut self, domain: &str) {
         self.silent.remove(domain);
     }
 
-    /// Tells whether nothing of a domain can be reached.
+    /// Returns whether a domain is unreachable.
     pub fn is_unreachable(&self, domain: &str) -> bool {
         let silent = self.silent.get(domain);
         silent.is_some_and(|silent| silent.len() >= Self::MIN_SILENT_ENDPOINTS)
     }
 
-    /// Lists the domains of which nothing can be reached.
+    /// Lists the unreachable domains.
     pub fn unreachable(&self) -> impl Iterator<Item = &str> {
         let domains = self.silent.keys().map(String::as_str);
         domains.filter(|domain| self.is_unreachable(domain))
--- a/dockgate-core/src/gateway/domain_reachability/tests.rs
+++ b/dockgate-core/src/gateway/domain_reachability/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn one_silent_endpoint_is_no_cut_however_often_it_is_tried() {
+fn one_silent_endpoint_does_not_make_its_domain_unreachable() {
     let mut reachability = DomainReachability::default();
     for _ in 0..5 {
         reachability.record_silence("a", EndpointId(1));
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn a_domain_that_answers_between_is_not_cut() {
+fn an_answer_resets_the_silent_endpoints_of_its_domain() {
     let mut reachability = DomainReachability::default();
     reachability.record_silence("a", EndpointId(1));
     reachability.record_answer("a");
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_cut_is_one_of_its_domain_alone() {
+fn domains_are_tracked_separately() {
     let mut reachability = DomainReachability::default();
     reachability.record_silence("a", EndpointId(1));
     reachability.record_silence("a", EndpointId(2));
--- a/dockgate-core/src/gateway/resume_gate.rs
+++ b/dockgate-core/src/gateway/resume_gate.rs
@@ -1,10 +1,9 @@
-//! Whether a box that was suspended knows the present again.
+//! Holds back requests after a suspension until the state of the box is up to date.
 //!
-//! All that such a box believes is as old as the suspension was long, and others have acted on
-//! newer things meanwhile: configurations, endpoints that left. What it reads in the first moments,
-//! from connections that may be dead, says nothing. So it waits until the store, or a box of its
-//! failure domain that the store hears, has told it something since; where nobody does, it serves
-//! what it can.
+//! After a suspension, the state of a box is outdated: the configuration may have changed and
+//! endpoints may have left. Data received in the first moments may come from dead connections. The
+//! box therefore waits until the store has answered it, or a box of its failure domain, since it
+//! resumed. If that does not happen in time, the box continues with the state that it has.
 //!
 //! ```
 //! use dockgate_core::gateway::ResumeGate;
@@ -16,32 +15,31 @@
 //! assert!(gate.is_open(Some(6_200), 6_210));
 //! ```
 
-/// Whether what is believed was heard since the box woke.
+/// Tracks whether the state of the box was confirmed since it resumed.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ResumeGate {
     resumed_ms: Option<u64>,
 }
 
 impl ResumeGate {
-    /// From which suspension on, in milliseconds, the gate closes: below it a box knows what it
-    /// would know by its usual means, which hear of changes each 0.3 s.
+    /// The shortest suspension that closes the gate, in milliseconds: a shorter one causes no more
+    /// delay than regular updates have.
     pub const MIN_SUSPENSION_MS: u64 = 300;
-    /// For how long it is closed at most, in milliseconds: two probes of the store, or a beat and
-    /// its answer, of which one is lost. Callers of plain services wait no longer than that for an
-    /// answer.
+    /// The longest time for which the gate stays closed, in milliseconds: two store probes, or a
+    /// heartbeat and its answer, with one lost. It bounds the additional delay of requests.
     const MAX_CLOSED_MS: u64 = 1_000;
 
-    /// How much later than it was made a proof may seem, in milliseconds: a digest that is kept for
-    /// a tenth of a second, and its way.
+    /// The longest delay with which a proof is reported, in milliseconds: covers the caching and
+    /// the delivery of a digest.
     const MAX_PROOF_DELAY_MS: u64 = 150;
 
-    /// Notes that the box has woken.
+    /// Closes the gate after the box has resumed.
     pub const fn resume(&mut self, now_ms: u64) {
         self.resumed_ms = Some(now_ms);
     }
 
-    /// Tells whether the box knows the present, where `proof_ms` is when the store last proved that
-    /// it hears a box of this domain with whom this one agrees.
+    /// Returns whether the state of the box is up to date. `proof_ms` is the time of the store's
+    /// last answer to a box of this domain, if this box has the same state as that domain.
     pub fn is_open(&mut self, proof_ms: Option<u64>, now_ms: u64) -> bool {
         let Some(resumed_ms) = self.resumed_ms else {
             return true;
@@ -55,7 +53,7 @@
         is_open
     }
 
-    /// Tells whether the box has not woken lately.
+    /// Returns whether the gate has reopened since the last resume.
     pub const fn is_settled(&self) -> bool {
         self.resumed_ms.is_none()
     }
--- a/dockgate-core/src/gateway/resume_gate/tests.rs
+++ b/dockgate-core/src/gateway/resume_gate/tests.rs
@@ -1,13 +1,13 @@
 use super::ResumeGate;
 
 #[test]
-fn what_was_proved_before_the_box_slept_says_nothing() {
+fn proofs_from_before_the_suspension_do_not_open_the_gate() {
     let mut gate = ResumeGate::default();
     gate.resume(10_000);
     assert!(!gate.is_open(Some(9_999), 10_020));
     assert!(
         !gate.is_open(Some(10_100), 10_120),
-        "it may have been told late"
+        "the report may be delayed"
     );
     assert!(!gate.is_open(None, 10_500));
     assert!(gate.is_open(Some(10_500), 10_500));
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn a_box_that_hears_nobody_serves_what_it_can() {
+fn the_gate_opens_after_a_time_limit_without_proof() {
     let mut gate = ResumeGate::default();
     gate.resume(10_000);
     assert!(!gate.is_open(None, 10_999));
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn one_that_sleeps_again_waits_again() {
+fn a_second_suspension_closes_the_gate_again() {
     let mut gate = ResumeGate::default();
     gate.resume(10_000);
     assert!(gate.is_open(Some(10_150), 10_160));
--- a/dockgate-core/src/gateway/route_table.rs
+++ b/dockgate-core/src/gateway/route_table.rs
@@ -1,4 +1,4 @@
-//! Routes, services and workspaces of one accepted configuration, indexed for look-ups.
+//! The routes, services and workspaces of a configuration, indexed for lookups.
 
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
@@ -7,12 +7,11 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// Names one lifetime of an endpoint: a hash of its id and of when it started, so that every box
+/// Identifies one lifetime of an endpoint by a hash of its id and start time, so that every box
 /// derives the same key.
 ///
-/// An endpoint may start again under its id, and holds and knows nothing of before then. All that
-/// boxes believe of an endpoint is kept under this key, so that nothing of one lifetime is taken
-/// for the next one's.
+/// An endpoint may restart under the same id and loses its state by that. All state that boxes keep
+/// about an endpoint uses this key, so that it does not carry over to the next lifetime.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, Default,
 )]
@@ -20,24 +19,24 @@
 pub struct EndpointId(pub u64);
 
 impl EndpointId {
-    /// Derives the key of an endpoint that does not say when it started.
+    /// Derives the key of an endpoint that reports no start time.
     pub fn from_name(id: &str) -> Self {
         Self::of_lifetime(id, None)
     }
 
-    /// Derives the key of the lifetime of an endpoint that started at `born_ms`, in Unix
+    /// Derives the key of the lifetime of an endpoint that started at `started_ms`, in Unix
     /// milliseconds.
-    pub fn of_lifetime(id: &str, born_ms: Option<u64>) -> Self {
+    pub fn of_lifetime(id: &str, started_ms: Option<u64>) -> Self {
         let name = EndpointName::new(id).0;
-        Self(match born_ms {
-            Some(born_ms) => xxh3_64_with_seed(&born_ms.to_le_bytes(), name),
+        Self(match started_ms {
+            Some(started_ms) => xxh3_64_with_seed(&started_ms.to_le_bytes(), name),
             None => name,
         })
     }
 }
 
-/// Names an endpoint over all its lifetimes: a hash of its id, under which the store has one
-/// record.
+/// Identifies an endpoint over all its lifetimes by a hash of its id; the store has one record for
+/// it.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, Default,
 )]
@@ -45,7 +44,7 @@
 pub struct EndpointName(pub u64);
 
 impl EndpointName {
-    /// Derives the key of an id.
+    /// Derives the key from an endpoint's id.
     pub fn new(id: &str) -> Self {
         Self(xxh3_64(id.as_bytes()))
     }
@@ -57,38 +56,38 @@
     }
 }
 
-/// Whether an endpoint takes new work.
+/// Whether an endpoint accepts new requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EndpointState {
-    /// It takes new work.
+    /// It accepts new requests.
     Ready,
-    /// It finishes what it has and takes nothing new.
+    /// It finishes its running requests and accepts no new ones.
     Draining,
-    /// Its record was overwritten by one that names no endpoint to use: it takes nothing new until
-    /// it has written its own again.
+    /// Its record was overwritten by an invalid one: it gets no new requests until it writes its
+    /// own record again.
     Unusable,
 }
 
-/// What an endpoint says of itself.
+/// The record in which an endpoint describes itself.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointRecord {
-    /// Its id, under which it may start again.
+    /// Its id, which stays the same over restarts.
     pub id: String,
-    /// When this lifetime of it started, in Unix milliseconds by its own clock; none where it does
-    /// not say.
+    /// When this lifetime started, in Unix milliseconds by the endpoint's clock; `None` if it is
+    /// not reported.
     #[serde(default)]
     pub born_ms: Option<u64>,
     /// The service that it belongs to.
     pub service: String,
-    /// Where it listens.
+    /// The address at which it listens.
     pub address: SocketAddr,
     /// Its failure domain.
     pub domain: String,
-    /// How many requests it works on at once.
+    /// The number of requests that it processes at once.
     pub slots: u32,
-    /// Whether it takes new work.
+    /// Whether it accepts new requests.
     pub state: EndpointState,
-    /// For how much longer it is slow after its start, in milliseconds.
+    /// The remaining warm-up time, during which it is slow, in milliseconds.
     pub warmup_ms: u64,
 }
 
@@ -104,14 +103,14 @@
     }
 }
 
-/// How an answer is passed on.
+/// How an answer is forwarded to the caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AnswerForm {
-    /// As one body, checked before any of it is passed on.
+    /// As one body, which is checked completely first.
     Whole,
-    /// As a stream of numbered events, each passed on as it arrives.
+    /// As a stream of numbered events, each forwarded on arrival.
     Stream {
-        /// Whether another endpoint may go on after the last event.
+        /// Whether another endpoint may continue after the last event.
         resumable: bool,
     },
 }
@@ -125,37 +124,37 @@
     pub weight: u32,
 }
 
-/// One route.
+/// A route.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouteSpec {
     /// The name, for logs.
     pub name: String,
-    /// The host that requests name.
+    /// The host that requests must name.
     pub host: String,
-    /// What the path begins with; begins and ends with a slash.
+    /// The path prefix, which begins and ends with a slash.
     pub prefix: String,
-    /// The services that requests go to.
+    /// The services that receive the requests.
     pub services: Vec<ServiceWeight>,
-    /// Whether a request may run more than once.
+    /// Whether a request may be executed more than once.
     pub repeatable: bool,
-    /// How answers are passed on.
+    /// How answers are forwarded.
     pub form: AnswerForm,
-    /// The most endpoints that one request may be sent to.
+    /// The maximum number of endpoints that one request may be sent to.
     pub attempts: u32,
-    /// How long a request may be held.
+    /// The time limit of a request.
     pub timeout: Duration,
-    /// Within which time an answer, or the first event of a stream, is in time.
+    /// The target time for an answer, or for the first event of a stream.
     pub objective: Duration,
-    /// The longest pause between the events of a stream that is in time.
+    /// The target for the longest pause between the events of a stream.
     pub pause: Duration,
-    /// The rank among requests; 0 is served first.
+    /// The priority of requests; 0 is served first.
     pub priority: u8,
-    /// Whether a request needs no key.
+    /// Whether requests need no key.
     pub public: bool,
 }
 
 impl RouteSpec {
-    /// Tells whether a request that may have run may be sent again.
+    /// Returns whether a request that may have been executed may be sent again.
     pub const fn may_repeat(&self) -> bool {
         match self.form {
             AnswerForm::Whole => self.repeatable,
@@ -163,7 +162,7 @@
         }
     }
 
-    /// Picks the service for a request by its id, by weight.
+    /// Picks the service for a request id by weight; the same id always gets the same service.
     pub fn service_for(&self, request: &str) -> Option<&str> {
         let total: u64 = self
             .services
@@ -182,49 +181,49 @@
     }
 }
 
-/// What a model engine can hold.
+/// The capacity of a model engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct EngineSpec {
-    /// Requests at once.
+    /// The number of concurrent requests.
     pub slots: u32,
-    /// Tokens of memory, for running requests and cached prompts together.
+    /// The memory for running requests and cached prompts together, in tokens.
     pub memory: u64,
 }
 
-/// One service.
+/// A service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceSpec {
     /// The name.
     pub name: String,
-    /// Connections that one of its endpoints accepts from all boxes together.
+    /// The number of connections that one endpoint accepts from all boxes together.
     pub connections: usize,
-    /// What its engines hold, where it is served by model engines.
+    /// The capacity of its engines, if it is served by model engines.
     pub engine: Option<EngineSpec>,
 }
 
-/// A workspace and the keys that its callers may use.
+/// A workspace and the keys of its callers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkspaceKeys {
     /// The name.
     pub name: String,
     /// Its keys.
     pub keys: Vec<String>,
-    /// Its rank, which replaces that of the route.
+    /// Its priority, which overrides that of the route.
     pub priority: Option<u8>,
 }
 
-/// Limits on what callers may send, and on what the endpoints make.
+/// Limits on requests, and the stated capacity of the endpoints.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct GatewayLimits {
-    /// The largest head of a request, in bytes.
+    /// The maximum size of a request head, in bytes.
     pub head_bytes: usize,
-    /// The largest body of a request, in bytes.
+    /// The maximum size of a request body, in bytes.
     pub body_bytes: usize,
-    /// How long a head may take to arrive.
+    /// The time limit for receiving a request head.
     pub head_timeout: Duration,
-    /// How long a connection may rest between requests.
+    /// The time limit for an idle connection between requests.
     pub idle_timeout: Duration,
-    /// What all endpoints make together, in service units a second; 0 where nothing is stated.
+    /// The total capacity of all endpoints, in service units per second; 0 if it is not stated.
     pub units_per_s: f64,
 }
 
@@ -240,34 +239,34 @@
     }
 }
 
-/// One accepted configuration.
+/// An accepted configuration.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct RouteConfig {
-    /// The version; rises with every change.
+    /// The version, which increases with every change.
     pub version: u64,
     /// The routes.
     pub routes: Vec<RouteSpec>,
     /// The services.
     pub services: Vec<ServiceSpec>,
-    /// The workspaces; without any, no request needs a key.
+    /// The workspaces; if there are none, no request needs a key.
     pub workspaces: Vec<WorkspaceKeys>,
     /// The limits.
     pub limits: GatewayLimits,
 }
 
-/// Names a route in the table that found it.
+/// The index of a route in its table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RouteKey(usize);
 
-/// Names a service in the table that found it.
+/// The index of a service in its table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ServiceKey(usize);
 
-/// Names a workspace in the table that found it.
+/// The index of a workspace in its table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct WorkspaceRef(usize);
 
-/// A configuration indexed for look-ups.
+/// A configuration indexed for lookups.
 #[derive(Debug, Clone, Default)]
 pub struct RouteTable {
     config: RouteConfig,
@@ -279,7 +278,7 @@
 }
 
 impl RouteTable {
-    /// Indexes a configuration.
+    /// Builds the index of a configuration.
     pub fn new(config: RouteConfig) -> Self {
         let mut hosts: HashMap<String, Vec<usize>> = HashMap::new();
         for (index, route) in config.routes.iter().enumerate() {
@@ -289,7 +288,7 @@
                 .push(index);
         }
         for routes in hosts.values_mut() {
-            // The first match is then the longest.
+            // The first match is the longest prefix.
             routes.sort_by_key(|index| std::cmp::Reverse(config.routes[*index].prefix.len()));
         }
         let tightest = config.services.iter();
@@ -319,7 +318,7 @@
         &self.config
     }
 
-    /// Finds the route of a host and path; a port behind the host is ignored.
+    /// Finds the route for a host and path; a port in the host is ignored.
     pub fn find_route(&self, host: &str, path: &str) -> Option<RouteKey> {
         let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
         let routes = self.hosts.get(&name.to_ascii_lowercase())?;
@@ -342,12 +341,12 @@
         &self.config.services[key.0]
     }
 
-    /// Returns the shortest objective among the routes of a service, where any leads there.
+    /// Returns the shortest objective among the routes to a service; `None` without such a route.
     pub fn tightest_objective(&self, key: ServiceKey) -> Option<Duration> {
         self.tightest[key.0]
     }
 
-    /// Tells whether requests need a key, unless their route is public.
+    /// Returns whether requests need a key unless their route is public.
     pub fn needs_key(&self) -> bool {
         !self.config.workspaces.is_empty()
     }
@@ -364,13 +363,13 @@
 }
 
 fn tightest_of(routes: &[RouteSpec], service: &str) -> Option<Duration> {
-    let leads_there = |route: &&RouteSpec| {
+    let leads_to_service = |route: &&RouteSpec| {
         let choices = route.services.iter();
         choices
             .map(|choice| &choice.service)
             .any(|name| name == service)
     };
-    let routes = routes.iter().filter(leads_there);
+    let routes = routes.iter().filter(leads_to_service);
     routes.map(|route| route.objective).min()
 }
 
--- a/dockgate-core/src/gateway/route_table/tests.rs
+++ b/dockgate-core/src/gateway/route_table/tests.rs
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_key_names_its_workspace_and_nothing_else_does() {
+fn workspaces_are_found_by_their_keys_only() {
     let table = table();
     assert!(table.needs_key());
     assert_eq!(
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn services_are_chosen_by_weight_and_always_alike_for_one_request() {
+fn services_are_chosen_by_weight_and_consistently_per_request() {
     let table = table();
     let route = table.route(table.find_route("b.example", "/1").unwrap());
     let ids: Vec<String> = (0..1_000).map(|id| format!("request-{id}")).collect();
--- a/dockgate-core/src/gateway/watch_check.rs
+++ b/dockgate-core/src/gateway/watch_check.rs
@@ -1,7 +1,7 @@
-//! Whether the watches of the store still tell what changes.
+//! Detects watches of the store that no longer deliver changes.
 //!
-//! An open connection can fall silent for good while others work: probes are answered, and the
-//! watch that waits hears nothing more. The store's revision, which each answer names, shows it.
+//! A single connection can stop delivering data while others work: probes are answered, but a
+//! pending watch receives nothing. The store's revision, which every answer includes, reveals this.
 //!
 //! ```
 //! use dockgate_core::gateway::{StoreRevision, WatchCheck};
@@ -14,23 +14,21 @@
 
 use super::store_revision::StoreRevision;
 
-/// Since when the store has had a revision that no watch has told of.
+/// Tracks how long the watches have lagged behind the store's revision.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct WatchCheck {
     behind_since_ms: Option<u64>,
-    /// The last revision for which watches were made anew: a key that nobody watches may have it.
+    /// The last revision that caused a reset of the watches; it may belong to an unwatched key.
     checked: StoreRevision,
 }
 
 impl WatchCheck {
-    /// For how long a watch may lack a revision, in milliseconds: the pause between two watches of
-    /// 300 and the answer of a store that is a hundred times slower than usual, 400. A third of the
-    /// bound of 3 s on a connection that is silent, for which a probe of the connection takes all
-    /// of it.
+    /// How long the watches may lag behind a revision, in milliseconds: covers the pause between
+    /// two watches and the answer of a slow store.
     const STALL_TIMEOUT_MS: u64 = 1_000;
 
-    /// Tells whether watches that have told of changes up to `known` have to be made anew, where
-    /// the store has this revision. An old revision is never too high, so that it does no harm.
+    /// Returns whether watches that delivered changes up to `known` must be recreated, given a
+    /// revision that the store returned. Outdated revisions have no effect.
     pub fn is_stalled(
         &mut self,
         revision: StoreRevision,
--- a/dockgate-core/src/gateway/watch_check/tests.rs
+++ b/dockgate-core/src/gateway/watch_check/tests.rs
@@ -5,24 +5,24 @@
 }
 
 #[test]
-fn a_change_on_its_way_is_no_sign() {
+fn changes_in_transit_are_no_stall() {
     let mut check = WatchCheck::default();
     assert!(!check.is_stalled(at(7), at(6), 1_000));
     assert!(
         !check.is_stalled(at(8), at(7), 1_900),
-        "one more is on its way"
+        "one more is in transit"
     );
     assert!(!check.is_stalled(at(8), at(8), 2_000));
     assert!(
         !check.is_stalled(at(9), at(8), 2_100),
-        "the time begins anew"
+        "the wait starts again"
     );
     assert!(!check.is_stalled(at(9), at(8), 3_099));
     assert!(check.is_stalled(at(9), at(8), 3_100));
 }
 
 #[test]
-fn a_key_that_nobody_watches_costs_one_look() {
+fn an_unwatched_key_causes_one_reset() {
     let mut check = WatchCheck::default();
     check.is_stalled(at(7), at(6), 1_000);
     assert!(check.is_stalled(at(7), at(6), 2_000));
@@ -34,12 +34,12 @@
     check.is_stalled(at(9), at(6), 60_000);
     assert!(
         check.is_stalled(at(9), at(6), 61_000),
-        "a later one is looked after again"
+        "a later revision is checked again"
     );
 }
 
 #[test]
-fn an_old_answer_is_no_sign() {
+fn outdated_answers_are_no_stall() {
     let mut check = WatchCheck::default();
     assert!(
         (0..9_000)
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_store_that_came_back_from_an_older_copy_is_ahead() {
+fn a_later_store_era_is_ahead_of_any_revision() {
     let mut check = WatchCheck::default();
     let (known, newer) = (at(45), StoreRevision::new(2, 5));
     assert!(!check.is_stalled(newer, known, 1_000));
--- a/dockgate-proto/src/gateway.rs
+++ b/dockgate-proto/src/gateway.rs
@@ -1,7 +1,8 @@
-//! What boxes that route requests say to each other, in datagrams.
+//! Datagrams between boxes that route requests.
 //!
-//! Each message stands by itself and may be lost, doubled or late: a seek without an answer is
-//! decided by the entry alone, sums replace sums, and a run that is never heard of again lapses.
+//! Each message is self-contained and may be lost, duplicated or late: without an answer to a slot
+//! request, the entry box decides alone; newer sums replace older ones; and runs expire when
+//! nothing more is reported about them.
 
 use dockgate_core::gateway::{
     BoxHeartbeat, EndpointId, EndpointNews, EngineAsk, EngineVerdict, FleetDigest, PromptPart,
@@ -10,129 +11,130 @@
 use dockgate_core::{BoxKey, Incarnation};
 use serde::{Deserialize, Serialize};
 
-/// One datagram.
+/// A datagram.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GatewayDatagram {
     /// The box that sends it.
     pub from: BoxKey,
-    /// Its life.
+    /// The incarnation of that box.
     pub incarnation: Incarnation,
     /// The message.
     pub message: GatewayMessage,
 }
 
-/// What datagrams of this form begin with: a box of another version cannot take them for its own,
-/// since no number in a datagram begins so, and the last byte names the form.
-const WIRE_FORMAT: [u8; 6] = [0xff, 0xff, 0xff, 0xff, 0xff, 6];
+/// The first bytes of each datagram; the last one is the version of the format. A box with another
+/// format rejects the datagram, since no encoded number begins with these bytes.
+const FORMAT_PREFIX: [u8; 6] = [0xff, 0xff, 0xff, 0xff, 0xff, 6];
 
 impl GatewayDatagram {
-    /// Returns the bytes of the datagram.
+    /// Encodes the datagram.
     ///
     /// # Errors
     ///
-    /// Returns an error where the message cannot be written.
+    /// Returns an error if the message cannot be encoded.
     pub fn encode(&self) -> Result<Vec<u8>, postcard::Error> {
-        postcard::to_extend(self, WIRE_FORMAT.to_vec())
+        postcard::to_extend(self, FORMAT_PREFIX.to_vec())
     }
 
-    /// Reads a datagram.
+    /// Decodes a datagram.
     ///
     /// # Errors
     ///
-    /// Returns an error where the bytes have another form, or are cut.
+    /// Returns an error if the bytes have another format or are truncated.
     pub fn decode(bytes: &[u8]) -> Result<Self, postcard::Error> {
-        let message = bytes.strip_prefix(&WIRE_FORMAT);
+        let message = bytes.strip_prefix(&FORMAT_PREFIX);
         postcard::from_bytes(message.ok_or(postcard::Error::DeserializeBadEncoding)?)
     }
 }
 
-/// One message between boxes. A run is named by the entry's counter and its endpoint.
+/// A message between boxes. A run is identified by its number at the entry box and its endpoint.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum GatewayMessage {
-    /// To the coordinators of the sender's domain, or to whoever may know them: the sender lives.
+    /// To coordinators of the sender's domain, or to seeds: the sender is alive.
     Heartbeat {
-        /// What it says of itself.
+        /// The sender's heartbeat.
         heartbeat: BoxHeartbeat,
-        /// What its workspaces asked for and were given within the window.
+        /// The service units that its workspaces demanded and received within the window.
         shares: Vec<ShareRow>,
     },
-    /// Answers a beat, and goes from coordinators to those of other domains: what the sender knows
-    /// of the fleet.
+    /// Answer to a heartbeat, also exchanged between coordinators of different domains: the fleet
+    /// as the sender knows it.
     Digest {
-        /// The boxes.
+        /// The digest.
         digest: FleetDigest,
-        /// What workspaces asked for and were given; of which boxes, the digest's scope says.
+        /// The service units that workspaces demanded and received; the digest's scope defines at
+        /// which boxes.
         shares: Vec<ShareRow>,
     },
-    /// Entry to owner: may this prompt go to the endpoint?
+    /// Entry to owner: requests a slot at the endpoint for a prompt.
     SlotRequest {
-        /// The entry's counter.
+        /// The number of the run at the entry.
         run: u32,
         /// The endpoint.
         endpoint: EndpointId,
         /// The prompt.
         request: EngineAsk,
     },
-    /// Owner to entry: the answer to a seek.
+    /// Owner to entry: the answer to a slot request.
     Verdict {
-        /// The entry's counter.
+        /// The number of the run at the entry.
         run: u32,
         /// The endpoint.
         endpoint: EndpointId,
         /// The answer.
         verdict: EngineVerdict,
-        /// For how many milliseconds the engine reads what it has, this prompt included.
+        /// The time that the engine needs to read its queued prompts, this one included, in
+        /// milliseconds.
         backlog_ms: u32,
-        /// How fast the engine reads.
+        /// The reading speed of the engine.
         speed: ReadSpeed,
     },
-    /// Entry to owner: a prompt is at the endpoint that was not granted by this owner.
+    /// Entry to owner: a prompt was sent to the endpoint without a grant of this owner.
     Placed {
-        /// The entry's counter.
+        /// The number of the run at the entry.
         run: u32,
         /// The endpoint.
         endpoint: EndpointId,
         /// The prompt.
         request: EngineAsk,
-        /// Whether its first event was seen.
+        /// Whether its first event has arrived.
         started: bool,
     },
-    /// Entry to owner: these shared parts were read at the endpoint lately.
+    /// Entry to owner: the endpoint has recently read these shared parts of prompts.
     PartsRead {
         /// The endpoint.
         endpoint: EndpointId,
-        /// The shared parts of a prompt.
+        /// The shared parts.
         parts: Vec<PromptPart>,
     },
-    /// Entry to owner: the first event of a run was seen.
+    /// Entry to owner: the first event of a run has arrived.
     Started {
-        /// The entry's counter.
+        /// The number of the run at the entry.
         run: u32,
         /// The endpoint.
         endpoint: EndpointId,
     },
-    /// Entry to owner: a run has ended, or was granted and not used.
+    /// Entry to owner: a run has ended, or its grant was not used.
     Ended {
-        /// The entry's counter.
+        /// The number of the run at the entry.
         run: u32,
         /// The endpoint.
         endpoint: EndpointId,
     },
-    /// Entry to owner: an answer of the endpoint said that it leaves.
+    /// Entry to owner: the endpoint announced in an answer that it is leaving.
     EndpointLeaving {
         /// The endpoint.
         endpoint: EndpointId,
     },
-    /// To boxes that pass it on, and in answer to a beat: requests under which endpoints have
-    /// ended.
+    /// To boxes that relay it, and in answer to a heartbeat: requests during which endpoints ended.
     Suspects {
-        /// What happened to them.
+        /// The events of these requests.
         rows: Vec<SuspectRow>,
     },
 }
 
 impl GatewayMessage {
-    /// Returns the kind of the message, for counters.
+    /// Returns the kind of the message, used in metrics.
     pub const fn kind(&self) -> &'static str {
         match self {
             Self::Heartbeat { .. } => "beat",
@@ -149,24 +151,24 @@
     }
 }
 
-/// Asks a box what it knows: the configuration or the endpoints, never both.
+/// A request for the state of a box: either its configuration or its endpoints.
 ///
-/// A notice that an endpoint leaves is some bytes and is due within seconds; a configuration may be
-/// a megabyte. In one answer the small one waits for the large one, and is lost with it.
+/// The two are never combined: news of a leaving endpoint is small and urgent, and must not wait
+/// for a large configuration or be lost with it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StateRequest {
-    /// The version of the configuration that the asking box has.
+    /// The version of the configuration at the requesting box.
     pub config_version: u64,
-    /// The store's revision up to which it knows the endpoints.
+    /// The store revision up to which that box knows the endpoints.
     pub endpoint_revision: StoreRevision,
 }
 
 impl StateRequest {
-    /// Newer than anything, so that it is not told.
+    /// Newer than any existing state, so that this kind of state is not returned.
     const NO_CONFIG: u64 = u64::MAX;
     const NO_ENDPOINTS: StoreRevision = StoreRevision::LATEST;
 
-    /// Asks for a configuration that is newer than this version.
+    /// Requests a configuration newer than this version.
     pub const fn config(version: u64) -> Self {
         Self {
             config_version: version,
@@ -174,7 +176,7 @@
         }
     }
 
-    /// Asks what changed of the endpoints after this revision; for all of them with none.
+    /// Requests the changes of endpoints since a revision; all endpoints if the revision is `NONE`.
     pub const fn endpoints(revision: StoreRevision) -> Self {
         Self {
             config_version: Self::NO_CONFIG,
@@ -183,12 +185,12 @@
     }
 }
 
-/// What a box knows beyond the one that asks; `C` is the form of the configuration.
+/// The state that the requesting box lacks; `C` is the representation of the configuration.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct StateAnswer<C = RouteConfig> {
-    /// Its configuration, if that is newer.
+    /// The configuration, if it is newer.
     pub config: Option<C>,
-    /// What changed of the endpoints, if it knows more of them.
+    /// The changes of the endpoints, if there are any.
     pub endpoints: Option<EndpointNews>,
 }
 
--- a/dockgate-proto/src/gateway/tests.rs
+++ b/dockgate-proto/src/gateway/tests.rs
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_datagram_comes_back_as_it_was() {
+fn datagrams_survive_a_round_trip() {
     for message in messages() {
         let sent = datagram(message);
         let bytes = sent.encode().unwrap();
@@ -53,15 +53,14 @@
     }
 }
 
-/// Boxes of the version before read a datagram without looking for its form, and send theirs
-/// without.
+/// Guards against datagrams accepted across formats, the one without a prefix included.
 #[test]
-fn boxes_of_another_version_take_nothing_of_each_other() {
+fn datagrams_of_other_formats_are_rejected() {
     for message in messages() {
         let sent = datagram(message);
         let bytes = sent.encode().unwrap();
         assert!(postcard::from_bytes::<GatewayDatagram>(&bytes).is_err());
-        let before = postcard::to_stdvec(&sent).unwrap();
-        assert!(GatewayDatagram::decode(&before).is_err());
+        let unprefixed = postcard::to_stdvec(&sent).unwrap();
+        assert!(GatewayDatagram::decode(&unprefixed).is_err());
     }
 }
