--- a/dockgate-core/src/gateway/endpoint_book.rs
+++ b/dockgate-core/src/gateway/endpoint_book.rs
@@ -176,7 +176,7 @@
         match known.and_then(|id| self.endpoints.get(id)) {
             Some(entry) => LastLife {
                 revision: entry.newest_revision(),
-                born_ms: entry.record.born_ms,
+                born_ms: entry.record.started_ms,
             },
             None => self.memory.removed(name),
         }
@@ -209,7 +209,7 @@
             return false;
         }
         let last = self.last_life(name);
-        let order = record.born_ms.cmp(&last.born_ms);
+        let order = record.started_ms.cmp(&last.born_ms);
         match order {
             Ordering::Less if revision.era > last.revision.era => {
                 self.memory.set_aside_returned(record, revision);
@@ -245,7 +245,7 @@
     fn end_life(&mut self, name: EndpointName, revision: StoreRevision) -> Option<EndpointEntry> {
         let id = self.lives.remove(&name);
         let ended = id.and_then(|id| self.endpoints.remove(&id));
-        let born_ms = ended.as_ref().and_then(|ended| ended.record.born_ms);
+        let born_ms = ended.as_ref().and_then(|ended| ended.record.started_ms);
         self.memory
             .note_removed(name, LastLife { revision, born_ms });
         ended
--- a/dockgate-core/src/gateway/endpoint_book/era_tests.rs
+++ b/dockgate-core/src/gateway/endpoint_book/era_tests.rs
@@ -38,7 +38,7 @@
             Some(state) => {
                 let record = EndpointRecord {
                     id: format!("e{at}"),
-                    born_ms: Some(endpoint.born_ms),
+                    started_ms: Some(endpoint.born_ms),
                     service: "x".to_owned(),
                     address: "10.0.0.1:80".parse().unwrap(),
                     domain: "a".to_owned(),
--- a/dockgate-core/src/gateway/endpoint_book/life_memory.rs
+++ b/dockgate-core/src/gateway/endpoint_book/life_memory.rs
@@ -104,7 +104,7 @@
     pub(super) fn is_returned(&self, record: &EndpointRecord, revision: StoreRevision) -> bool {
         let name = record.name();
         let had_left = self.removed.get(&name).is_some_and(|removed| {
-            removed.revision.era < revision.era && removed.born_ms == record.born_ms
+            removed.revision.era < revision.era && removed.born_ms == record.started_ms
         });
         let aside = self.aside.get(&name);
         let is_written = aside
--- a/dockgate-core/src/gateway/endpoint_book/life_tests.rs
+++ b/dockgate-core/src/gateway/endpoint_book/life_tests.rs
@@ -14,7 +14,7 @@
 fn life(number: u64, state: EndpointState) -> EndpointRecord {
     EndpointRecord {
         id: "e".to_owned(),
-        born_ms: Some(FIRST + number * 5_000),
+        started_ms: Some(FIRST + number * 5_000),
         service: "x".to_owned(),
         address: "10.0.0.1:80".parse().unwrap(),
         domain: "a".to_owned(),
@@ -131,7 +131,7 @@
 #[test]
 fn an_endpoint_that_does_not_say_when_it_started_is_used() {
     let silent = EndpointRecord {
-        born_ms: None,
+        started_ms: None,
         ..life(1, EndpointState::Ready)
     };
     let id = silent.key();
@@ -288,7 +288,7 @@
                     sent[at].clear();
                     continue;
                 };
-                let born_ms = entry.record.born_ms.unwrap();
+                let born_ms = entry.record.started_ms.unwrap();
                 prop_assert!(born_ms >= newest[at], "box {at} went back");
                 newest[at] = born_ms;
                 sent[at].retain(|sent| *sent == id);
--- a/dockgate-core/src/gateway/endpoint_book/notice_tests.rs
+++ b/dockgate-core/src/gateway/endpoint_book/notice_tests.rs
@@ -14,7 +14,7 @@
 fn record(born_ms: u64, state: EndpointState) -> EndpointRecord {
     EndpointRecord {
         id: "e".to_owned(),
-        born_ms: Some(born_ms),
+        started_ms: Some(born_ms),
         service: "x".to_owned(),
         address: "10.0.0.1:80".parse().unwrap(),
         domain: "a".to_owned(),
--- a/dockgate-core/src/gateway/endpoint_book/tests.rs
+++ b/dockgate-core/src/gateway/endpoint_book/tests.rs
@@ -9,7 +9,7 @@
 fn record(id: &str, state: EndpointState) -> EndpointRecord {
     EndpointRecord {
         id: id.to_owned(),
-        born_ms: None,
+        started_ms: None,
         service: "x".to_owned(),
         address: "10.0.0.1:80".parse().unwrap(),
         domain: "a".to_owned(),
--- a/dockgate-core/src/gateway/fleet_view/store_tests.rs
+++ b/dockgate-core/src/gateway/fleet_view/store_tests.rs
@@ -41,7 +41,7 @@
     sent_ms: Option<u64>,
     behind_since_ms: Option<u64>,
     /// Whether the store answers this box.
-    is_store_reachable: bool,
+    gets_answers: bool,
 }
 
 impl StoreClient {
@@ -60,7 +60,7 @@
             probe_ms: 0,
             sent_ms: None,
             behind_since_ms: None,
-            is_store_reachable: true,
+            gets_answers: true,
         }
     }
 }
@@ -159,7 +159,7 @@
             None if client.probes && client.probe_ms <= now => client.sent_ms = Some(now),
             None => {}
             Some(sent_ms) => {
-                let answered = client.is_store_reachable && now >= sent_ms + RESPONSE_MS;
+                let answered = client.gets_answers && now >= sent_ms + RESPONSE_MS;
                 if !answered && now < sent_ms + timing.timeout_ms {
                     return;
                 }
@@ -188,7 +188,7 @@
         if !client.follows || client.watch_ms > now {
             return;
         }
-        match (client.has_listed, client.is_store_reachable) {
+        match (client.has_listed, client.gets_answers) {
             (false, true) => {
                 client.known = newest;
                 client.has_listed = true;
@@ -289,7 +289,7 @@
         let mut store = SimulatedStore::new(count, domains, seed);
         store.run(4_000, false);
         for index in 0..count {
-            store.clients[index].is_store_reachable = store.random.draw(10) >= silent_tenths;
+            store.clients[index].gets_answers = store.random.draw(10) >= silent_tenths;
         }
         let after_ms = store.random.draw(1_500);
         store.run(after_ms, true);
@@ -314,14 +314,15 @@
         };
         store.run(detection_ms, true);
         let reachable: Vec<usize> = (0..count)
-            .filter(|index| store.clients[*index].is_store_reachable && store.fleet.boxes[*index].is_up)
+            .filter(|index| store.clients[*index].gets_answers && store.fleet.boxes[*index].is_up)
             .collect();
         for _ in 0..60 {
             store.run(100, true);
             let partitions = reachable.iter().map(|index| store.fleet.boxes[*index].partition);
             let partitions: BTreeSet<u8> = partitions.collect();
             let up = (0..count).filter(|index| store.fleet.boxes[*index].is_up);
-            let reached = up.filter(|index| partitions.contains(&store.fleet.boxes[*index].partition));
+            let reached =
+                up.filter(|index| partitions.contains(&store.fleet.boxes[*index].partition));
             reached.for_each(|index| store.check_staleness(index));
         }
     }
--- a/dockgate-core/src/gateway/route_table.rs
+++ b/dockgate-core/src/gateway/route_table.rs
@@ -75,8 +75,8 @@
     pub id: String,
     /// When this lifetime started, in Unix milliseconds by the endpoint's clock; `None` if it is
     /// not reported.
-    #[serde(default)]
-    pub born_ms: Option<u64>,
+    #[serde(default, rename = "born_ms")]
+    pub started_ms: Option<u64>,
     /// The service that it belongs to.
     pub service: String,
     /// The address at which it listens.
@@ -94,7 +94,7 @@
 impl EndpointRecord {
     /// Returns the key of this lifetime.
     pub fn key(&self) -> EndpointId {
-        EndpointId::of_lifetime(&self.id, self.born_ms)
+        EndpointId::of_lifetime(&self.id, self.started_ms)
     }
 
     /// Returns the key of its id.
--- a/dockgate/src/gateway/events.rs
+++ b/dockgate/src/gateway/events.rs
@@ -271,7 +271,7 @@
         match record.state {
             EndpointState::Ready => Self::EndpointReady {
                 endpoint,
-                born_ms: record.born_ms,
+                born_ms: record.started_ms,
                 service: &record.service,
                 domain: &record.domain,
                 revision,
