--- a/dockgate-core/src/gateway/fleet_view.rs
+++ b/dockgate-core/src/gateway/fleet_view.rs
@@ -24,7 +24,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BoxChange {
     /// The box was already known to be alive.
-    Unchanged,
+    None,
     /// The box is new, or was considered gone.
     Joined,
     /// The box restarted and lost its state.
@@ -194,25 +194,23 @@
     /// domain may have changed.
     fn record(&mut self, report: LivenessReport, now_ms: u64) -> (BoxChange, bool) {
         if report.key == self.me() {
-            return (BoxChange::Unchanged, false);
+            return (BoxChange::None, false);
         }
         let peer = self.others.get(&report.key);
         let change = match peer {
             // Too old to show that the box is alive.
-            None if report.at_ms + Self::GONE_AFTER_MS < now_ms => {
-                return (BoxChange::Unchanged, false);
-            }
+            None if report.at_ms + Self::GONE_AFTER_MS < now_ms => return (BoxChange::None, false),
             None => BoxChange::Joined,
             // A late report may restore the previous incarnation; the next heartbeat corrects that.
             Some(peer) if peer.incarnation != report.incarnation => {
                 match report.at_ms > peer.last_seen_ms {
                     true => BoxChange::Restarted,
-                    false => return (BoxChange::Unchanged, false),
+                    false => return (BoxChange::None, false),
                 }
             }
             Some(peer) if report.sequence <= peer.sequence => return self.fill_gaps(report),
             Some(peer) if self.gone_ms(peer) < now_ms => BoxChange::Joined,
-            Some(_) => BoxChange::Unchanged,
+            Some(_) => BoxChange::None,
         };
         let rank_changed = peer.is_none_or(|peer| {
             let ranks_by = |of: BoxStatus| (of.leaving, of.behind, of.processor);
@@ -248,14 +246,14 @@
     /// Fills in missing data from a report that is not newer.
     fn fill_gaps(&mut self, report: LivenessReport) -> (BoxChange, bool) {
         let Some(peer) = self.others.get_mut(&report.key) else {
-            return (BoxChange::Unchanged, false);
+            return (BoxChange::None, false);
         };
         let rank_changed = peer.address.is_none() && report.address.is_some();
         peer.address = peer.address.or(report.address);
         if peer.heartbeat.is_none() {
             peer.heartbeat = report.heartbeat;
         }
-        (BoxChange::Unchanged, rank_changed)
+        (BoxChange::None, rank_changed)
     }
 
     /// Sorts the boxes of each domain by precedence as coordinators: boxes that keep up first, then
--- a/dockgate-core/src/gateway/fleet_view/digest.rs
+++ b/dockgate-core/src/gateway/fleet_view/digest.rs
@@ -46,7 +46,7 @@
             let key = report.key;
             let (change, rank_changed) = self.record(report, now_ms);
             needs_ranking |= rank_changed;
-            if change != BoxChange::Unchanged {
+            if change != BoxChange::None {
                 changed.push((key, change));
             }
         }
--- a/dockgate-core/src/gateway/fleet_view/tests.rs
+++ b/dockgate-core/src/gateway/fleet_view/tests.rs
@@ -42,7 +42,7 @@
     view.receive_heartbeat(heartbeat("a3", "a"), Incarnation(1), 1_000);
     assert_eq!(
         view.receive_heartbeat(heartbeat("a2", "a").sequence(2), Incarnation(1), 1_500),
-        BoxChange::Unchanged
+        BoxChange::None
     );
     assert_eq!(view.expire(2_000, 2_200), vec![BoxKey::from_name("a3")]);
     assert_eq!(view.expire(2_200, 2_400), Vec::new());
--- a/dockgate/src/gateway/membership.rs
+++ b/dockgate/src/gateway/membership.rs
@@ -286,7 +286,7 @@
     take_news(state, &[(peer, news)]);
     answer_beat(state, from, is_near);
     if is_near {
-        quarantine::tell_one(state, from, news != BoxChange::Unchanged);
+        quarantine::tell_one(state, from, news != BoxChange::None);
     }
 }
 
@@ -325,9 +325,7 @@
 /// engines what they may not know.
 fn take_news(state: &GatewayState, news: &[(BoxKey, BoxChange)]) {
     let now = now_ms();
-    let changed = news
-        .iter()
-        .filter(|(_, news)| *news != BoxChange::Unchanged);
+    let changed = news.iter().filter(|(_, news)| *news != BoxChange::None);
     let mut seen = Vec::new();
     for (peer, news) in changed {
         let told = state.with(|beliefs| {
