--- a/dockgate-core/src/gateway/fleet_view.rs
+++ b/dockgate-core/src/gateway/fleet_view.rs
@@ -391,7 +391,7 @@
     }
 
     /// Returns whether this box coordinates its failure domain.
-    pub fn coordinates(&self, now_ms: u64) -> bool {
+    pub fn is_coordinator(&self, now_ms: u64) -> bool {
         let me = self.me();
         self.coordinators_of(self.own_domain, now_ms)
             .any(|key| key == me)
@@ -411,7 +411,7 @@
             let silent = ranks.filter(|key| !self.is_responsive(**key, now_ms));
             silent.copied().collect::<Vec<BoxKey>>()
         };
-        let targets = match (live.is_empty(), self.coordinates(now_ms)) {
+        let targets = match (live.is_empty(), self.is_coordinator(now_ms)) {
             // Twice as many, since the former coordinators are probably gone.
             (true, _) => silent().into_iter().take(2 * Self::COORDINATORS).collect(),
             (false, false) => live,
--- a/dockgate-core/src/gateway/fleet_view/fleet_tests.rs
+++ b/dockgate-core/src/gateway/fleet_view/fleet_tests.rs
@@ -112,13 +112,13 @@
         let heartbeat = member.view.own().clone();
         let mut targets = member.view.heartbeat_targets(now, random);
         // The first two boxes are the seeds.
-        let coordinates = member.view.coordinates(now);
+        let is_coordinator = member.view.is_coordinator(now);
         if !member.view.has_live_domain_peer(now)
-            || (coordinates && member.view.remote_coordinators(now).is_empty())
+            || (is_coordinator && member.view.remote_coordinators(now).is_empty())
         {
             targets.extend([address_of(0), address_of(1)]);
         }
-        let remote = coordinates.then(|| {
+        let remote = is_coordinator.then(|| {
             member.view.advance_sequence(now);
             member.rounds += 1;
             let scope = match member.rounds % FleetView::FULL_DIGEST_INTERVAL {
--- a/dockgate-core/src/gateway/fleet_view/store_tests.rs
+++ b/dockgate-core/src/gateway/fleet_view/store_tests.rs
@@ -208,7 +208,7 @@
     fn on_store_update(&mut self, index: usize, now: u64) {
         self.clients[index].watch_ms = now + WATCH_INTERVAL_MS;
         self.publish_store_proof(index);
-        if !self.fleet.boxes[index].view.coordinates(now) {
+        if !self.fleet.boxes[index].view.is_coordinator(now) {
             self.fleet.boxes[index].next_heartbeat_ms = now;
         }
     }
--- a/dockgate/src/gateway/gateway_gauges.rs
+++ b/dockgate/src/gateway/gateway_gauges.rs
@@ -89,7 +89,7 @@
         self.config_age_ms.set(state.config_age_ms() as i64);
         self.endpoints_age_ms.set(state.endpoints_age_ms() as i64);
         state.with(|beliefs| {
-            let coordinates = beliefs.fleet.coordinates(now);
+            let coordinates = beliefs.fleet.is_coordinator(now);
             self.coordinates.set(i64::from(coordinates));
             let taken_part = beliefs.shed.taken_part();
             self.taken_part.set((taken_part * 1_000.0) as i64);
--- a/dockgate/src/gateway/gateway_state/store_reach.rs
+++ b/dockgate/src/gateway/gateway_state/store_reach.rs
@@ -95,7 +95,7 @@
 
     /// Tells whether this box coordinates its failure domain.
     pub(in super::super) fn coordinates(&self) -> bool {
-        self.with(|beliefs| beliefs.fleet.coordinates(now_ms()))
+        self.with(|beliefs| beliefs.fleet.is_coordinator(now_ms()))
     }
 
     /// Returns how long ago a box of this domain was last heard by the store, in milliseconds.
--- a/dockgate/src/gateway/membership.rs
+++ b/dockgate/src/gateway/membership.rs
@@ -76,8 +76,8 @@
     let is_due = state.with(|beliefs| {
         let fleet = &beliefs.fleet;
         let lonely = !fleet.has_live_domain_peer(now_ms);
-        let alone = || fleet.coordinates(now_ms) && fleet.remote_coordinators(now_ms).is_empty();
-        let looks = || fleet.coordinates(now_ms) && rand::random_bool(SEEDS_PART);
+        let alone = || fleet.is_coordinator(now_ms) && fleet.remote_coordinators(now_ms).is_empty();
+        let looks = || fleet.is_coordinator(now_ms) && rand::random_bool(SEEDS_PART);
         lonely || alone() || looks()
     });
     if !is_due {
@@ -95,7 +95,7 @@
 fn send_far_digests(state: &GatewayState, scope: DigestScope) {
     let now = now_ms();
     let due = state.with(|beliefs| {
-        if !beliefs.fleet.coordinates(now) {
+        if !beliefs.fleet.is_coordinator(now) {
             return None;
         }
         let targets = beliefs.fleet.remote_coordinators(now);
--- a/dockgate/src/gateway/quarantine.rs
+++ b/dockgate/src/gateway/quarantine.rs
@@ -95,7 +95,7 @@
         let rows = beliefs.suspects.rows(is_whole, now);
         let draw = rand::random_range(0..usize::MAX);
         let mut to = beliefs.fleet.heartbeat_targets(now, draw);
-        if beliefs.fleet.coordinates(now) {
+        if beliefs.fleet.is_coordinator(now) {
             to.extend(beliefs.fleet.remote_coordinators(now));
         }
         (!rows.is_empty()).then_some((rows, to))
