--- a/dockgate-core/src/gateway/jump_tests.rs
+++ b/dockgate-core/src/gateway/jump_tests.rs
@@ -111,7 +111,7 @@
 
     fn jump(&mut self, ms: u64) {
         self.now_ms += ms;
-        self.gate.resume(self.now_ms);
+        self.gate.close(self.now_ms);
         let change = self.look(ms);
         assert_ne!(change, LagChange::Overloaded, "one pause is no overload");
     }
--- a/dockgate-core/src/gateway/resume_gate.rs
+++ b/dockgate-core/src/gateway/resume_gate.rs
@@ -10,7 +10,7 @@
 //!
 //! let mut gate = ResumeGate::default();
 //! assert!(gate.is_open(None, 1_000));
-//! gate.resume(6_000);
+//! gate.close(6_000);
 //! assert!(!gate.is_open(Some(1_000), 6_010));
 //! assert!(gate.is_open(Some(6_200), 6_210));
 //! ```
@@ -34,7 +34,7 @@
     const MAX_PROOF_DELAY_MS: u64 = 150;
 
     /// Closes the gate after the box has resumed.
-    pub const fn resume(&mut self, now_ms: u64) {
+    pub const fn close(&mut self, now_ms: u64) {
         self.resumed_ms = Some(now_ms);
     }
 
--- a/dockgate/src/gateway/gateway_state/store_reach.rs
+++ b/dockgate/src/gateway/gateway_state/store_reach.rs
@@ -26,7 +26,7 @@
 
     /// Forgets that the store was heard: the box was away since, and what it follows there is listed anew.
     pub(in super::super) fn forget_reach(&mut self, now_ms: u64) {
-        self.gate.resume(now_ms);
+        self.gate.close(now_ms);
         self.reached.clear();
         self.probe.pause();
         self.tell_reach();
