--- a/dockgate-core/src/gateway.rs
+++ b/dockgate-core/src/gateway.rs
@@ -1,8 +1,8 @@
-//! Decisions for requests that are routed by host and path to the endpoints of a service.
+//! Decisions about requests that are routed by host and path to the endpoints of a service.
 //!
-//! A service is either *plain* (an application with a few places) or a set of *model engines* that
-//! batch, cache prompts and serve in order of arrival. Everything here is fed with events and the
-//! time; the daemon around it does the I/O.
+//! A service is either *plain* (an application with a few slots) or a set of *model engines* that
+//! batch requests, cache prompts and serve in order of arrival. This module does no I/O: the daemon
+//! passes in events and the current time.
 //!
 //! ```
 //! use dockgate_core::gateway::{PromptPart, PromptShape};
@@ -19,9 +19,9 @@
 
 mod admission;
 mod answer_rule;
-mod box_beat;
+mod box_heartbeat;
 mod decaying_usage;
-mod domain_reach;
+mod domain_reachability;
 mod endpoint_book;
 mod endpoint_health;
 mod endpoint_notice;
@@ -41,6 +41,7 @@
 mod read_log;
 mod read_model;
 mod request_fingerprint;
+mod resume_gate;
 mod retry_budget;
 mod return_time;
 mod route_table;
@@ -49,20 +50,19 @@
 mod share_reports;
 mod share_tally;
 mod share_tracker;
-mod store_duty;
+mod store_follower;
 mod store_probe;
 mod store_revision;
 mod suspect_registry;
-mod wake_gate;
 mod watch_check;
 
 pub use admission::{AdmissionRule, EngineVerdict};
 pub use answer_rule::{AnswerOwner, AnswerSigns, AnswerVerdict};
-pub use box_beat::{
-    BoxBeat, BoxKnowledge, BoxReport, BoxRow, BoxStanding, DigestScope, DomainKey, FleetDigest,
+pub use box_heartbeat::{
+    BoxHeartbeat, BoxReport, BoxStatus, BoxSummary, DigestScope, DomainKey, FleetDigest, StateKind,
 };
 pub use decaying_usage::UsageRow;
-pub use domain_reach::DomainReach;
+pub use domain_reachability::DomainReachability;
 pub use endpoint_book::{
     EndpointBook, EndpointChange, EndpointEntry, EndpointNews, ExpiredNews, LearnedNews,
     ReadyEndpoint, RemovedEndpoint, ServiceOutlook, ToldDoubt, ToldEndpoint,
@@ -73,7 +73,7 @@
 pub use engine_load::{EngineLoad, EngineRun};
 pub use era_book::{EraBook, EraNews};
 pub use event_splitter::{EventSplitter, SplitEvent};
-pub use fleet_view::{BoxNews, FleetView, InformedBox};
+pub use fleet_view::{BoxChange, FleetView, StateSource};
 pub use home_order::{best_homes, home_subject, name_hash, owner_of_endpoint};
 pub use interruption_tracker::{InterruptionStatus, InterruptionTracker};
 pub use load_shedder::LoadShedder;
@@ -84,6 +84,7 @@
 pub use read_log::{DueReads, ReadLog};
 pub use read_model::{PromptWork, ReadModel, ReadSample, ReadSpeed};
 pub use request_fingerprint::{FingerprintInput, InvalidFingerprint, RequestFingerprint};
+pub use resume_gate::ResumeGate;
 pub use retry_budget::{RetryBudget, RetryRule};
 pub use return_time::{ReturnCause, return_time};
 pub use route_table::{
@@ -95,13 +96,12 @@
 pub use share_reports::{ShareHeader, ShareScope, ShareSource};
 pub use share_tally::{ShareOutcome, ShareTally, TallyRow};
 pub use share_tracker::ShareTracker;
-pub use store_duty::{OwnReach, StoreDuty, StoreWatchers};
-pub use store_probe::{ProbeNews, ProbeRule, StoreProbe};
+pub use store_follower::{StoreAccess, StoreFollower, StoreWatchers};
+pub use store_probe::{ProbeChange, ProbeTiming, StoreProbe};
 pub use store_revision::StoreRevision;
 pub use suspect_registry::{
     Quarantine, QuarantineChange, QuarantineStage, SuspectEvent, SuspectRegistry, SuspectReport,
 };
-pub use wake_gate::WakeGate;
 pub use watch_check::WatchCheck;
 
 #[cfg(test)]
--- a/dockgate-core/src/gateway/endpoint_book/era_tests.rs
+++ b/dockgate-core/src/gateway/endpoint_book/era_tests.rs
@@ -38,7 +38,7 @@
             Some(state) => {
                 let record = EndpointRecord {
                     id: format!("e{at}"),
-                    born_ms: Some(endpoint.born_ms),
+                    started_ms: Some(endpoint.born_ms),
                     service: "x".to_owned(),
                     address: "10.0.0.1:80".parse().unwrap(),
                     domain: "a".to_owned(),
@@ -274,7 +274,7 @@
             endpoint.state == Some(EndpointState::Ready)
         });
         let ready: BTreeSet<EndpointId> = ready
-            .map(|(at, endpoint)| EndpointId::of_life(&format!("e{at}"), Some(endpoint.born_ms)))
+            .map(|(at, endpoint)| EndpointId::of_lifetime(&format!("e{at}"), Some(endpoint.born_ms)))
             .collect();
         for (at, known) in boxes.iter().enumerate() {
             prop_assert_eq!(&known.ready(), &ready, "box {}", at);
--- a/dockgate-core/src/gateway/fleet_view/digest.rs
+++ b/dockgate-core/src/gateway/fleet_view/digest.rs
@@ -1,83 +1,92 @@
-//! What a box passes on of the fleet, and what it takes in of what others pass on.
+//! Creates and processes digests of the fleet.
 
-use super::super::box_beat::{BoxReport, BoxRow, DigestScope, DomainKey, FleetDigest};
-use super::seen_box::BoxSign;
-use super::{BoxNews, FleetView, ToldCount};
+use super::super::box_heartbeat::{BoxReport, BoxSummary, DigestScope, DomainKey, FleetDigest};
+use super::peer_box::LivenessReport;
+use super::{BoxChange, FleetView, ReportedCount};
 use crate::ids::{BoxKey, Incarnation};
 use std::collections::BTreeMap;
 
 impl FleetView {
-    /// Takes a digest in; returns the boxes that it brings news of, the sender among them.
-    pub fn hear_digest(
+    /// Processes a digest and returns the boxes that changed, the sender included.
+    pub fn receive_digest(
         &mut self,
         digest: FleetDigest,
         incarnation: Incarnation,
         now_ms: u64,
-    ) -> Vec<(BoxKey, BoxNews)> {
+    ) -> Vec<(BoxKey, BoxChange)> {
         let sender = digest.sender.key();
-        let count = ToldCount {
+        let count = ReportedCount {
             live: digest.live,
             known: digest.known,
             at_ms: now_ms,
         };
-        self.told.insert(sender, count);
+        self.reported_counts.insert(sender, count);
         let domain = DomainKey::from_name(&digest.sender.domain);
-        self.note_domain(&digest.sender.domain);
-        let mut signs = vec![BoxSign::of_beat(digest.sender, incarnation, now_ms)];
-        for report in digest.coordinators {
-            self.note_domain(&report.beat.domain);
-            let at_ms = now_ms.saturating_sub(u64::from(report.age_ms));
-            signs.push(BoxSign::of_beat(report.beat, report.incarnation, at_ms));
+        self.record_domain(&digest.sender.domain);
+        let mut reports = vec![LivenessReport::from_heartbeat(
+            digest.sender,
+            incarnation,
+            now_ms,
+        )];
+        for entry in digest.coordinators {
+            self.record_domain(&entry.heartbeat.domain);
+            let at_ms = now_ms.saturating_sub(u64::from(entry.age_ms));
+            reports.push(LivenessReport::from_heartbeat(
+                entry.heartbeat,
+                entry.incarnation,
+                at_ms,
+            ));
         }
-        let rows = digest.members.iter();
-        signs.extend(rows.map(|row| BoxSign::of_row(row, domain, now_ms)));
+        let summaries = digest.members.iter();
+        reports
+            .extend(summaries.map(|summary| LivenessReport::from_summary(summary, domain, now_ms)));
         let mut changed = Vec::new();
-        let mut moves = false;
-        for sign in signs {
-            let key = sign.key;
-            let (news, moved) = self.note(sign, now_ms);
-            moves |= moved;
-            if news != BoxNews::None {
-                changed.push((key, news));
+        let mut needs_ranking = false;
+        for report in reports {
+            let key = report.key;
+            let (change, rank_changed) = self.record(report, now_ms);
+            needs_ranking |= rank_changed;
+            if change != BoxChange::None {
+                changed.push((key, change));
             }
         }
-        if moves {
+        if needs_ranking {
             self.rank();
         }
         changed
     }
 
-    /// Makes what this box passes on of the fleet.
+    /// Creates the digest of the fleet for the given scope.
     pub fn digest(&self, scope: DigestScope, now_ms: u64) -> FleetDigest {
-        // Each coordinator of a domain tells others of itself.
-        let (tells_all, lists) = match scope {
-            DigestScope::Near => (true, true),
-            DigestScope::Far => (false, false),
-            DigestScope::FarList => (false, true),
-            DigestScope::Welcome => (true, false),
+        // Each coordinator reports itself to the other domains.
+        let (with_coordinators, with_members) = match scope {
+            DigestScope::SameDomain => (true, true),
+            DigestScope::OtherDomain => (false, false),
+            DigestScope::OtherDomainFull => (false, true),
+            DigestScope::Introduction => (true, false),
         };
-        let domains = self.ranks.keys().filter(|_| tells_all);
+        let domains = self.ranks.keys().filter(|_| with_coordinators);
         let coordinators = domains.flat_map(|domain| self.coordinators_of(*domain, now_ms));
         let reports = coordinators.filter_map(|key| {
-            let seen = self.others.get(&key)?;
+            let peer = self.others.get(&key)?;
             let report = BoxReport {
-                incarnation: seen.incarnation,
-                age_ms: seen.age_ms(now_ms),
-                beat: seen.beat.clone()?,
+                incarnation: peer.incarnation,
+                age_ms: peer.age_ms(now_ms),
+                heartbeat: peer.heartbeat.clone()?,
             };
             Some((key, report))
         });
         let reports: BTreeMap<BoxKey, BoxReport> = reports.collect();
-        let members = self.live(now_ms).filter(|(key, seen)| {
-            lists && seen.domain == self.own_domain && !reports.contains_key(key)
+        let members = self.live(now_ms).filter(|(key, peer)| {
+            with_members && peer.domain == self.own_domain && !reports.contains_key(key)
         });
-        let members = members.map(|(key, seen)| BoxRow {
+        let members = members.map(|(key, peer)| BoxSummary {
             key,
-            incarnation: seen.incarnation,
-            sequence: seen.sequence,
-            age_ms: seen.age_ms(now_ms),
-            address: seen.address.filter(|_| scope == DigestScope::Near),
-            standing: seen.standing,
+            incarnation: peer.incarnation,
+            sequence: peer.sequence,
+            age_ms: peer.age_ms(now_ms),
+            address: peer.address.filter(|_| scope == DigestScope::SameDomain),
+            status: peer.status,
         });
         let members = members.collect();
         FleetDigest {
@@ -85,8 +94,8 @@
             sender: self.own.clone(),
             coordinators: reports.into_values().collect(),
             members,
-            live: self.seen_count(now_ms),
-            known: self.remembered_count(),
+            live: self.own_live_count(now_ms),
+            known: self.own_known_count(),
         }
     }
 }
--- a/dockgate-core/src/gateway/fleet_view/store_tests.rs
+++ b/dockgate-core/src/gateway/fleet_view/store_tests.rs
@@ -1,88 +1,87 @@
-//! A fleet and a store without a network: the store falls silent for some boxes while it changes, and
-//! boxes die, freeze and are cut off. While one box of a domain is heard, all of it know each change in
-//! time.
+//! Simulates a fleet and a store without a network: the store stops answering some boxes while its
+//! data changes, and boxes die, freeze and are partitioned.
 
-use super::fleet_tests::{Fleet, Luck, index_of};
+use super::fleet_tests::{SeededRandom, SimulatedFleet, index_of};
 use super::*;
-use crate::gateway::{OwnReach, ProbeRule, StoreDuty, StoreProbe};
+use crate::gateway::{ProbeTiming, StoreAccess, StoreFollower, StoreProbe};
 use proptest::prelude::*;
 
-/// Within which time every box has to know of a change, in milliseconds.
-const BOUND_MS: u64 = 3_000;
-/// How long the store and other boxes take to answer, in milliseconds.
-const ANSWER_MS: u64 = 10;
-/// How often a box looks what its part is, how often whether others know more, and how long it pauses
-/// between changes that it watches, in milliseconds: as the daemon does.
-const ROLE_LOOK_MS: u64 = 100;
-const NEWS_LOOK_MS: u64 = 150;
-const WATCH_PAUSE_MS: u64 = 300;
-const STAND_BY_MS: u64 = 1_300;
-/// For how long a box of another domain must be ahead until it is asked.
-const FAR_PATIENCE_MS: u64 = 350;
-/// How often the store changes, in milliseconds.
-const CHANGE_MS: u64 = 500;
+/// The time within which every box must know a change, in milliseconds.
+const MAX_STALENESS_MS: u64 = 3_000;
+/// The response time of the store and of other boxes, in milliseconds.
+const RESPONSE_MS: u64 = 10;
+/// The daemon's intervals for role updates, queries to other boxes, watches and standby probes, in
+/// milliseconds.
+const ROLE_INTERVAL_MS: u64 = 100;
+const QUERY_INTERVAL_MS: u64 = 150;
+const WATCH_INTERVAL_MS: u64 = 300;
+const STANDBY_INTERVAL_MS: u64 = 1_300;
+/// How long a box of another domain must be ahead before it is queried, in milliseconds.
+const REMOTE_QUERY_DELAY_MS: u64 = 350;
+/// The interval between changes of the store, in milliseconds.
+const CHANGE_INTERVAL_MS: u64 = 500;
 
-/// What a box does about the store.
-struct StoreMember {
-    duty: StoreDuty,
+/// The store client of a simulated box.
+struct StoreClient {
+    follower: StoreFollower,
     probe: StoreProbe,
     follows: bool,
     probes: bool,
-    /// The last change that it knows of.
+    /// The number of the last known change.
     known: u64,
-    /// Whether it has listed the store since it began to follow it.
-    listed: bool,
-    /// Whether the watch that waits was made while the store heard it.
-    watch_lives: bool,
+    /// Whether the store was listed since this box began to follow it.
+    has_listed: bool,
+    /// Whether the pending watch was created while the store was reachable.
+    is_watch_valid: bool,
     role_ms: u64,
-    news_ms: u64,
+    query_ms: u64,
     watch_ms: u64,
     probe_ms: u64,
-    /// A call under way: when it was made.
+    /// When the pending probe was sent.
     sent_ms: Option<u64>,
-    behind_ms: Option<u64>,
-    /// Whether the store hears it.
-    is_heard: bool,
+    behind_since_ms: Option<u64>,
+    /// Whether the store answers this box.
+    gets_answers: bool,
 }
 
-impl StoreMember {
-    fn new(luck: &mut Luck) -> Self {
+impl StoreClient {
+    fn new(random: &mut SeededRandom) -> Self {
         Self {
-            duty: StoreDuty::default(),
+            follower: StoreFollower::default(),
             probe: StoreProbe::default(),
             follows: false,
             probes: false,
             known: 0,
-            listed: false,
-            watch_lives: false,
-            role_ms: luck.draw(ROLE_LOOK_MS),
-            news_ms: luck.draw(NEWS_LOOK_MS),
+            has_listed: false,
+            is_watch_valid: false,
+            role_ms: random.draw(ROLE_INTERVAL_MS),
+            query_ms: random.draw(QUERY_INTERVAL_MS),
             watch_ms: 0,
             probe_ms: 0,
             sent_ms: None,
-            behind_ms: None,
-            is_heard: true,
+            behind_since_ms: None,
+            gets_answers: true,
         }
     }
 }
 
-struct StoreFleet {
-    fleet: Fleet,
-    members: Vec<StoreMember>,
-    luck: Luck,
-    rule: ProbeRule,
-    /// When each change was made.
+struct SimulatedStore {
+    fleet: SimulatedFleet,
+    clients: Vec<StoreClient>,
+    random: SeededRandom,
+    timing: ProbeTiming,
+    /// The times of all changes.
     changes: Vec<u64>,
 }
 
-impl StoreFleet {
+impl SimulatedStore {
     fn new(count: usize, domains: usize, seed: u64) -> Self {
-        let mut luck = Luck(seed + 2);
+        let mut random = SeededRandom(seed + 2);
         Self {
-            fleet: Fleet::new(count, domains, 0, seed),
-            members: (0..count).map(|_| StoreMember::new(&mut luck)).collect(),
-            luck,
-            rule: ProbeRule::within(BOUND_MS),
+            fleet: SimulatedFleet::new(count, domains, 0, seed),
+            clients: (0..count).map(|_| StoreClient::new(&mut random)).collect(),
+            random,
+            timing: ProbeTiming::within(MAX_STALENESS_MS),
             changes: Vec::new(),
         }
     }
@@ -92,10 +91,10 @@
         while self.fleet.now_ms < end_ms {
             self.fleet.run(10);
             let now = self.fleet.now_ms;
-            if changing && now.is_multiple_of(CHANGE_MS) {
+            if changing && now.is_multiple_of(CHANGE_INTERVAL_MS) {
                 self.changes.push(now);
             }
-            for index in 0..self.members.len() {
+            for index in 0..self.clients.len() {
                 if self.fleet.boxes[index].is_up {
                     self.step(index, now);
                 }
@@ -105,74 +104,79 @@
 
     fn step(&mut self, index: usize, now: u64) {
         self.probe_store(index, now);
-        if self.members[index].role_ms <= now {
-            self.members[index].role_ms = now + ROLE_LOOK_MS;
-            self.decide_role(index, now);
+        if self.clients[index].role_ms <= now {
+            self.clients[index].role_ms = now + ROLE_INTERVAL_MS;
+            self.update_role(index, now);
         }
         self.watch(index, now);
-        if self.members[index].news_ms <= now {
-            self.members[index].news_ms = now + NEWS_LOOK_MS;
-            self.ask(index, now);
+        if self.clients[index].query_ms <= now {
+            self.clients[index].query_ms = now + QUERY_INTERVAL_MS;
+            self.query_peer(index, now);
         }
-        let known = self.members[index].known;
-        self.fleet.boxes[index].view.set_known(1, known.into());
+        let known = self.clients[index].known;
+        self.fleet.boxes[index].view.set_revisions(1, known.into());
     }
 
-    fn decide_role(&mut self, index: usize, now: u64) {
+    fn update_role(&mut self, index: usize, now: u64) {
         let view = &self.fleet.boxes[index].view;
         let others = view.store_watchers(now);
-        let member = &mut self.members[index];
-        let own = OwnReach {
-            follows: view.own().standing.reaches_store,
-            answered_since_ms: member.probe.answered_since_ms(),
+        let client = &mut self.clients[index];
+        let own = StoreAccess {
+            follows: view.own().status.reaches_store,
+            answered_since_ms: client.probe.answered_since_ms(),
         };
-        member.follows = member.duty.is_due(others, own, now);
-        member.probes = member.duty.probes(others, own, now);
-        if !member.follows {
-            member.listed = false;
+        client.follows = client.follower.must_follow(others, own, now);
+        client.probes = client.follower.must_probe(others, own, now);
+        if !client.follows {
+            client.has_listed = false;
         }
-        if !member.probes {
-            member.probe.pause();
-            member.sent_ms = None;
+        if !client.probes {
+            client.probe.pause();
+            client.sent_ms = None;
         }
-        self.tell_reach(index);
+        self.publish_store_proof(index);
     }
 
-    fn tell_reach(&mut self, index: usize) {
-        let member = &self.members[index];
-        let proof_ms = member.probe.proof_ms().filter(|_| member.listed);
+    fn publish_store_proof(&mut self, index: usize) {
+        let client = &self.clients[index];
+        let store_proof_ms = client.probe.proof_ms().filter(|_| client.has_listed);
         let view = &mut self.fleet.boxes[index].view;
-        let before = view.own().standing.reaches_store;
-        view.set_heard_store(proof_ms);
-        if before != proof_ms.is_some() {
-            // It says so at once.
-            self.fleet.boxes[index].next_ms = self.fleet.now_ms;
+        let before = view.own().status.reaches_store;
+        view.set_store_proof(store_proof_ms);
+        if before != store_proof_ms.is_some() {
+            // A change is announced at once.
+            self.fleet.boxes[index].next_heartbeat_ms = self.fleet.now_ms;
         }
     }
 
     fn probe_store(&mut self, index: usize, now: u64) {
-        let rule = self.rule;
-        let stand_by_ms = STAND_BY_MS - self.luck.draw(STAND_BY_MS / 2);
+        let timing = self.timing;
+        let standby_ms = STANDBY_INTERVAL_MS - self.random.draw(STANDBY_INTERVAL_MS / 2);
         let view = &self.fleet.boxes[index].view;
-        let comes_first = StoreDuty::comes_first(view.store_watchers(now));
-        let member = &mut self.members[index];
-        match member.sent_ms {
-            None if member.probes && member.probe_ms <= now => member.sent_ms = Some(now),
+        let is_primary = StoreFollower::is_primary(view.store_watchers(now));
+        let client = &mut self.clients[index];
+        match client.sent_ms {
+            None if client.probes && client.probe_ms <= now => client.sent_ms = Some(now),
             None => {}
-            Some(called) => {
-                let answered = member.is_heard && now >= called + ANSWER_MS;
-                if !answered && now < called + rule.patience_ms {
+            Some(sent_ms) => {
+                let answered = client.gets_answers && now >= sent_ms + RESPONSE_MS;
+                if !answered && now < sent_ms + timing.timeout_ms {
                     return;
                 }
-                let news = member.probe.note(answered, called);
-                member.sent_ms = None;
-                let often = comes_first || member.follows;
-                member.probe_ms = now + if often { rule.every_ms } else { stand_by_ms };
-                if news.is_some() {
-                    // A watch is made anew when the store is back.
-                    member.watch_lives = answered;
-                    member.role_ms = now;
-                    self.tell_reach(index);
+                let change = client.probe.record(answered, sent_ms);
+                client.sent_ms = None;
+                let is_active = is_primary || client.follows;
+                client.probe_ms = now
+                    + if is_active {
+                        timing.interval_ms
+                    } else {
+                        standby_ms
+                    };
+                if change.is_some() {
+                    // Watches are recreated once the store is reachable again.
+                    client.is_watch_valid = answered;
+                    client.role_ms = now;
+                    self.publish_store_proof(index);
                 }
             }
         }
@@ -180,145 +184,146 @@
 
     fn watch(&mut self, index: usize, now: u64) {
         let newest = self.changes.len() as u64;
-        let member = &mut self.members[index];
-        if !member.follows || member.watch_ms > now {
+        let client = &mut self.clients[index];
+        if !client.follows || client.watch_ms > now {
             return;
         }
-        match (member.listed, member.is_heard) {
+        match (client.has_listed, client.gets_answers) {
             (false, true) => {
-                member.known = newest;
-                member.listed = true;
-                member.watch_lives = true;
-                self.told_by_store(index, now);
+                client.known = newest;
+                client.has_listed = true;
+                client.is_watch_valid = true;
+                self.on_store_update(index, now);
             }
-            (true, true) if member.watch_lives && member.known < newest => {
-                member.known = newest;
-                self.told_by_store(index, now);
+            (true, true) if client.is_watch_valid && client.known < newest => {
+                client.known = newest;
+                self.on_store_update(index, now);
             }
-            // What it was answered meanwhile is lost.
-            (_, false) => member.watch_lives = false,
+            // Events sent in the meantime are lost.
+            (_, false) => client.is_watch_valid = false,
             _ => {}
         }
     }
 
-    fn told_by_store(&mut self, index: usize, now: u64) {
-        self.members[index].watch_ms = now + WATCH_PAUSE_MS;
-        self.tell_reach(index);
-        if !self.fleet.boxes[index].view.coordinates(now) {
-            self.fleet.boxes[index].next_ms = now;
+    fn on_store_update(&mut self, index: usize, now: u64) {
+        self.clients[index].watch_ms = now + WATCH_INTERVAL_MS;
+        self.publish_store_proof(index);
+        if !self.fleet.boxes[index].view.is_coordinator(now) {
+            self.fleet.boxes[index].next_heartbeat_ms = now;
         }
     }
 
-    fn ask(&mut self, index: usize, now: u64) {
+    fn query_peer(&mut self, index: usize, now: u64) {
         let member = &self.fleet.boxes[index];
-        let better = member
+        let source = member
             .view
-            .better_informed(BoxKnowledge::Endpoints, None, now);
-        let hears = member.view.own().standing.reaches_store;
-        let Some(better) = better else {
-            self.members[index].behind_ms = None;
+            .find_state_source(StateKind::Endpoints, None, now);
+        let reaches_store = member.view.own().status.reaches_store;
+        let Some(source) = source else {
+            self.clients[index].behind_since_ms = None;
             return;
         };
-        let since = *self.members[index].behind_ms.get_or_insert(now);
-        let patience_ms = match (hears, better.is_near) {
-            (true, _) => 2 * FAR_PATIENCE_MS,
-            (false, false) => FAR_PATIENCE_MS,
+        let since = *self.clients[index].behind_since_ms.get_or_insert(now);
+        let delay_ms = match (reaches_store, source.is_same_domain) {
+            (true, _) => 2 * REMOTE_QUERY_DELAY_MS,
+            (false, false) => REMOTE_QUERY_DELAY_MS,
             (false, true) => 0,
         };
-        let peer = index_of(better.state_address);
+        let peer = index_of(source.state_address);
         let reached = self.fleet.boxes[peer].is_up
-            && self.fleet.boxes[peer].side == self.fleet.boxes[index].side;
-        if now >= since + patience_ms && reached {
-            let told = self.members[peer].known;
-            self.members[index].known = told.max(self.members[index].known);
-            self.members[index].behind_ms = None;
+            && self.fleet.boxes[peer].partition == self.fleet.boxes[index].partition;
+        if now >= since + delay_ms && reached {
+            let received = self.clients[peer].known;
+            self.clients[index].known = received.max(self.clients[index].known);
+            self.clients[index].behind_since_ms = None;
         }
     }
 
-    /// Checks that every box that is up knows each change that is older than the bound.
-    fn check_known(&self, index: usize) {
+    /// Checks that a box knows every change older than the limit.
+    fn check_staleness(&self, index: usize) {
         let now = self.fleet.now_ms;
-        let due = self.changes.iter().filter(|at| **at + BOUND_MS < now);
-        let member = &self.fleet.boxes[index].view.own().name;
-        let known = self.members[index].known;
+        let due = self
+            .changes
+            .iter()
+            .filter(|at| **at + MAX_STALENESS_MS < now);
+        let name = &self.fleet.boxes[index].view.own().name;
+        let known = self.clients[index].known;
         assert!(
             known >= due.count() as u64,
-            "{member} knows {known} of {:?} at {now}",
+            "{name} knows {known} of {:?} at {now}",
             self.changes
         );
     }
 }
 
-/// What happens while the store is silent for some.
+/// A fault that occurs while the store answers only some boxes.
 #[derive(Debug, Clone, Copy)]
-enum BesideSilence {
-    Nothing,
-    /// Boxes that come first in each domain die.
-    FirstOnesDie,
-    /// Boxes here and there stand still.
+enum ConcurrentFault {
+    None,
+    /// The primary followers of each domain die.
+    PrimariesDie,
+    /// Some boxes freeze.
     SomeFreeze,
-    /// A domain cannot be reached by the others.
-    CutDomain,
+    /// One domain is cut off from the others.
+    DomainPartitioned,
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(12))]
 
-    /// Whichever boxes the store is silent for, and for how long: as long as it hears one of a domain
-    /// (or, where no domain is cut off, one of the fleet), each box of it knows every change in time.
-    ///
-    /// Before, with the store silent for six to nine of ten boxes: 28 and 53 requests at endpoints that
-    /// had left, on two days of 85 boxes (one run each).
+    /// Guards against requests to endpoints that have left: while the store answers one box that
+    /// others can reach, all of these must know each change in time.
     #[test]
-    fn while_one_box_is_heard_by_the_store_all_know_each_change_in_time(
+    fn changes_reach_all_boxes_while_the_store_answers_one(
         count in 6_usize..60,
         domains in 1_usize..4,
-        silent in 1_u64..10,
+        silent_tenths in 1_u64..10,
         seed in 0_u64..1_000_000,
-        beside in prop::sample::select(vec![
-            BesideSilence::Nothing,
-            BesideSilence::FirstOnesDie,
-            BesideSilence::SomeFreeze,
-            BesideSilence::CutDomain,
+        fault in prop::sample::select(vec![
+            ConcurrentFault::None,
+            ConcurrentFault::PrimariesDie,
+            ConcurrentFault::SomeFreeze,
+            ConcurrentFault::DomainPartitioned,
         ]),
     ) {
-        let mut store = StoreFleet::new(count, domains, seed);
+        let mut store = SimulatedStore::new(count, domains, seed);
         store.run(4_000, false);
         for index in 0..count {
-            store.members[index].is_heard = store.luck.draw(10) >= silent;
+            store.clients[index].gets_answers = store.random.draw(10) >= silent_tenths;
         }
-        let after_ms = store.luck.draw(1_500);
+        let after_ms = store.random.draw(1_500);
         store.run(after_ms, true);
         for index in 0..count {
-            match beside {
-                BesideSilence::FirstOnesDie if index / domains < 2 => {
+            match fault {
+                ConcurrentFault::PrimariesDie if index / domains < 2 => {
                     store.fleet.boxes[index].is_up = false;
                 }
-                BesideSilence::SomeFreeze if store.luck.draw(6) == 0 => {
+                ConcurrentFault::SomeFreeze if store.random.draw(6) == 0 => {
                     store.fleet.boxes[index].is_up = false;
                 }
-                BesideSilence::CutDomain if index % domains == 0 => {
-                    store.fleet.boxes[index].side = 1;
+                ConcurrentFault::DomainPartitioned if index % domains == 0 => {
+                    store.fleet.boxes[index].partition = 1;
                 }
                 _ => {}
             }
         }
-        // Those that died or stand still are missed after a while; what is asked holds from then on.
-        let missed_ms = match beside {
-            BesideSilence::Nothing => 0,
+        // The limit holds only once dead and frozen boxes have been detected.
+        let detection_ms = match fault {
+            ConcurrentFault::None => 0,
             _ => 2 * FleetView::GONE_AFTER_MS,
         };
-        store.run(missed_ms, true);
-        let heard: Vec<usize> = (0..count)
-            .filter(|index| store.members[*index].is_heard && store.fleet.boxes[*index].is_up)
+        store.run(detection_ms, true);
+        let reachable: Vec<usize> = (0..count)
+            .filter(|index| store.clients[*index].gets_answers && store.fleet.boxes[*index].is_up)
             .collect();
         for _ in 0..60 {
             store.run(100, true);
-            let sides = heard.iter().map(|index| store.fleet.boxes[*index].side);
-            let sides: BTreeSet<u8> = sides.collect();
+            let partitions = reachable.iter().map(|index| store.fleet.boxes[*index].partition);
+            let partitions: BTreeSet<u8> = partitions.collect();
             let up = (0..count).filter(|index| store.fleet.boxes[*index].is_up);
-            let reached = up.filter(|index| sides.contains(&store.fleet.boxes[*index].side));
-            reached.for_each(|index| store.check_known(index));
+            let reached =
+                up.filter(|index| partitions.contains(&store.fleet.boxes[*index].partition));
+            reached.for_each(|index| store.check_staleness(index));
         }
     }
 }
--- a/dockgate-core/src/gateway/interruption_tracker.rs
+++ b/dockgate-core/src/gateway/interruption_tracker.rs
@@ -9,7 +9,7 @@
 //! use dockgate_core::gateway::{EndpointId, InterruptionTracker, RequestFingerprint};
 //!
 //! let (endpoint, fingerprint) =
-//!     (EndpointId::of_life("e", Some(1)), RequestFingerprint::new([7; 16]));
+//!     (EndpointId::of_lifetime("e", Some(1)), RequestFingerprint::new([7; 16]));
 //! let mut tracker = InterruptionTracker::default();
 //! assert!(tracker.note_interruption(fingerprint, endpoint, "e", 1_000).needs_check());
 //! assert_eq!(tracker.note_ended(endpoint, 1_030), [fingerprint]);
--- a/dockgate-core/src/gateway/share_reports.rs
+++ b/dockgate-core/src/gateway/share_reports.rs
@@ -6,7 +6,7 @@
 //! duplicated report leaves no error behind, and a box that has just started is up to date after
 //! one digest.
 
-use super::box_beat::DomainKey;
+use super::box_heartbeat::DomainKey;
 use super::decaying_usage::{UsageRow, UsageTable, WorkspaceUsage, add_usage};
 use crate::ids::{BoxKey, Incarnation};
 use std::collections::{BTreeMap, HashMap};
--- a/dockgate-proto/src/gateway/tests.rs
+++ b/dockgate-proto/src/gateway/tests.rs
@@ -9,19 +9,19 @@
     }
 }
 
-fn beat() -> BoxBeat {
-    BoxBeat::new("a1", "a", "10.0.0.1:7400".parse().unwrap())
+fn beat() -> BoxHeartbeat {
+    BoxHeartbeat::new("a1", "a", "10.0.0.1:7400".parse().unwrap())
 }
 
 fn messages() -> [GatewayMessage; 4] {
     [
-        GatewayMessage::Beat {
-            beat: beat(),
+        GatewayMessage::Heartbeat {
+            heartbeat: beat(),
             shares: Vec::new(),
         },
         GatewayMessage::Digest {
             digest: FleetDigest {
-                scope: DigestScope::Far,
+                scope: DigestScope::OtherDomain,
                 sender: beat(),
                 coordinators: Vec::new(),
                 members: Vec::new(),
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_datagram_comes_back_as_it_was() {
+fn datagrams_survive_a_round_trip() {
     for message in messages() {
         let sent = datagram(message);
         let bytes = sent.encode().unwrap();
@@ -53,14 +53,14 @@
     }
 }
 
-/// Boxes of the version before read a datagram without looking for its form, and send theirs without.
+/// Guards against datagrams accepted across formats, the one without a prefix included.
 #[test]
-fn boxes_of_another_version_take_nothing_of_each_other() {
+fn datagrams_of_other_formats_are_rejected() {
     for message in messages() {
         let sent = datagram(message);
         let bytes = sent.encode().unwrap();
         assert!(postcard::from_bytes::<GatewayDatagram>(&bytes).is_err());
-        let before = postcard::to_stdvec(&sent).unwrap();
-        assert!(GatewayDatagram::decode(&before).is_err());
+        let unprefixed = postcard::to_stdvec(&sent).unwrap();
+        assert!(GatewayDatagram::decode(&unprefixed).is_err());
     }
 }
