--- a/dockgate-bench/tests/drain.rs
+++ b/dockgate-bench/tests/drain.rs
@@ -21,7 +21,7 @@
 use dockgate_bench::gateway_fleet::{GatewayFleet, route_config, wait_until};
 use dockgate_bench::standin::caller::{call, request};
 use dockgate_bench::standin::{RoutedStandIn, StoreDoor};
-use dockgate_core::gateway::{EndpointNews, StoreRevision, ToldEndpoint};
+use dockgate_core::gateway::{EndpointUpdate, ReportedEndpoint, StoreRevision};
 use dockgate_platform::{StoredValue, decode_endpoint, decode_routes};
 use dockgate_proto::StateAnswer;
 use http::StatusCode;
@@ -38,14 +38,14 @@
         .unwrap()
 }
 
-fn told(endpoint: &RoutedStandIn, state: &str, revision: u64) -> ToldEndpoint {
+fn told(endpoint: &RoutedStandIn, state: &str, revision: u64) -> ReportedEndpoint {
     let (key, value) = endpoint.record("a", state);
     let stored = StoredValue {
         key,
         revision,
         bytes: value.into(),
     };
-    ToldEndpoint {
+    ReportedEndpoint {
         record: decode_endpoint(&stored).unwrap(),
         revision: StoreRevision::new(FIRST_ERA, revision),
         doubt: None,
@@ -72,10 +72,10 @@
     let newer = 1_000;
     let knows = StateAnswer {
         config: Some(config),
-        endpoints: Some(EndpointNews {
+        endpoints: Some(EndpointUpdate {
             revision: StoreRevision::new(FIRST_ERA, newer),
             endpoints: vec![told(leaving, "draining", newer), told(staying, "ready", 1)],
-            ..EndpointNews::default()
+            ..EndpointUpdate::default()
         }),
     };
     let peer = fleet.start_peer(knows).await.unwrap();
--- a/dockgate-core/src/gateway.rs
+++ b/dockgate-core/src/gateway.rs
@@ -22,12 +22,12 @@
 mod box_beat;
 mod broken_endpoints;
 mod domain_reach;
-mod endpoint_book;
 mod endpoint_health;
 mod endpoint_notice;
+mod endpoint_registry;
 mod engine_book;
 mod engine_load;
-mod era_book;
+mod era_tracker;
 mod event_splitter;
 mod fair_taking;
 mod fleet_view;
@@ -40,7 +40,7 @@
 mod read_model;
 mod request_print;
 mod retry_budget;
-mod return_time;
+mod retry_delay;
 mod route_table;
 mod share_credit;
 mod share_level;
@@ -63,15 +63,15 @@
 };
 pub use broken_endpoints::{BreakNews, BrokenEndpoints};
 pub use domain_reach::DomainReach;
-pub use endpoint_book::{
-    EndpointBook, EndpointChange, EndpointEntry, EndpointNews, ExpiredNews, LearnedNews,
-    ReadyEndpoint, RemovedEndpoint, ServiceOutlook, ToldDoubt, ToldEndpoint,
-};
 pub use endpoint_health::{EndpointHealth, EndpointSign};
 pub use endpoint_notice::EndpointNotice;
+pub use endpoint_registry::{
+    EndpointChange, EndpointEntry, EndpointRegistry, EndpointUpdate, ExpiryChanges, MergeOutcome,
+    ReadyEndpoint, RemovedEndpoint, ReportedEndpoint, ServiceAvailability, UnconfirmedRecord,
+};
 pub use engine_book::{AskTimes, EngineAsk, EngineBook, RunKey};
 pub use engine_load::{EngineLoad, EngineRun};
-pub use era_book::{EraBook, EraNews};
+pub use era_tracker::{EraChange, EraTracker};
 pub use event_splitter::{EventSplitter, SplitEvent};
 pub use fleet_view::{BoxNews, FleetView, InformedBox};
 pub use home_order::{best_homes, home_subject, name_hash, owner_of_endpoint};
@@ -83,7 +83,7 @@
 pub use read_model::{PromptWork, ReadModel, ReadSample, ReadSpeed};
 pub use request_print::{BadPrint, PrintSource, RequestPrint};
 pub use retry_budget::{RetryBudget, RetryRule};
-pub use return_time::{ReturnCause, return_time};
+pub use retry_delay::{RetryCause, retry_delay};
 pub use route_table::{
     AnswerForm, EndpointId, EndpointName, EndpointRecord, EndpointState, EngineSpec, GatewayLimits,
     RouteConfig, RouteKey, RouteSpec, RouteTable, ServiceKey, ServiceSpec, ServiceWeight,
@@ -105,4 +105,4 @@
 pub use work_shed::WorkShed;
 
 #[cfg(test)]
-mod jump_tests;
+mod clock_jump_tests;
--- a/dockgate-core/src/gateway/endpoint_book.rs
+++ b/dockgate-core/src/gateway/endpoint_registry.rs
@@ -13,13 +13,15 @@
 //! earlier one goes with it.
 
 mod endpoint_entry;
-mod endpoint_news;
-mod life_memory;
-mod service_outlook;
+mod endpoint_update;
+mod lifetime_history;
+mod service_availability;
 
 pub use endpoint_entry::EndpointEntry;
-pub use endpoint_news::{EndpointNews, LearnedNews, RemovedEndpoint, ToldDoubt, ToldEndpoint};
-pub use service_outlook::ServiceOutlook;
+pub use endpoint_update::{
+    EndpointUpdate, MergeOutcome, RemovedEndpoint, ReportedEndpoint, UnconfirmedRecord,
+};
+pub use service_availability::ServiceAvailability;
 
 use super::box_beat::DomainKey;
 use super::domain_reach::DomainReach;
@@ -28,7 +30,7 @@
 use super::notice_book::{NoticeBook, NoticeNews};
 use super::route_table::{EndpointId, EndpointName, EndpointRecord, EndpointState};
 use super::store_revision::StoreRevision;
-use life_memory::{LastLife, LifeMemory};
+use lifetime_history::{LastLifetime, LifetimeHistory};
 use serde::{Deserialize, Serialize};
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, HashMap, HashSet};
@@ -78,14 +80,14 @@
 
 /// What came of the time that has passed.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct ExpiredNews {
+pub struct ExpiryChanges {
     /// The ids of endpoints whose records lapsed and did not come back.
     pub lapsed: Vec<String>,
     /// Records of an earlier start that are believed by now, as nothing newer came.
     pub adopted: Vec<EndpointChange>,
 }
 
-impl ExpiredNews {
+impl ExpiryChanges {
     /// Tells whether nothing has changed.
     pub const fn is_empty(&self) -> bool {
         self.lapsed.is_empty() && self.adopted.is_empty()
@@ -94,13 +96,13 @@
 
 /// The endpoints of all services.
 #[derive(Debug, Clone, Default)]
-pub struct EndpointBook {
+pub struct EndpointRegistry {
     endpoints: BTreeMap<EndpointId, EndpointEntry>,
     /// Which lifetime of each id that is.
     lives: HashMap<EndpointName, EndpointId>,
     /// Those that take work, by service: worked out with each change, looked up with each request.
     ready: HashMap<String, Vec<ReadyEndpoint>>,
-    memory: LifeMemory,
+    memory: LifetimeHistory,
     notices: NoticeBook,
     reach: DomainReach,
     revision: StoreRevision,
@@ -110,7 +112,7 @@
     listed_at: StoreRevision,
 }
 
-impl EndpointBook {
+impl EndpointRegistry {
     /// Returns the newest revision of a change that is known. Boxes with the same one know the same,
     /// but for a removal that one of them never saw.
     pub const fn revision(&self) -> StoreRevision {
@@ -171,10 +173,10 @@
     }
 
     /// Returns the last that is known of an id, whether it is there or was removed.
-    fn last_life(&self, name: EndpointName) -> LastLife {
+    fn last_life(&self, name: EndpointName) -> LastLifetime {
         let known = self.lives.get(&name);
         match known.and_then(|id| self.endpoints.get(id)) {
-            Some(entry) => LastLife {
+            Some(entry) => LastLifetime {
                 revision: entry.newest_revision(),
                 born_ms: entry.record.born_ms,
             },
@@ -247,7 +249,7 @@
         let ended = id.and_then(|id| self.endpoints.remove(&id));
         let born_ms = ended.as_ref().and_then(|ended| ended.record.born_ms);
         self.memory
-            .note_removed(name, LastLife { revision, born_ms });
+            .note_removed(name, LastLifetime { revision, born_ms });
         ended
     }
 
@@ -338,7 +340,7 @@
 
     /// Forgets the endpoints whose records lapsed and did not come back, and what they said of themselves long ago;
     /// believes records of an earlier start that have stayed the newest.
-    pub fn expire(&mut self, now_ms: u64) -> ExpiredNews {
+    pub fn expire(&mut self, now_ms: u64) -> ExpiryChanges {
         let entries = self.endpoints.values();
         let lapsed = entries.filter_map(|entry| {
             let missed = entry.lapsed_revision(now_ms)?;
@@ -357,7 +359,7 @@
         let endpoints = &self.endpoints;
         self.notices
             .expire(now_ms, |id| endpoints.contains_key(&id));
-        let news = ExpiredNews { lapsed, adopted };
+        let news = ExpiryChanges { lapsed, adopted };
         if !news.is_empty() {
             self.index();
         }
@@ -370,7 +372,7 @@
     }
 
     /// Finds the lifetime of an id that is known.
-    pub fn life_of(&self, name: EndpointName) -> Option<EndpointId> {
+    pub fn current_lifetime(&self, name: EndpointName) -> Option<EndpointId> {
         self.lives.get(&name).copied()
     }
 
@@ -381,7 +383,7 @@
 
     /// Tells whether an endpoint may get work now, as far as it wants that, and as it and its failure domain are
     /// trusted.
-    pub fn is_open(&self, id: EndpointId, now_ms: u64) -> bool {
+    pub fn is_eligible(&self, id: EndpointId, now_ms: u64) -> bool {
         let entry = self.endpoints.get(&id);
         let is_trusted = entry.is_some_and(|entry| {
             entry.health.is_open(now_ms) && !self.reach.is_cut(&entry.record.domain)
@@ -390,7 +392,7 @@
     }
 
     /// Tells when a service may have an endpoint that takes work, where it has none now.
-    pub fn outlook(&self, service: &str, now_ms: u64) -> ServiceOutlook {
+    pub fn availability(&self, service: &str, now_ms: u64) -> ServiceAvailability {
         let ready = self.ready(service);
         let rests = ready
             .iter()
@@ -398,11 +400,11 @@
         let rests: Option<Vec<Duration>> = rests.collect();
         let mut known = self.endpoints.values();
         match rests.map(|rests| rests.into_iter().min()) {
-            Some(Some(first)) => ServiceOutlook::Rests(first),
+            Some(Some(first)) => ServiceAvailability::BackingOff(first),
             Some(None) if known.any(|entry| entry.record.service == service) => {
-                ServiceOutlook::Leaving
+                ServiceAvailability::Leaving
             }
-            _ => ServiceOutlook::Unknown,
+            _ => ServiceAvailability::Unknown,
         }
     }
 
@@ -421,13 +423,13 @@
     }
 
     /// Lists the endpoints of a service that may get work now.
-    pub fn open(
+    pub fn eligible(
         &self,
         service: &str,
         now_ms: u64,
     ) -> impl Iterator<Item = (EndpointId, &EndpointEntry)> {
         let ready = self.ready_entries(service);
-        ready.filter(move |(id, _)| self.is_open(*id, now_ms))
+        ready.filter(move |(id, _)| self.is_eligible(*id, now_ms))
     }
 
     /// Notes that a request is sent to an endpoint.
@@ -440,7 +442,7 @@
     }
 
     /// Notes that a request has left an endpoint.
-    pub fn note_left(&mut self, id: EndpointId) {
+    pub fn note_request_ended(&mut self, id: EndpointId) {
         if let Some(entry) = self.endpoints.get_mut(&id) {
             entry.in_flight = entry.in_flight.saturating_sub(1);
         }
@@ -463,7 +465,7 @@
 
     /// Takes in what an endpoint says of itself in an answer; returns what is new in it. `draw` is a random number
     /// from 0 to 1.
-    pub fn hear(
+    pub fn receive_notice(
         &mut self,
         id: EndpointId,
         notice: EndpointNotice,
@@ -480,7 +482,7 @@
     /// Takes in another box's word that an endpoint leaves; returns whether it is believed.
     ///
     /// At most half of a service is given up on the word of others: a box that is wrong must not empty it.
-    pub fn hear_told(&mut self, id: EndpointId, now_ms: u64) -> bool {
+    pub fn receive_reported_leave(&mut self, id: EndpointId, now_ms: u64) -> bool {
         let Some(entry) = self.endpoints.get(&id) else {
             return false;
         };
@@ -520,7 +522,7 @@
 #[cfg(test)]
 mod era_tests;
 #[cfg(test)]
-mod life_tests;
+mod lifetime_tests;
 #[cfg(test)]
 mod notice_tests;
 #[cfg(test)]
--- a/dockgate-core/src/gateway/endpoint_book/endpoint_entry.rs
+++ b/dockgate-core/src/gateway/endpoint_registry/endpoint_entry.rs
@@ -1,6 +1,6 @@
 //! One endpoint as a box sees it.
 
-use super::endpoint_news::{ToldDoubt, ToldEndpoint};
+use super::endpoint_update::{ReportedEndpoint, UnconfirmedRecord};
 use crate::gateway::endpoint_health::EndpointHealth;
 use crate::gateway::route_table::{EndpointRecord, EndpointState};
 use crate::gateway::store_revision::StoreRevision;
@@ -17,7 +17,7 @@
     /// Requests of this box that it has.
     pub in_flight: u32,
     /// Set where its record is missing, and may only have lapsed.
-    doubt: Option<EntryDoubt>,
+    doubt: Option<UnconfirmedSince>,
 }
 
 impl EndpointEntry {
@@ -33,13 +33,13 @@
     }
 
     /// Takes over that the record of this id was missing, where that was later than this one was written.
-    pub(super) fn missed_since(mut self, doubt: Option<EntryDoubt>) -> Self {
+    pub(super) fn missed_since(mut self, doubt: Option<UnconfirmedSince>) -> Self {
         self.doubt = doubt.filter(|doubt| doubt.revision >= self.revision);
         self
     }
 
     /// Returns since when its record is missing, where it is.
-    pub(super) const fn doubt(&self) -> Option<EntryDoubt> {
+    pub(super) const fn doubt(&self) -> Option<UnconfirmedSince> {
         self.doubt
     }
 
@@ -90,11 +90,11 @@
     }
 
     /// Makes what another box is told of it.
-    pub(super) fn tell(&self, now_ms: u64) -> ToldEndpoint {
-        ToldEndpoint {
+    pub(super) fn tell(&self, now_ms: u64) -> ReportedEndpoint {
+        ReportedEndpoint {
             record: self.record.clone(),
             revision: self.revision,
-            doubt: self.doubt.map(|doubt| ToldDoubt {
+            doubt: self.doubt.map(|doubt| UnconfirmedRecord {
                 revision: doubt.revision,
                 lapses_in_ms: doubt.until_ms.saturating_sub(now_ms),
             }),
@@ -105,7 +105,9 @@
     /// Notes that its record was missing at this revision, and until when it is kept; the time does not
     /// move once it is named.
     pub(super) fn note_missed(&mut self, revision: StoreRevision, until_ms: u64) {
-        let doubt = self.doubt.get_or_insert(EntryDoubt { revision, until_ms });
+        let doubt = self
+            .doubt
+            .get_or_insert(UnconfirmedSince { revision, until_ms });
         doubt.revision = doubt.revision.max(revision);
     }
 }
@@ -116,7 +118,7 @@
 /// would replace what other boxes know for certain. An engine that had left got prompts 4.4 s later,
 /// since dozens of boxes that had heard it removed took it back from one that kept it in doubt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) struct EntryDoubt {
+pub(super) struct UnconfirmedSince {
     /// The store's revision at which it was missed.
     revision: StoreRevision,
     /// Until when it is kept.
--- a/dockgate-core/src/gateway/endpoint_book/endpoint_news.rs
+++ b/dockgate-core/src/gateway/endpoint_registry/endpoint_update.rs
@@ -1,7 +1,7 @@
 //! What boxes tell each other of the endpoints: what changed since a revision, or all of them.
 
-use super::life_memory::LastLife;
-use super::{EndpointBook, EndpointChange};
+use super::lifetime_history::LastLifetime;
+use super::{EndpointChange, EndpointRegistry};
 use crate::gateway::route_table::{EndpointName, EndpointRecord};
 use crate::gateway::store_revision::StoreRevision;
 use serde::{Deserialize, Serialize};
@@ -10,13 +10,13 @@
 
 /// An endpoint as one box tells another.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ToldEndpoint {
+pub struct ReportedEndpoint {
     /// What it says of itself.
     pub record: EndpointRecord,
     /// The store's revision of its record.
     pub revision: StoreRevision,
     /// Set where the box that tells of it keeps it although its record is missing.
-    pub doubt: Option<ToldDoubt>,
+    pub doubt: Option<UnconfirmedRecord>,
     /// Set where the box that tells of it does not use it yet, for so many more milliseconds: it had left, or another
     /// lifetime had taken its place, before its record came back.
     #[serde(default)]
@@ -25,7 +25,7 @@
 
 /// How long an endpoint in doubt is kept by the box that tells of it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ToldDoubt {
+pub struct UnconfirmedRecord {
     /// The store's revision at which its record was missed.
     pub revision: StoreRevision,
     /// For how many more milliseconds it is kept.
@@ -48,22 +48,22 @@
 /// A list of 3,000 is 600 KB, told to each box of a domain at each change: the busiest of 300 boxes sent
 /// 4.5 MB a second. What changed is some hundred bytes.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EndpointNews {
+pub struct EndpointUpdate {
     /// After which of the store's revisions the changes came that are told; none where all endpoints are.
     pub since: Option<StoreRevision>,
     /// The revision up to which the box that tells knows.
     pub revision: StoreRevision,
     /// The endpoints, or those that changed.
-    pub endpoints: Vec<ToldEndpoint>,
+    pub endpoints: Vec<ReportedEndpoint>,
     /// Those that were removed; none where all endpoints are told.
     pub removed: Vec<RemovedEndpoint>,
-    /// What [`EndpointBook::sum`] says where it is told.
+    /// What [`EndpointRegistry::sum`] says where it is told.
     pub sum: u64,
 }
 
 /// What came of news from another box.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct LearnedNews {
+pub struct MergeOutcome {
     /// What is believed otherwise than before; nothing where all endpoints were told.
     pub changes: Vec<EndpointChange>,
     /// Whether anything is.
@@ -72,14 +72,14 @@
     pub agrees: bool,
 }
 
-impl EndpointBook {
+impl EndpointRegistry {
     /// Within which time of the store's return endpoints have written their records again, in milliseconds, as the
     /// users' notes on their store say.
     const WRITTEN_AGAIN_MS: u64 = 2_000;
 
     /// Returns a sum over the endpoints that are there for certain: boxes with the same revision and the
     /// same sum know the same.
-    pub fn sum(&self) -> u64 {
+    pub fn checksum(&self) -> u64 {
         let certain = self.iter().filter(|(_, entry)| entry.doubt().is_none());
         let parts = certain.map(|(id, entry)| {
             let mut bytes = [0; 24];
@@ -92,7 +92,7 @@
     }
 
     /// Tells what changed after revision `since`; or all, where that is none or not known any more.
-    pub fn tell(&self, since: StoreRevision, now_ms: u64) -> EndpointNews {
+    pub fn update_since(&self, since: StoreRevision, now_ms: u64) -> EndpointUpdate {
         let known_from = self.whole_at.max(self.memory.forgotten());
         let since =
             Some(since).filter(|since| *since > StoreRevision::NONE && *since >= known_from);
@@ -102,7 +102,7 @@
         let removed = self.memory.removed_after(after);
         let removed = removed.filter(|_| since.is_some());
         let aside = self.memory.aside_after(after, now_ms);
-        EndpointNews {
+        EndpointUpdate {
             since,
             revision: self.revision,
             endpoints: changed
@@ -116,13 +116,13 @@
                     born_ms: life.born_ms,
                 })
                 .collect(),
-            sum: self.sum(),
+            sum: self.checksum(),
         }
     }
 
     /// Takes in what another box told.
-    pub fn learn(&mut self, news: EndpointNews, now_ms: u64) -> LearnedNews {
-        let EndpointNews {
+    pub fn merge(&mut self, news: EndpointUpdate, now_ms: u64) -> MergeOutcome {
+        let EndpointUpdate {
             since,
             revision,
             endpoints,
@@ -135,9 +135,9 @@
             let doubt = endpoint.doubt?;
             Some((endpoint.record.name(), doubt))
         });
-        let doubts: Vec<(EndpointName, ToldDoubt)> = doubts.collect();
+        let doubts: Vec<(EndpointName, UnconfirmedRecord)> = doubts.collect();
         let endpoints = endpoints.into_iter();
-        let endpoints: Vec<ToldEndpoint> = endpoints
+        let endpoints: Vec<ReportedEndpoint> = endpoints
             .filter(|told| !self.is_over(&told.record, told.revision))
             .collect();
         let told = endpoints.into_iter();
@@ -170,10 +170,10 @@
                 known.note_missed(doubt.revision, now_ms + doubt.lapses_in_ms);
             }
         }
-        LearnedNews {
+        MergeOutcome {
             changes,
             changed,
-            agrees: since.is_none() || self.revision > revision || self.sum() == sum,
+            agrees: since.is_none() || self.revision > revision || self.checksum() == sum,
         }
     }
 
@@ -187,7 +187,7 @@
         let is_gone = self.remove(name, revision, None);
         if self.life_mut(name).is_none() {
             self.memory
-                .note_removed(name, LastLife { revision, born_ms });
+                .note_removed(name, LastLifetime { revision, born_ms });
         }
         let id = id.filter(|_| is_gone)?;
         Some(EndpointChange::Removed(id, revision))
--- a/dockgate-core/src/gateway/endpoint_book/era_tests.rs
+++ b/dockgate-core/src/gateway/endpoint_registry/era_tests.rs
@@ -85,7 +85,7 @@
 /// One box, and which lifetimes it knows to have left.
 #[derive(Debug, Clone, Default)]
 struct EraBox {
-    book: EndpointBook,
+    book: EndpointRegistry,
     /// Up to which revision it has heard the store by itself.
     heard: Option<StoreRevision>,
     left: BTreeSet<EndpointId>,
@@ -163,10 +163,10 @@
     if from == to || boxes[from].book.revision() <= known {
         return;
     }
-    let news = boxes[from].book.tell(known, now_ms);
-    if !boxes[to].book.learn(news, now_ms).agrees {
-        let all = boxes[from].book.tell(StoreRevision::NONE, now_ms);
-        boxes[to].book.learn(all, now_ms);
+    let news = boxes[from].book.update_since(known, now_ms);
+    if !boxes[to].book.merge(news, now_ms).agrees {
+        let all = boxes[from].book.update_since(StoreRevision::NONE, now_ms);
+        boxes[to].book.merge(all, now_ms);
     }
 }
 
@@ -200,7 +200,7 @@
         };
         (0..ENDPOINTS).for_each(|at| store.write(at, truth[at]));
         let mut copies = vec![store.clone()];
-        let mut late: Vec<EndpointNews> = Vec::new();
+        let mut late: Vec<EndpointUpdate> = Vec::new();
         let (mut now_ms, mut born_ms, mut returned_ms) = (1_000, 1, 1_000);
         for step in steps {
             match step {
@@ -228,12 +228,12 @@
                 EraStep::Hear(at) => boxes[at % count].hear(&store, now_ms),
                 EraStep::Tell(from, to) => {
                     let (from, to) = (from % count, to % count);
-                    late.push(boxes[from].book.tell(StoreRevision::NONE, now_ms));
+                    late.push(boxes[from].book.update_since(StoreRevision::NONE, now_ms));
                     tell(&mut boxes, from, to, now_ms);
                 }
                 EraStep::TellLate(from, to) if !late.is_empty() => {
                     let news = late[from % late.len()].clone();
-                    boxes[to % count].book.learn(news, now_ms);
+                    boxes[to % count].book.merge(news, now_ms);
                 }
                 EraStep::TellLate(..) => {}
                 EraStep::Restart(at) => boxes[at % count] = EraBox::default(),
--- a/dockgate-core/src/gateway/endpoint_book/life_memory.rs
+++ b/dockgate-core/src/gateway/endpoint_registry/lifetime_history.rs
@@ -1,22 +1,22 @@
 //! What is remembered of endpoints beside the lifetimes that the book has.
 
-use super::endpoint_news::ToldEndpoint;
+use super::endpoint_update::ReportedEndpoint;
 use crate::gateway::route_table::{EndpointName, EndpointRecord};
 use crate::gateway::store_revision::StoreRevision;
 use std::collections::{HashMap, HashSet};
 
 /// Which endpoints were removed, and records of earlier lifetimes that came after later ones.
 #[derive(Debug, Clone, Default)]
-pub(super) struct LifeMemory {
-    removed: HashMap<EndpointName, LastLife>,
+pub(super) struct LifetimeHistory {
+    removed: HashMap<EndpointName, LastLifetime>,
     /// The newest revision of a removal that is not remembered any more.
     forgotten: StoreRevision,
-    aside: HashMap<EndpointName, AsideRecord>,
+    aside: HashMap<EndpointName, DeferredRecord>,
 }
 
 /// The last that is known of an endpoint.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub(super) struct LastLife {
+pub(super) struct LastLifetime {
     /// The revision of the last thing that happened to its record.
     pub(super) revision: StoreRevision,
     /// When its last lifetime started.
@@ -26,7 +26,7 @@
 /// A record of a lifetime that started before the one that is known, and was written after that one's; or of one that
 /// had left, in a copy of the store from before that.
 #[derive(Debug, Clone)]
-struct AsideRecord {
+struct DeferredRecord {
     record: EndpointRecord,
     revision: StoreRevision,
     /// For how long it has to be the newest until it is believed, in milliseconds.
@@ -35,7 +35,7 @@
     since_ms: Option<u64>,
 }
 
-impl LifeMemory {
+impl LifetimeHistory {
     /// How many removed endpoints are remembered.
     const MOST_REMOVED: usize = 4_096;
     /// After how long, in milliseconds, the record of an earlier start is believed where the later lifetime has
@@ -60,7 +60,7 @@
     }
 
     /// Returns the last that was known of an endpoint that was removed.
-    pub(super) fn removed(&self, name: EndpointName) -> LastLife {
+    pub(super) fn removed(&self, name: EndpointName) -> LastLifetime {
         self.removed.get(&name).copied().unwrap_or_default()
     }
 
@@ -68,13 +68,13 @@
     pub(super) fn removed_after(
         &self,
         revision: StoreRevision,
-    ) -> impl Iterator<Item = (EndpointName, LastLife)> {
+    ) -> impl Iterator<Item = (EndpointName, LastLifetime)> {
         let removed = self.removed.iter().map(|(name, removed)| (*name, *removed));
         removed.filter(move |(_, removed)| removed.revision > revision)
     }
 
     /// Remembers that an endpoint was removed; forgets the oldest where there are too many.
-    pub(super) fn note_removed(&mut self, name: EndpointName, life: LastLife) {
+    pub(super) fn note_removed(&mut self, name: EndpointName, life: LastLifetime) {
         if self.removed.len() >= Self::MOST_REMOVED {
             let oldest = self.removed.iter();
             let oldest = oldest.min_by_key(|(_, removed)| removed.revision);
@@ -119,7 +119,7 @@
             // Each return of the store brings it back anew.
             let known = known.filter(|known| known.revision.era == revision.era);
             let since_ms = known.and_then(|known| known.since_ms);
-            let aside = AsideRecord {
+            let aside = DeferredRecord {
                 record,
                 revision,
                 wait_ms,
@@ -144,14 +144,14 @@
         &self,
         after: StoreRevision,
         now_ms: u64,
-    ) -> impl Iterator<Item = ToldEndpoint> {
+    ) -> impl Iterator<Item = ReportedEndpoint> {
         let aside = self.aside.values();
         let aside = aside.filter(move |aside| aside.revision > after);
         aside.map(move |aside| {
             let passed_ms = aside
                 .since_ms
                 .map_or(0, |since_ms| now_ms.saturating_sub(since_ms));
-            ToldEndpoint {
+            ReportedEndpoint {
                 record: aside.record.clone(),
                 revision: aside.revision,
                 doubt: None,
@@ -183,7 +183,7 @@
         for aside in self.aside.values_mut() {
             aside.since_ms.get_or_insert(now_ms);
         }
-        let is_due = |aside: &AsideRecord| {
+        let is_due = |aside: &DeferredRecord| {
             let since_ms = aside.since_ms.unwrap_or(now_ms);
             now_ms >= since_ms + aside.wait_ms
         };
--- a/dockgate-core/src/gateway/endpoint_book/life_tests.rs
+++ b/dockgate-core/src/gateway/endpoint_registry/lifetime_tests.rs
@@ -36,15 +36,15 @@
     life(number, EndpointState::Ready).key()
 }
 
-fn book_of(changes: impl IntoIterator<Item = EndpointChange>) -> EndpointBook {
-    let mut book = EndpointBook::default();
+fn book_of(changes: impl IntoIterator<Item = EndpointChange>) -> EndpointRegistry {
+    let mut book = EndpointRegistry::default();
     for change in changes {
         book.apply(change, None);
     }
     book
 }
 
-fn takes_work(book: &EndpointBook) -> Vec<EndpointId> {
+fn takes_work(book: &EndpointRegistry) -> Vec<EndpointId> {
     book.ready("x").iter().map(|ready| ready.id).collect()
 }
 
@@ -55,12 +55,12 @@
     for _ in 0..6 {
         book.note_sign(key(1), EndpointSign::Failed, 1_000);
     }
-    assert_eq!(book.open("x", 1_001).count(), 0, "it rests");
+    assert_eq!(book.eligible("x", 1_001).count(), 0, "it rests");
     assert!(book.apply(ready(2, 4), None));
     let entry = book.get(key(2)).unwrap();
     assert_eq!(entry.in_flight, 0);
     assert!(!entry.health.is_doubtful(1_001));
-    assert_eq!(book.open("x", 1_001).count(), 1, "it has never failed");
+    assert_eq!(book.eligible("x", 1_001).count(), 1, "it has never failed");
     assert_eq!((takes_work(&book), book.iter().count()), (vec![key(2)], 1));
 }
 
@@ -68,7 +68,7 @@
 fn what_comes_late_of_the_life_before_changes_nothing_of_the_next_one() {
     let mut book = book_of([ready(1, 3), ready(2, 4)]);
     book.note_sent(key(2), 1_000);
-    book.note_left(key(1));
+    book.note_request_ended(key(1));
     book.note_sign(key(1), EndpointSign::Failed, 1_000);
     for late in [draining(1, 2), ready(1, 5), draining(1, 6)] {
         assert!(!book.apply(late, None));
@@ -147,9 +147,9 @@
     let told = r#"{"since":null,"revision":{"era":0,"number":3},"endpoints":[{"record":{"id":"e","service":"x",
         "address":"10.0.0.1:80","domain":"a","slots":4,"state":"Ready","warmup_ms":0},"revision":{"era":0,"number":3},
         "doubt":null}],"removed":[],"sum":0}"#;
-    let news: EndpointNews = serde_json::from_str(told).unwrap();
-    let mut book = EndpointBook::default();
-    book.learn(news, 1_000);
+    let news: EndpointUpdate = serde_json::from_str(told).unwrap();
+    let mut book = EndpointRegistry::default();
+    book.merge(news, 1_000);
     assert_eq!(takes_work(&book), [EndpointId::from_name("e")]);
 }
 
@@ -160,9 +160,12 @@
     assert!(book.apply(EndpointChange::Unusable("e".to_owned(), at(4)), None));
     assert_eq!((takes_work(&book), book.iter().count()), (Vec::new(), 1));
     assert!(!book.apply(ready(1, 3), None), "an older record");
-    let mut told = EndpointBook::default();
-    told.learn(book.tell(StoreRevision::NONE, 1_000), 1_000);
-    assert_eq!((takes_work(&told), told.sum()), (Vec::new(), book.sum()));
+    let mut told = EndpointRegistry::default();
+    told.merge(book.update_since(StoreRevision::NONE, 1_000), 1_000);
+    assert_eq!(
+        (takes_work(&told), told.checksum()),
+        (Vec::new(), book.checksum())
+    );
     assert!(book.apply(ready(1, 5), None));
     assert_eq!(takes_work(&book), [key(1)]);
     assert_eq!(
@@ -229,11 +232,11 @@
     ]
 }
 
-fn learn(books: &mut [EndpointBook; BOXES], from: usize, to: usize) {
-    let news = books[from].tell(books[to].revision(), 0);
-    if !books[to].learn(news, 0).agrees {
-        let all = books[from].tell(StoreRevision::NONE, 0);
-        books[to].learn(all, 0);
+fn learn(books: &mut [EndpointRegistry; BOXES], from: usize, to: usize) {
+    let news = books[from].update_since(books[to].revision(), 0);
+    if !books[to].merge(news, 0).agrees {
+        let all = books[from].update_since(StoreRevision::NONE, 0);
+        books[to].merge(all, 0);
     }
 }
 
@@ -244,7 +247,7 @@
     /// what it counts there is what it sent there itself, and all agree once they have heard of everything.
     #[test]
     fn no_box_goes_back_to_an_earlier_life(steps in prop::collection::vec(life_step(), 1..80)) {
-        let mut books: [EndpointBook; BOXES] = Default::default();
+        let mut books: [EndpointRegistry; BOXES] = Default::default();
         let mut history = vec![ready(1, 1)];
         let mut newest = [0_u64; BOXES];
         let mut sent: [Vec<EndpointId>; BOXES] = Default::default();
@@ -277,7 +280,7 @@
                 LifeStep::Answer(at, one) if !sent[at].is_empty() => {
                     let id = sent[at].swap_remove(one.index(sent[at].len()));
                     books[at].note_sign(id, EndpointSign::Failed, 1_000);
-                    books[at].note_left(id);
+                    books[at].note_request_ended(id);
                 }
                 LifeStep::Answer(..) => {}
             }
@@ -304,6 +307,6 @@
             }
             prop_assert_eq!(takes_work(book), vec![key(number)]);
         }
-        prop_assert!(books.iter().all(|book| book.sum() == books[0].sum()));
+        prop_assert!(books.iter().all(|book| book.checksum() == books[0].checksum()));
     }
 }
--- a/dockgate-core/src/gateway/endpoint_book/notice_tests.rs
+++ b/dockgate-core/src/gateway/endpoint_registry/notice_tests.rs
@@ -28,7 +28,7 @@
     EndpointChange::Put(record(born_ms, EndpointState::Ready), at(revision))
 }
 
-fn takes_work(book: &EndpointBook, id: EndpointId) -> bool {
+fn takes_work(book: &EndpointRegistry, id: EndpointId) -> bool {
     book.ready("x").iter().any(|ready| ready.id == id)
 }
 
@@ -61,13 +61,13 @@
     /// its id does from its first record on.
     #[test]
     fn that_a_lifetime_leaves_is_final(faults in prop::collection::vec(fault(), 0..40)) {
-        let mut book = EndpointBook::default();
+        let mut book = EndpointRegistry::default();
         let id = record(1, EndpointState::Ready).key();
         let mut now_ms = 1_000;
         let mut revision = 1;
         book.apply(put(1, revision), None);
         prop_assert!(takes_work(&book, id));
-        book.hear(id, LEAVES, now_ms, 0.0);
+        book.receive_notice(id, LEAVES, now_ms, 0.0);
         prop_assert!(!takes_work(&book, id));
         for fault in faults {
             revision += 1;
@@ -81,9 +81,9 @@
                 }
                 RecordFault::ListedWithout => drop(book.replace(Vec::new(), at(revision), None)),
                 RecordFault::ToldByAnother => {
-                    let mut other = EndpointBook::default();
+                    let mut other = EndpointRegistry::default();
                     other.apply(put(1, revision), None);
-                    book.learn(other.tell(StoreRevision::NONE, now_ms), now_ms);
+                    book.merge(other.update_since(StoreRevision::NONE, now_ms), now_ms);
                 }
                 RecordFault::Time => {
                     now_ms += 5_000;
@@ -101,12 +101,12 @@
 
 #[test]
 fn where_all_leave_others_have_to_take_their_place() {
-    let mut book = EndpointBook::default();
-    assert_eq!(book.outlook("x", 1_000), ServiceOutlook::Unknown);
+    let mut book = EndpointRegistry::default();
+    assert_eq!(book.availability("x", 1_000), ServiceAvailability::Unknown);
     book.apply(put(1, 1), None);
-    book.hear(record(1, EndpointState::Ready).key(), LEAVES, 1_000, 0.0);
-    assert_eq!(book.outlook("x", 1_000), ServiceOutlook::Leaving);
-    assert_eq!(book.outlook("y", 1_000), ServiceOutlook::Unknown);
+    book.receive_notice(record(1, EndpointState::Ready).key(), LEAVES, 1_000, 0.0);
+    assert_eq!(book.availability("x", 1_000), ServiceAvailability::Leaving);
+    assert_eq!(book.availability("y", 1_000), ServiceAvailability::Unknown);
 }
 
 fn rests(ms: u64) -> EndpointNotice {
@@ -118,7 +118,7 @@
 
 #[test]
 fn where_all_rest_the_first_end_is_told() {
-    let mut book = EndpointBook::default();
+    let mut book = EndpointRegistry::default();
     let ids = ["e", "f"].map(|id| {
         let record = EndpointRecord {
             id: id.to_owned(),
@@ -128,14 +128,17 @@
         book.apply(EndpointChange::Put(record, at(1)), None);
         key
     });
-    book.hear(ids[0], rests(3_000), 1_000, 0.0);
-    assert_eq!(book.outlook("x", 1_000), ServiceOutlook::Unknown);
-    assert_eq!(book.open("x", 1_000).count(), 1);
-    book.hear(ids[1], rests(2_000), 1_000, 0.0);
-    assert_eq!(book.open("x", 1_000).count(), 0);
+    book.receive_notice(ids[0], rests(3_000), 1_000, 0.0);
+    assert_eq!(book.availability("x", 1_000), ServiceAvailability::Unknown);
+    assert_eq!(book.eligible("x", 1_000).count(), 1);
+    book.receive_notice(ids[1], rests(2_000), 1_000, 0.0);
+    assert_eq!(book.eligible("x", 1_000).count(), 0);
     let left = Duration::from_millis(1_500);
-    assert_eq!(book.outlook("x", 1_500), ServiceOutlook::Rests(left));
-    assert_eq!(book.open("x", 3_000).count(), 1);
+    assert_eq!(
+        book.availability("x", 1_500),
+        ServiceAvailability::BackingOff(left)
+    );
+    assert_eq!(book.eligible("x", 3_000).count(), 1);
 }
 
 /// What may happen while an endpoint rests.
@@ -155,12 +158,12 @@
         faults in prop::collection::vec((0_u8..8, 0_u64..700), 0..30),
         draw in 0.0_f64..1.0,
     ) {
-        let mut book = EndpointBook::default();
+        let mut book = EndpointRegistry::default();
         let id = record(1, EndpointState::Ready).key();
         let mut revision = 1;
         book.apply(put(1, revision), None);
         let (mut now_ms, end_ms) = (1_000, 4_000);
-        book.hear(id, rests(end_ms - now_ms), now_ms, draw);
+        book.receive_notice(id, rests(end_ms - now_ms), now_ms, draw);
         for (kind, after_ms) in faults {
             now_ms += after_ms;
             let fault = match kind {
@@ -175,7 +178,7 @@
             match fault {
                 RestFault::Sign(sign) => book.note_sign(id, sign, now_ms),
                 RestFault::Sent => book.note_sent(id, now_ms),
-                RestFault::AsksForLess => drop(book.hear(id, rests(1), now_ms, draw)),
+                RestFault::AsksForLess => drop(book.receive_notice(id, rests(1), now_ms, draw)),
                 RestFault::RemovedAndWritten => {
                     book.apply(EndpointChange::Removed("e".to_owned(), at(revision + 1)), None);
                     revision += 2;
@@ -183,17 +186,17 @@
                 }
             }
             let is_over = now_ms >= end_ms;
-            prop_assert!(is_over || !book.is_open(id, now_ms), "{fault:?} at {now_ms}");
+            prop_assert!(is_over || !book.is_eligible(id, now_ms), "{fault:?} at {now_ms}");
             prop_assert!(is_over || !book.notices().is_wanted(id, now_ms));
         }
         let next = record(2, EndpointState::Ready).key();
         book.apply(put(2, revision + 1), None);
-        prop_assert!(book.is_open(next, now_ms));
+        prop_assert!(book.is_eligible(next, now_ms));
     }
 }
 
-fn told_book(endpoints: u64) -> (EndpointBook, Vec<EndpointId>) {
-    let mut book = EndpointBook::default();
+fn told_book(endpoints: u64) -> (EndpointRegistry, Vec<EndpointId>) {
+    let mut book = EndpointRegistry::default();
     let records = (0..endpoints).map(|number| EndpointRecord {
         id: format!("e{number}"),
         ..record(1, EndpointState::Ready)
@@ -217,23 +220,26 @@
         let mut now_ms = 1_000;
         for (at, after_ms) in words {
             now_ms += after_ms;
-            book.hear_told(ids[at % ids.len()], now_ms);
-            let open = book.open("x", now_ms).count();
+            book.receive_reported_leave(ids[at % ids.len()], now_ms);
+            let open = book.eligible("x", now_ms).count();
             prop_assert!(open * 2 >= ids.len(), "{open} of {}", ids.len());
         }
-        prop_assert_eq!(book.open("x", now_ms + 5_000).count(), ids.len());
+        prop_assert_eq!(book.eligible("x", now_ms + 5_000).count(), ids.len());
     }
 }
 
 #[test]
 fn what_another_box_says_counts_until_it_is_over() {
     let (mut book, ids) = told_book(2);
-    assert!(book.hear_told(ids[0], 1_000));
-    assert!(!book.hear_told(ids[1], 1_000), "one has to go on");
-    assert!(!book.is_open(ids[0], 5_999));
+    assert!(book.receive_reported_leave(ids[0], 1_000));
+    assert!(
+        !book.receive_reported_leave(ids[1], 1_000),
+        "one has to go on"
+    );
+    assert!(!book.is_eligible(ids[0], 5_999));
     assert!(
         book.notices().is_wanted(ids[0], 1_000),
         "what was decided before is sent"
     );
-    assert!(book.is_open(ids[0], 6_000));
+    assert!(book.is_eligible(ids[0], 6_000));
 }
--- a/dockgate-core/src/gateway/endpoint_book/tests.rs
+++ b/dockgate-core/src/gateway/endpoint_registry/tests.rs
@@ -25,7 +25,7 @@
 
 #[test]
 fn an_older_record_never_replaces_a_newer_one() {
-    let mut book = EndpointBook::default();
+    let mut book = EndpointRegistry::default();
     assert!(book.apply(
         EndpointChange::Put(record("e", EndpointState::Draining), at(9)),
         None
@@ -36,7 +36,7 @@
 
 #[test]
 fn a_removed_endpoint_is_not_brought_back_by_a_late_record() {
-    let mut book = EndpointBook::default();
+    let mut book = EndpointRegistry::default();
     book.apply(put("e", 3), None);
     assert!(book.apply(EndpointChange::Removed("e".to_owned(), at(5)), None));
     assert!(!book.apply(put("e", 4), None));
@@ -45,7 +45,7 @@
 
 #[test]
 fn a_record_that_lapsed_while_the_store_was_away_is_kept_for_a_moment() {
-    let mut book = EndpointBook::default();
+    let mut book = EndpointRegistry::default();
     book.apply(put("back", 3), None);
     book.apply(put("gone", 3), None);
     book.replace(Vec::new(), at(10), Some(2_000));
@@ -58,7 +58,7 @@
 
 #[test]
 fn an_endpoint_that_was_draining_is_gone_at_once() {
-    let mut book = EndpointBook::default();
+    let mut book = EndpointRegistry::default();
     book.apply(
         EndpointChange::Put(record("e", EndpointState::Draining), at(3)),
         None,
@@ -71,7 +71,7 @@
     /// Whatever the order in which changes of one endpoint arrive, the newest decides.
     #[test]
     fn the_newest_change_decides(order in Just((1_u64..9).collect::<Vec<_>>()).prop_shuffle()) {
-        let mut book = EndpointBook::default();
+        let mut book = EndpointRegistry::default();
         let id = EndpointId::from_name("e");
         for revision in &order {
             let change = match revision % 4 {
@@ -90,7 +90,7 @@
     fn what_takes_work_is_what_the_records_say(
         changes in prop::collection::vec((0_usize..4, 0_u8..4, 0_u64..9, 1_u64..20), 1..60),
     ) {
-        let mut book = EndpointBook::default();
+        let mut book = EndpointRegistry::default();
         for (name, kind, kept, revision) in changes {
             let id = ["e", "f", "g", "h"][name];
             let kept_until_ms = (kept > 5).then_some(kept * 100);
@@ -118,44 +118,48 @@
 
 #[test]
 fn a_domain_that_is_cut_off_gets_nothing_until_one_of_its_endpoints_answers() {
-    let mut book = EndpointBook::default();
+    let mut book = EndpointRegistry::default();
     for (revision, id) in ["e", "f", "g"].into_iter().enumerate() {
         book.apply(put(id, revision as u64 + 1), None);
     }
     let [e, f, g] = ["e", "f", "g"].map(EndpointId::from_name);
     book.note_sign(e, EndpointSign::Silent, 1_000);
-    assert_eq!(book.open("x", 1_000).count(), 2, "one alone may be down");
+    assert_eq!(
+        book.eligible("x", 1_000).count(),
+        2,
+        "one alone may be down"
+    );
     book.note_sign(f, EndpointSign::Unreachable, 1_000);
     book.note_sign(f, EndpointSign::Silent, 1_000);
     assert_eq!(
-        book.open("x", 1_000).count(),
+        book.eligible("x", 1_000).count(),
         1,
         "what refuses has answered"
     );
     book.note_reach(e, false);
-    assert_eq!(book.open("x", 1_000).count(), 0);
+    assert_eq!(book.eligible("x", 1_000).count(), 0);
     assert_eq!(book.ready("x").len(), 3, "the last resort");
     book.note_reach(g, true);
-    let open: Vec<EndpointId> = book.open("x", 60_000).map(|(id, _)| id).collect();
+    let open: Vec<EndpointId> = book.eligible("x", 60_000).map(|(id, _)| id).collect();
     assert_eq!(open.len(), 3, "those that were silent are tried again");
 }
 
 #[test]
 fn a_record_that_has_lapsed_at_another_box_is_given_up_here_as_well() {
-    let mut follower = EndpointBook::default();
+    let mut follower = EndpointRegistry::default();
     follower.apply(put("e", 3), None);
     follower.apply(EndpointChange::Removed("e".to_owned(), at(5)), Some(2_600));
-    let news = follower.tell(StoreRevision::NONE, 1_000);
-    let doubt = ToldDoubt {
+    let news = follower.update_since(StoreRevision::NONE, 1_000);
+    let doubt = UnconfirmedRecord {
         revision: at(5),
         lapses_in_ms: 1_600,
     };
     let first = &news.endpoints[0];
     assert_eq!((first.revision, first.doubt), (at(3), Some(doubt)));
 
-    let mut told = EndpointBook::default();
+    let mut told = EndpointRegistry::default();
     told.apply(put("e", 3), None);
-    told.learn(news, 1_010);
+    told.merge(news, 1_010);
     assert!(told.expire(2_600).is_empty());
     assert_eq!(told.expire(2_610).lapsed, ["e"]);
     assert_eq!(told.ready("x").len(), 0);
@@ -168,7 +172,7 @@
 /// took it back: their logs had it gone twice, first by the store, then as lapsed.
 #[test]
 fn what_one_box_holds_in_doubt_undoes_nothing_that_is_certain_at_another() {
-    let mut doubting = EndpointBook::default();
+    let mut doubting = EndpointRegistry::default();
     doubting.apply(put("gone", 3), None);
     doubting.apply(put("back", 4), None);
     let mut certain = doubting.clone();
@@ -180,11 +184,11 @@
     doubting.replace(Vec::new(), at(7), Some(2_600));
     certain.apply(put("back", 8), None);
 
-    certain.learn(doubting.tell(StoreRevision::NONE, 1_000), 1_000);
+    certain.merge(doubting.update_since(StoreRevision::NONE, 1_000), 1_000);
     let known: Vec<&str> = certain.iter().map(|(_, entry)| &*entry.record.id).collect();
     assert_eq!(known, ["back"], "what was removed stays so");
     assert!(certain.expire(9_000).is_empty(), "what was written stays");
-    doubting.learn(certain.tell(StoreRevision::NONE, 1_100), 1_100);
+    doubting.merge(certain.update_since(StoreRevision::NONE, 1_100), 1_100);
     let known: Vec<&str> = doubting
         .iter()
         .map(|(_, entry)| &*entry.record.id)
@@ -229,7 +233,7 @@
         steps in prop::collection::vec(book_step(), 1..60),
     ) {
         let mut history = vec![put("e", 1)];
-        let mut books = [EndpointBook::default(), EndpointBook::default(), EndpointBook::default()];
+        let mut books = [EndpointRegistry::default(), EndpointRegistry::default(), EndpointRegistry::default()];
         let mut heard = [0_usize; 3];
         let (mut revision, mut now) = (1, 1_000);
         let id = EndpointId::from_name("e");
@@ -254,10 +258,10 @@
                 BookStep::Learn(from, to) => {
                     let known = books[to].revision();
                     if books[from].revision() > known {
-                        let news = books[from].tell(known, now);
-                        if !books[to].learn(news, now).agrees {
-                            let all = books[from].tell(StoreRevision::NONE, now);
-                            books[to].learn(all, now);
+                        let news = books[from].update_since(known, now);
+                        if !books[to].merge(news, now).agrees {
+                            let all = books[from].update_since(StoreRevision::NONE, now);
+                            books[to].merge(all, now);
                         }
                     }
                 }
@@ -282,40 +286,40 @@
 /// Before: 600 KB to each box for each change at 3,000 endpoints.
 #[test]
 fn only_what_changed_is_told_to_a_box_that_knows_the_rest() {
-    let mut teller = EndpointBook::default();
+    let mut teller = EndpointRegistry::default();
     for number in 0..300 {
         teller.apply(put(&format!("e{number}"), number + 1), None);
     }
-    let mut asker = EndpointBook::default();
-    let all = teller.tell(asker.revision(), 1_000);
+    let mut asker = EndpointRegistry::default();
+    let all = teller.update_since(asker.revision(), 1_000);
     assert_eq!((all.since, all.endpoints.len()), (None, 300));
-    assert!(asker.learn(all, 1_000).agrees);
+    assert!(asker.merge(all, 1_000).agrees);
 
     teller.apply(EndpointChange::Removed("e7".to_owned(), at(301)), None);
     let draining = record("e8", EndpointState::Draining);
     teller.apply(EndpointChange::Put(draining, at(302)), None);
-    let news = teller.tell(asker.revision(), 1_000);
+    let news = teller.update_since(asker.revision(), 1_000);
     assert_eq!((news.endpoints.len(), news.removed.len()), (1, 1));
-    let learned = asker.learn(news, 1_000);
+    let learned = asker.merge(news, 1_000);
     assert_eq!((learned.changes.len(), learned.agrees), (2, true));
-    assert_eq!(asker.sum(), teller.sum());
+    assert_eq!(asker.checksum(), teller.checksum());
 }
 
 /// A box that took in a whole list knows nothing of what was removed before.
 #[test]
 fn a_box_that_does_not_know_what_was_removed_tells_all() {
-    let mut teller = EndpointBook::default();
+    let mut teller = EndpointRegistry::default();
     teller.replace(vec![put("e", 4)], at(9), None);
     teller.apply(put("f", 10), None);
-    assert_eq!(teller.tell(at(8), 1_000).since, None);
-    assert_eq!(teller.tell(at(9), 1_000).since, Some(at(9)));
+    assert_eq!(teller.update_since(at(8), 1_000).since, None);
+    assert_eq!(teller.update_since(at(9), 1_000).since, Some(at(9)));
 }
 
 /// A box that missed a removal and knows the newest revision all the same finds it out by the sum.
 #[test]
 fn a_box_that_missed_something_is_told_all() {
-    let mut teller = EndpointBook::default();
-    let mut asker = EndpointBook::default();
+    let mut teller = EndpointRegistry::default();
+    let mut asker = EndpointRegistry::default();
     for book in [&mut teller, &mut asker] {
         book.apply(put("e", 1), None);
         book.apply(put("f", 2), None);
@@ -323,13 +327,13 @@
     teller.apply(EndpointChange::Removed("e".to_owned(), at(3)), None);
     asker.advance(at(3));
     teller.apply(put("f", 4), None);
-    assert!(!asker.learn(teller.tell(at(3), 1_000), 1_000).agrees);
+    assert!(!asker.merge(teller.update_since(at(3), 1_000), 1_000).agrees);
     assert!(
         asker
-            .learn(teller.tell(StoreRevision::NONE, 1_000), 1_000)
+            .merge(teller.update_since(StoreRevision::NONE, 1_000), 1_000)
             .agrees
     );
-    assert_eq!(asker.sum(), teller.sum());
+    assert_eq!(asker.checksum(), teller.checksum());
 }
 
 proptest! {
@@ -341,15 +345,15 @@
     ) {
         let names = ["e", "f", "g", "h", "i"];
         let mut store: BTreeMap<&str, u64> = BTreeMap::new();
-        let mut books = [EndpointBook::default(), EndpointBook::default(), EndpointBook::default()];
+        let mut books = [EndpointRegistry::default(), EndpointRegistry::default(), EndpointRegistry::default()];
         let mut revision = 0;
-        let ask = |books: &mut [EndpointBook; 3], from: usize, to: usize| {
+        let ask = |books: &mut [EndpointRegistry; 3], from: usize, to: usize| {
             let known = books[to].revision();
             if books[from].revision() > known {
-                let news = books[from].tell(known, 0);
-                if !books[to].learn(news, 0).agrees {
-                    let all = books[from].tell(StoreRevision::NONE, 0);
-                    books[to].learn(all, 0);
+                let news = books[from].update_since(known, 0);
+                if !books[to].merge(news, 0).agrees {
+                    let all = books[from].update_since(StoreRevision::NONE, 0);
+                    books[to].merge(all, 0);
                 }
             }
         };
@@ -383,7 +387,7 @@
         books[0].apply(put("last", revision), None);
         ask(&mut books, 0, 1);
         ask(&mut books, 1, 2);
-        prop_assert_eq!(books[1].sum(), books[0].sum());
-        prop_assert_eq!(books[2].sum(), books[0].sum());
+        prop_assert_eq!(books[1].checksum(), books[0].checksum());
+        prop_assert_eq!(books[2].checksum(), books[0].checksum());
     }
 }
--- a/dockgate-core/src/gateway/era_book.rs
+++ b/dockgate-core/src/gateway/era_tracker.rs
@@ -2,16 +2,16 @@
 
 /// What a named era says.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum EraNews {
+pub enum EraChange {
     /// It is the one that is known.
-    Same,
+    Unchanged,
     /// The store has come back from an older copy since: what it has must be listed anew.
-    Later {
+    Advanced {
         /// The era that was known.
         from: u64,
     },
     /// The answer is of an era that is over.
-    Over,
+    Outdated,
 }
 
 /// The era of the store.
@@ -19,20 +19,20 @@
 /// It rises by one each time that the store comes back from an older copy, and never falls.
 ///
 /// ```
-/// use dockgate_core::gateway::{EraBook, EraNews};
+/// use dockgate_core::gateway::{EraTracker, EraChange};
 ///
-/// let mut book = EraBook::default();
-/// assert_eq!(book.note(Some(3)), EraNews::Same);
-/// assert_eq!(book.note(Some(4)), EraNews::Later { from: 3 });
-/// assert_eq!(book.note(Some(3)), EraNews::Over);
+/// let mut book = EraTracker::default();
+/// assert_eq!(book.note(Some(3)), EraChange::Unchanged);
+/// assert_eq!(book.note(Some(4)), EraChange::Advanced { from: 3 });
+/// assert_eq!(book.note(Some(3)), EraChange::Outdated);
 /// ```
 #[derive(Debug, Clone, Copy, Default)]
-pub struct EraBook {
+pub struct EraTracker {
     /// None until one was named.
     current: Option<u64>,
 }
 
-impl EraBook {
+impl EraTracker {
     /// By how much the era may rise between two answers that this box hears; more is taken for a mistake, as it
     /// would make this box deaf to the store's true era. A bound.
     const MOST_STEP: u64 = 1_000;
@@ -43,19 +43,21 @@
     }
 
     /// Takes in the era that an answer names, or another box; without one, it is the one that is known.
-    pub fn note(&mut self, named: Option<u64>) -> EraNews {
+    pub fn note(&mut self, named: Option<u64>) -> EraChange {
         let known = self.current();
         match (named, self.current) {
-            (None, _) => EraNews::Same,
+            (None, _) => EraChange::Unchanged,
             (Some(era), None) => {
                 self.current = Some(era);
-                EraNews::Same
+                EraChange::Unchanged
+            }
+            (Some(era), Some(_)) if era < known => EraChange::Outdated,
+            (Some(era), Some(_)) if era == known || era - known > Self::MOST_STEP => {
+                EraChange::Unchanged
             }
-            (Some(era), Some(_)) if era < known => EraNews::Over,
-            (Some(era), Some(_)) if era == known || era - known > Self::MOST_STEP => EraNews::Same,
             (Some(era), Some(_)) => {
                 self.current = Some(era);
-                EraNews::Later { from: known }
+                EraChange::Advanced { from: known }
             }
         }
     }
--- a/dockgate-core/src/gateway/era_book/tests.rs
+++ b/dockgate-core/src/gateway/era_tracker/tests.rs
@@ -10,7 +10,7 @@
     one_beyond_all_reason = { &[Some(3), Some(u64::MAX), Some(4)], 4 },
 )]
 fn the_latest_era_counts(named: &[Option<u64>], current: u64) {
-    let mut book = EraBook::default();
+    let mut book = EraTracker::default();
     for named in named {
         book.note(*named);
     }
--- a/dockgate-core/src/gateway/return_time.rs
+++ b/dockgate-core/src/gateway/retry_delay.rs
@@ -8,7 +8,7 @@
 
 /// What stood in the way of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ReturnCause {
+pub enum RetryCause {
     /// The engines that were asked were busy for so long.
     Backlog(Duration),
     /// The workspace is so far beyond its share that no engine takes more of it.
@@ -16,7 +16,7 @@
     /// All endpoints leave, and others have to take their place.
     Replacement,
     /// All endpoints have asked for rest, and the first is back after so long.
-    Rest(Duration),
+    Backoff(Duration),
 }
 
 /// A backlog counts as this much at least: the refusal and the next request take two hops each. A bound.
@@ -39,18 +39,18 @@
 
 /// Returns when to come back: `left` is the time that the caller has, `draw` a random number from 0
 /// to 1.
-pub fn return_time(cause: ReturnCause, left: Duration, draw: f64) -> Duration {
+pub fn retry_delay(cause: RetryCause, left: Duration, draw: f64) -> Duration {
     let draw = draw.clamp(0.0, 1.0);
     let [least, most] = SPREAD;
     let time = match cause {
-        ReturnCause::Backlog(backlog) => {
+        RetryCause::Backlog(backlog) => {
             let backlog = backlog.clamp(LEAST_BACKLOG, MOST_BACKLOG);
             backlog.mul_f64(least + (most - least) * draw)
         }
-        ReturnCause::Share => SHARE_TIME.mul_f64(1.0 + draw),
-        ReturnCause::Replacement => REPLACEMENT_TIME.mul_f64(1.0 + draw),
+        RetryCause::Share => SHARE_TIME.mul_f64(1.0 + draw),
+        RetryCause::Replacement => REPLACEMENT_TIME.mul_f64(1.0 + draw),
         // Sooner it is turned away for certain, so who cannot come that late is better told.
-        ReturnCause::Rest(left) => return left + REST_SPREAD.mul_f64(draw),
+        RetryCause::Backoff(left) => return left + REST_SPREAD.mul_f64(draw),
     };
     time.min(left.mul_f64(MOST_PART))
 }
--- a/dockgate-core/src/gateway/return_time/tests.rs
+++ b/dockgate-core/src/gateway/retry_delay/tests.rs
@@ -14,14 +14,14 @@
     deep = { 5_000, 300, 700 },
 )]
 fn who_met_a_backlog_comes_back_when_it_was_read(backlog_ms: u64, first_ms: u64, last_ms: u64) {
-    let cause = ReturnCause::Backlog(millis(backlog_ms));
-    let times = [0.0, 1.0].map(|draw| return_time(cause, AMPLE, draw));
+    let cause = RetryCause::Backlog(millis(backlog_ms));
+    let times = [0.0, 1.0].map(|draw| retry_delay(cause, AMPLE, draw));
     assert_eq!(times, [millis(first_ms), millis(last_ms)]);
 }
 
 #[test]
 fn who_has_had_far_too_much_comes_back_while_it_may_be_in_time() {
-    let times = [0.0, 1.0].map(|draw| return_time(ReturnCause::Share, AMPLE, draw));
+    let times = [0.0, 1.0].map(|draw| retry_delay(RetryCause::Share, AMPLE, draw));
     assert_eq!(times, [millis(120), millis(240)]);
 }
 
@@ -35,12 +35,12 @@
         draw in -1.0_f64..2.0,
     ) {
         let cause = match kind {
-            0 => ReturnCause::Share,
-            1 => ReturnCause::Replacement,
-            _ => ReturnCause::Backlog(millis(backlog_ms)),
+            0 => RetryCause::Share,
+            1 => RetryCause::Replacement,
+            _ => RetryCause::Backlog(millis(backlog_ms)),
         };
         let left = millis(left_ms);
-        prop_assert!(return_time(cause, left, draw) <= left / 3);
+        prop_assert!(retry_delay(cause, left, draw) <= left / 3);
     }
 }
 
@@ -53,7 +53,7 @@
         draw in -1.0_f64..2.0,
     ) {
         let rest = millis(rest_ms);
-        let time = return_time(ReturnCause::Rest(rest), millis(left_ms), draw);
+        let time = retry_delay(RetryCause::Backoff(rest), millis(left_ms), draw);
         prop_assert!(time >= rest && time <= rest + REST_SPREAD);
     }
 }
--- a/dockgate-proto/src/gateway.rs
+++ b/dockgate-proto/src/gateway.rs
@@ -4,7 +4,7 @@
 //! decided by the entry alone, sums replace sums, and a run that is never heard of again lapses.
 
 use dockgate_core::gateway::{
-    BoxBeat, EndpointId, EndpointNews, EngineAsk, EngineVerdict, FleetDigest, PromptPart,
+    BoxBeat, EndpointId, EndpointUpdate, EngineAsk, EngineVerdict, FleetDigest, PromptPart,
     ReadSpeed, RouteConfig, ShareRow, StoreRevision, SuspectRow,
 };
 use dockgate_core::{BoxKey, Incarnation};
@@ -188,7 +188,7 @@
     /// Its configuration, if that is newer.
     pub config: Option<C>,
     /// What changed of the endpoints, if it knows more of them.
-    pub endpoints: Option<EndpointNews>,
+    pub endpoints: Option<EndpointUpdate>,
 }
 
 #[cfg(test)]
--- a/dockgate/src/gateway/call/placing.rs
+++ b/dockgate/src/gateway/call/placing.rs
@@ -8,8 +8,8 @@
 use super::{AdmittedCall, CallRefusal, CallTries};
 use crate::clock::now_ms;
 use dockgate_core::gateway::{
-    EndpointEntry, EngineAsk, PromptShape, ReturnCause, ServiceOutlook, ShareLevel, ShareOutcome,
-    name_hash, return_time,
+    EndpointEntry, EngineAsk, PromptShape, RetryCause, ServiceAvailability, ShareLevel,
+    ShareOutcome, name_hash, retry_delay,
 };
 use std::time::Duration;
 
@@ -95,8 +95,8 @@
             workspace, level, ..
         } = *ask;
         let cause = match none.asked.is_empty() {
-            true => ReturnCause::Share,
-            false => ReturnCause::Backlog(Duration::from_millis(u64::from(first_ms))),
+            true => RetryCause::Share,
+            false => RetryCause::Backlog(Duration::from_millis(u64::from(first_ms))),
         };
         let (reason, outcome) = match level.is_beyond() {
             true => (RefusalReason::BeyondShare, ShareOutcome::BeyondShare),
@@ -106,7 +106,7 @@
             .with(|beliefs| beliefs.tally.note(workspace, outcome, units));
         CallRefusal {
             reason,
-            retry_after: Some(return_time(cause, self.left(), rand::random())),
+            retry_after: Some(retry_delay(cause, self.left(), rand::random())),
             asked: none.asked,
             share: Some(level.times()),
         }
@@ -116,27 +116,29 @@
     fn refuse_unserved(&self) -> CallRefusal {
         let outlook = self.outlook();
         let reason = match outlook {
-            ServiceOutlook::Rests(_) => RefusalReason::EndpointsRest,
-            ServiceOutlook::Unknown | ServiceOutlook::Leaving => RefusalReason::NoEndpoint,
+            ServiceAvailability::BackingOff(_) => RefusalReason::EndpointsRest,
+            ServiceAvailability::Unknown | ServiceAvailability::Leaving => {
+                RefusalReason::NoEndpoint
+            }
         };
         CallRefusal::come_back(reason, self.return_time(outlook))
     }
 
     /// Tells when an endpoint of the service may take work, where none does now.
-    pub(super) fn outlook(&self) -> ServiceOutlook {
+    pub(super) fn outlook(&self) -> ServiceAvailability {
         let service = &self.service().name;
         self.state
-            .with(|beliefs| beliefs.endpoints.outlook(service, now_ms()))
+            .with(|beliefs| beliefs.endpoints.availability(service, now_ms()))
     }
 
     /// Returns when a request that found no endpoint should come back.
-    pub(super) fn return_time(&self, outlook: ServiceOutlook) -> Duration {
+    pub(super) fn return_time(&self, outlook: ServiceAvailability) -> Duration {
         let cause = match outlook {
-            ServiceOutlook::Unknown => return COME_BACK,
-            ServiceOutlook::Leaving => ReturnCause::Replacement,
-            ServiceOutlook::Rests(first) => ReturnCause::Rest(first),
+            ServiceAvailability::Unknown => return COME_BACK,
+            ServiceAvailability::Leaving => RetryCause::Replacement,
+            ServiceAvailability::BackingOff(first) => RetryCause::Backoff(first),
         };
-        return_time(cause, self.left(), rand::random())
+        retry_delay(cause, self.left(), rand::random())
     }
 
     /// Picks the endpoint of a plain service with the smallest part of its slots taken.
@@ -162,7 +164,7 @@
             let fresh = |id| !tries.endpoints.contains(&id);
             let open = beliefs
                 .endpoints
-                .open(name, now)
+                .eligible(name, now)
                 .filter(|(id, _)| fresh(*id));
             let best = open.min_by(|(_, a), (_, b)| load(a).total_cmp(&load(b)));
             let notices = beliefs.endpoints.notices();
--- a/dockgate/src/gateway/end_check.rs
+++ b/dockgate/src/gateway/end_check.rs
@@ -80,7 +80,7 @@
 pub(super) fn note_restarts(state: &GatewayState) {
     let restarted = state.with(|beliefs| {
         let endpoints = &beliefs.endpoints;
-        let life_of = |name| endpoints.life_of(name);
+        let life_of = |name| endpoints.current_lifetime(name);
         beliefs.broken.take_restarted(life_of, now_ms())
     });
     for (endpoint, under) in restarted {
--- a/dockgate/src/gateway/engine_seek.rs
+++ b/dockgate/src/gateway/engine_seek.rs
@@ -142,7 +142,8 @@
     let ready = beliefs.endpoints.ready(&wish.service.name);
     let near = DomainKey::from_name(&beliefs.fleet.own().domain);
     let entry = |id: EndpointId| beliefs.endpoints.get(id);
-    let is_open = |id: EndpointId| beliefs.endpoints.is_open(id, now) && !wish.tried.contains(&id);
+    let is_open =
+        |id: EndpointId| beliefs.endpoints.is_eligible(id, now) && !wish.tried.contains(&id);
     let is_usable = |id: EndpointId| {
         let doubtful = entry(id).is_none_or(|entry| entry.health.is_doubtful(now));
         is_open(id) && !doubtful
--- a/dockgate/src/gateway/gateway_gauges.rs
+++ b/dockgate/src/gateway/gateway_gauges.rs
@@ -103,7 +103,7 @@
                     EndpointState::Draining => draining += 1,
                     EndpointState::Unusable => unusable += 1,
                     EndpointState::Ready if beliefs.endpoints.notices().leaves(id) => draining += 1,
-                    EndpointState::Ready if beliefs.endpoints.is_open(id, now) => ready += 1,
+                    EndpointState::Ready if beliefs.endpoints.is_eligible(id, now) => ready += 1,
                     EndpointState::Ready => resting += 1,
                 }
             }
--- a/dockgate/src/gateway/gateway_state.rs
+++ b/dockgate/src/gateway/gateway_state.rs
@@ -12,10 +12,10 @@
 use crate::stop::StopFlag;
 use arc_swap::ArcSwap;
 use dockgate_core::gateway::{
-    BoxBeat, BoxStanding, BrokenEndpoints, EndpointBook, EndpointChange, EndpointId, EndpointNews,
-    EngineAsk, EngineBook, EngineVerdict, EraBook, FleetView, LoopLag, ReadLog, RetryBudget,
-    RouteConfig, RouteTable, RunKey, ShareTally, ShareWindow, StoreDuty, StoreProbe, StoreRevision,
-    SuspectBook, WakeGate, WatchCheck, WorkShed,
+    BoxBeat, BoxStanding, BrokenEndpoints, EndpointChange, EndpointId, EndpointRegistry,
+    EndpointUpdate, EngineAsk, EngineBook, EngineVerdict, EraTracker, FleetView, LoopLag, ReadLog,
+    RetryBudget, RouteConfig, RouteTable, RunKey, ShareTally, ShareWindow, StoreDuty, StoreProbe,
+    StoreRevision, SuspectBook, WakeGate, WatchCheck, WorkShed,
 };
 use dockgate_core::{BoxKey, Incarnation};
 use dockgate_platform::PlatformClient;
@@ -46,7 +46,7 @@
 /// Everything that decisions are made on; plain state without I/O.
 pub(super) struct GatewayBeliefs {
     /// The endpoints.
-    pub(super) endpoints: EndpointBook,
+    pub(super) endpoints: EndpointRegistry,
     /// What the engines are busy with.
     pub(super) engines: EngineBook,
     /// What the workspaces asked for and were given.
@@ -56,7 +56,7 @@
     /// What may be sent to a second endpoint.
     pub(super) retries: RetryBudget,
     /// Which era the store is in.
-    pub(super) eras: EraBook,
+    pub(super) eras: EraTracker,
     /// The boxes.
     pub(super) fleet: FleetView,
     /// What this box passed on of them last.
@@ -126,12 +126,12 @@
             .state_address(settings.listen.state)
             .standing(BoxStanding::new(settings.processor));
         let beliefs = GatewayBeliefs {
-            endpoints: EndpointBook::default(),
+            endpoints: EndpointRegistry::default(),
             engines: EngineBook::default(),
             shares: ShareWindow::new(settings.share_window.as_millis() as u64),
             tally: ShareTally::default(),
             retries: RetryBudget::new(settings.retry_rule()),
-            eras: EraBook::default(),
+            eras: EraTracker::default(),
             fleet: FleetView::new(own),
             digest: DigestCache::default(),
             runs: HashMap::new(),
@@ -313,12 +313,12 @@
     }
 
     /// Takes in what another box told of the endpoints; returns whether both know the same by now.
-    pub(super) fn learn_endpoints(&self, news: EndpointNews, source: &str) -> bool {
+    pub(super) fn learn_endpoints(&self, news: EndpointUpdate, source: &str) -> bool {
         let (count, revision, is_whole) =
             (news.endpoints.len(), news.revision, news.since.is_none());
         // A box that knows nothing of the store names none.
         self.note_era(Some(revision.era).filter(|era| *era > 0), source);
-        let learned = self.with(|beliefs| beliefs.endpoints.learn(news, now_ms()));
+        let learned = self.with(|beliefs| beliefs.endpoints.merge(news, now_ms()));
         match is_whole {
             true => self.note_listed(learned.changed, count, revision, source),
             false => self.note_changes(&learned.changes, source),
--- a/dockgate/src/gateway/gateway_state/store_reach.rs
+++ b/dockgate/src/gateway/gateway_state/store_reach.rs
@@ -6,7 +6,7 @@
 use super::super::store_probe::StoreRole;
 use super::{GatewayBeliefs, GatewayState};
 use crate::clock::now_ms;
-use dockgate_core::gateway::{EraNews, OwnReach, ProbeNews, StoreDuty, StoreRevision};
+use dockgate_core::gateway::{EraChange, OwnReach, ProbeNews, StoreDuty, StoreRevision};
 use tokio::sync::watch;
 
 impl GatewayBeliefs {
@@ -147,9 +147,9 @@
             (news, beliefs.eras.current())
         });
         match news {
-            EraNews::Same => {}
-            EraNews::Over => return None,
-            EraNews::Later { from } => {
+            EraChange::Unchanged => {}
+            EraChange::Outdated => return None,
+            EraChange::Advanced { from } => {
                 GATEWAY_METRICS.store_eras.inc();
                 let revision = self.with(|beliefs| beliefs.endpoints.revision().number);
                 log_gateway(&GatewayEvent::StoreEra {
--- a/dockgate/src/gateway/notices.rs
+++ b/dockgate/src/gateway/notices.rs
@@ -24,7 +24,9 @@
     GATEWAY_METRICS.note_notice(notice);
     let news = state.with(|beliefs| {
         let draw = rand::random();
-        beliefs.endpoints.hear(target.id, notice, now_ms(), draw)
+        beliefs
+            .endpoints
+            .receive_notice(target.id, notice, now_ms(), draw)
     });
     let endpoint = &target.name;
     for news in news {
@@ -56,7 +58,8 @@
 
 /// Takes in another box's word that an endpoint leaves.
 pub(super) fn hear_told(state: &GatewayState, endpoint: EndpointId) {
-    let is_believed = state.with(|beliefs| beliefs.endpoints.hear_told(endpoint, now_ms()));
+    let is_believed =
+        state.with(|beliefs| beliefs.endpoints.receive_reported_leave(endpoint, now_ms()));
     GATEWAY_METRICS.note_told(is_believed);
 }
 
--- a/dockgate/src/gateway/peer_state.rs
+++ b/dockgate/src/gateway/peer_state.rs
@@ -77,7 +77,7 @@
         let newer = endpoints.revision() > request.endpoint_revision;
         StateAnswer {
             config,
-            endpoints: newer.then(|| endpoints.tell(request.endpoint_revision, now_ms())),
+            endpoints: newer.then(|| endpoints.update_since(request.endpoint_revision, now_ms())),
         }
     })
 }
--- a/dockgate/src/gateway/run_guard.rs
+++ b/dockgate/src/gateway/run_guard.rs
@@ -109,7 +109,7 @@
     fn drop(&mut self) {
         let key = self.number.map(|number| self.state.own_run(number));
         let owner = self.state.with(|beliefs| {
-            beliefs.endpoints.note_left(self.endpoint);
+            beliefs.endpoints.note_request_ended(self.endpoint);
             let key = key?;
             beliefs.engines.end(self.endpoint, key);
             beliefs.runs.remove(&key.number).map(|run| run.owner)
