--- a/dockgate-bench/tests/drain.rs
+++ b/dockgate-bench/tests/drain.rs
@@ -48,8 +48,8 @@
     ReportedEndpoint {
         record: decode_endpoint(&stored).unwrap(),
         revision: StoreRevision::new(FIRST_ERA, revision),
-        doubt: None,
-        waits_ms: None,
+        unconfirmed: None,
+        delay_ms: None,
     }
 }
 
--- a/dockgate-core/src/gateway/clock_jump_tests.rs
+++ b/dockgate-core/src/gateway/clock_jump_tests.rs
@@ -1,5 +1,5 @@
-//! The time that a box is told jumps: it was suspended, or frozen. Whatever it believed, at whatever moment, nothing
-//! breaks by it, no bound is passed, and what is told anew is believed as before.
+//! Simulation of clock jumps, as after a suspension of a box: no limit may be exceeded, and state
+//! received afterwards has to be accepted as usual.
 
 use super::{
     BoxBeat, BoxStanding, EndpointHealth, EndpointId, EndpointSign, FleetView, LagChange, LoopLag,
@@ -18,7 +18,7 @@
     boxes: BOXES,
 };
 
-fn beat(number: u32, sequence: u32) -> BoxBeat {
+fn heartbeat(number: u32, sequence: u32) -> BoxBeat {
     let address = format!("10.0.0.{number}:7400");
     let address = address.parse().expect("an address");
     BoxBeat::new(&format!("a{number}"), "a", address)
@@ -26,15 +26,15 @@
         .sequence(sequence)
 }
 
-/// What one box believes.
-struct JumpBox {
+/// The state of one box.
+struct SimulatedBox {
     now_ms: u64,
     sequence: u32,
     fleet: FleetView,
     duty: StoreDuty,
     retries: RetryBudget,
-    sent: Vec<u64>,
-    asked: Vec<u64>,
+    retried: Vec<u64>,
+    requests: Vec<u64>,
     shares: ShareWindow,
     health: EndpointHealth,
     lag: LoopLag,
@@ -43,22 +43,22 @@
     gate: WakeGate,
 }
 
-const GUILTY: RequestPrint = RequestPrint::new([1; 16]);
+const SUSPECT: RequestPrint = RequestPrint::new([1; 16]);
 
-impl JumpBox {
+impl SimulatedBox {
     fn new() -> Self {
         let mut suspects = SuspectBook::default();
         for endpoint in 1..=3 {
-            suspects.note_ended(GUILTY, EndpointId(endpoint), 1);
+            suspects.note_ended(SUSPECT, EndpointId(endpoint), 1);
         }
         Self {
             now_ms: 1,
             sequence: 1,
-            fleet: FleetView::new(beat(1, 1)),
+            fleet: FleetView::new(heartbeat(1, 1)),
             duty: StoreDuty::default(),
             retries: RetryBudget::new(RULE),
-            sent: Vec::new(),
-            asked: Vec::new(),
+            retried: Vec::new(),
+            requests: Vec::new(),
             shares: ShareWindow::new(4_000),
             health: EndpointHealth::default(),
             lag: LoopLag::default(),
@@ -68,20 +68,20 @@
         }
     }
 
-    /// A tenth of a second of work: beats come, requests are sent and lost.
+    /// Simulates 100 ms of work: heartbeats arrive, and requests are sent and fail.
     fn work(&mut self, load: u8) {
         self.now_ms += 100;
         let now = self.now_ms;
         self.sequence += 1;
         for number in 2..=BOXES {
             self.fleet
-                .hear(beat(number, self.sequence), Incarnation(1), now);
+                .hear(heartbeat(number, self.sequence), Incarnation(1), now);
         }
         for _ in 0..load {
             self.retries.note_request(SERVICE, now);
-            self.asked.push(now);
+            self.requests.push(now);
             if self.retries.take(SERVICE, now) {
-                self.sent.push(now);
+                self.retried.push(now);
             }
             self.shares.note_asked(7, 100, now);
             self.shares.note_given(7, 80, ShareLevel::WITHIN, now);
@@ -92,11 +92,11 @@
             _ => EndpointSign::Answered,
         };
         self.health.note(sign, now);
-        self.look(0);
+        self.tick(0);
     }
 
-    /// What is done each tenth of a second, `late_ms` after it was due.
-    fn look(&mut self, late_ms: u64) -> LagChange {
+    /// Runs the task that is due each 100 ms, `late_ms` too late.
+    fn tick(&mut self, late_ms: u64) -> LagChange {
         let now = self.now_ms;
         self.fleet.expire(now.saturating_sub(100 + late_ms), now);
         self.shares.tick(now, 1_000.0);
@@ -112,48 +112,48 @@
     fn jump(&mut self, ms: u64) {
         self.now_ms += ms;
         self.gate.wake(self.now_ms);
-        let change = self.look(ms);
-        assert_ne!(change, LagChange::Overloaded, "one pause is no overload");
+        let change = self.tick(ms);
+        assert_ne!(change, LagChange::Overloaded, "a suspension is no overload");
     }
 
-    /// Counts what was sent again in the window before each send.
+    /// Returns whether the retries in the window before each one are within the budget.
     fn is_within_budget(&self) -> bool {
-        self.sent.iter().all(|at| {
+        self.retried.iter().all(|at| {
             let window = at.saturating_sub(RULE.window_ms)..=*at;
             let count = |times: &[u64]| times.iter().filter(|time| window.contains(time)).count();
             let slack = RULE.slack / f64::from(BOXES);
-            let allowed = count(&self.asked) as f64 * RULE.ratio + slack;
-            count(&self.sent) as f64 <= allowed + 1.0
+            let allowed = count(&self.requests) as f64 * RULE.ratio + slack;
+            count(&self.retried) as f64 <= allowed + 1.0
         })
     }
 }
 
 proptest! {
     #[test]
-    fn jumps_of_any_size_at_any_moment_break_nothing(
+    fn clock_jumps_exceed_no_limit(
         steps in prop::collection::vec(
             (1_u32..8, 0_u8..40, prop_oneof![0_u64..2_000, 0_u64..80_000, 0_u64..40_000_000]),
             1..12,
         ),
     ) {
-        let mut own = JumpBox::new();
+        let mut simulated = SimulatedBox::new();
         for (rounds, load, jump_ms) in steps {
-            (0..rounds).for_each(|_| own.work(load));
-            own.jump(jump_ms);
-            prop_assert!(own.fleet.live_count(own.now_ms) <= BOXES);
+            (0..rounds).for_each(|_| simulated.work(load));
+            simulated.jump(jump_ms);
+            prop_assert!(simulated.fleet.live_count(simulated.now_ms) <= BOXES);
         }
-        // It closes for a second at most, and what is told anew is believed at once.
-        own.work(1);
-        prop_assert_eq!(own.fleet.live_count(own.now_ms), BOXES);
-        (0..12).for_each(|_| own.work(2));
-        prop_assert!(own.gate.is_open(None, own.now_ms));
-        prop_assert!(own.health.is_open(own.now_ms));
-        prop_assert!(!own.lag.is_too_late_for(500));
-        prop_assert!(own.shed.refused_part(7) < 1.0);
-        prop_assert!(own.is_within_budget());
+        // The gate closes for a second at most, and heartbeats count at once.
+        simulated.work(1);
+        prop_assert_eq!(simulated.fleet.live_count(simulated.now_ms), BOXES);
+        (0..12).for_each(|_| simulated.work(2));
+        prop_assert!(simulated.gate.is_open(None, simulated.now_ms));
+        prop_assert!(simulated.health.is_open(simulated.now_ms));
+        prop_assert!(!simulated.lag.is_too_late_for(500));
+        prop_assert!(simulated.shed.refused_part(7) < 1.0);
+        prop_assert!(simulated.is_within_budget());
         let day_ms = 86_400_000;
-        let is_held = own.suspects.quarantine(GUILTY, own.now_ms).is_some();
-        prop_assert_eq!(is_held, own.now_ms < day_ms);
-        prop_assert!(own.fleet.owner(EndpointId(1), "a", own.now_ms) != BoxKey(0));
+        let is_held = simulated.suspects.quarantine(SUSPECT, simulated.now_ms).is_some();
+        prop_assert_eq!(is_held, simulated.now_ms < day_ms);
+        prop_assert!(simulated.fleet.owner(EndpointId(1), "a", simulated.now_ms) != BoxKey(0));
     }
 }
--- a/dockgate-core/src/gateway/endpoint_registry.rs
+++ b/dockgate-core/src/gateway/endpoint_registry.rs
@@ -1,16 +1,17 @@
-//! The endpoints that this box knows of, and how far it trusts each.
+//! The endpoints known to this box and the health of each.
 //!
 //! Records come from the platform's store, or from another box that reaches it. Each carries the
-//! store's revision, and an older one never replaces a newer one. Records of endpoints that live may
-//! lapse while the store is away; they are kept for a moment after its return, since the endpoints
-//! need that long to write them again.
+//! store's revision, and an older record never replaces a newer one. Records of live endpoints may
+//! expire while the store is unreachable, so they are kept for a moment after it returns, until the
+//! endpoints have had time to rewrite them.
 //!
-//! The store may come back from an older copy. What it tells then is of a later era and replaces what is known by a
-//! listing; what an endpoint had said before of its end stands, and what is missing is kept for the same moment.
+//! A store that is restored from an older copy starts a new era. Its listing then replaces what is
+//! known, except that an endpoint known to be draining stays so, and endpoints missing from the
+//! listing are kept for the same moment.
 //!
-//! An endpoint may start again under its id. Of two lifetimes the one that started later counts, whatever the
-//! revisions of their records: a write of the earlier one may be carried out late. What is believed of the
-//! earlier one goes with it.
+//! An endpoint may restart under its id. Of two lifetimes the one that started later is current,
+//! whatever the revisions of their records, since a write of the earlier one may be applied late.
+//! The health and the request count of the earlier lifetime are discarded with it.
 
 mod endpoint_entry;
 mod endpoint_update;
@@ -36,59 +37,62 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::Duration;
 
-/// An endpoint that takes work, unless it rests.
+/// An endpoint that accepts requests, unless it is backing off.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReadyEndpoint {
-    /// The endpoint.
+    /// The lifetime of the endpoint.
     pub id: EndpointId,
     /// Its failure domain.
     pub domain: DomainKey,
 }
 
-/// A record that was written or removed.
+/// A change of an endpoint's record.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EndpointChange {
-    /// It was written at this revision.
+    /// The record was written at this revision.
     Put(EndpointRecord, StoreRevision),
-    /// It was written at this revision, and the box that tells of it does not use it for so many more milliseconds.
-    Waiting(EndpointRecord, StoreRevision, u64),
-    /// The record of this id was overwritten at this revision by one that names no endpoint to use.
+    /// The record was written at this revision, and the reporting box defers its use for this many
+    /// more milliseconds.
+    #[serde(rename = "Waiting")]
+    Deferred(EndpointRecord, StoreRevision, u64),
+    /// The record of this id was overwritten at this revision by one that describes no usable
+    /// endpoint.
     Unusable(String, StoreRevision),
     /// The record of this id was removed at this revision.
     Removed(String, StoreRevision),
 }
 
 impl EndpointChange {
-    /// Returns the id that it is about.
+    /// Returns the id of the endpoint.
     pub fn id(&self) -> &str {
         match self {
-            Self::Put(record, _) | Self::Waiting(record, ..) => &record.id,
+            Self::Put(record, _) | Self::Deferred(record, ..) => &record.id,
             Self::Unusable(id, _) | Self::Removed(id, _) => id,
         }
     }
 
-    /// Returns the store's revision at which it came.
+    /// Returns the store's revision of the change.
     pub const fn revision(&self) -> StoreRevision {
         match self {
             Self::Put(_, revision)
-            | Self::Waiting(_, revision, _)
+            | Self::Deferred(_, revision, _)
             | Self::Unusable(_, revision)
             | Self::Removed(_, revision) => *revision,
         }
     }
 }
 
-/// What came of the time that has passed.
+/// The changes made by [`EndpointRegistry::expire`].
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ExpiryChanges {
-    /// The ids of endpoints whose records lapsed and did not come back.
+    /// The ids of endpoints whose records expired and were not rewritten in time.
     pub lapsed: Vec<String>,
-    /// Records of an earlier start that are believed by now, as nothing newer came.
+    /// Deferred records that became current because nothing newer arrived.
     pub adopted: Vec<EndpointChange>,
 }
 
 impl ExpiryChanges {
-    /// Tells whether nothing has changed.
+    /// Returns whether nothing changed.
     pub const fn is_empty(&self) -> bool {
         self.lapsed.is_empty() && self.adopted.is_empty()
     }
@@ -98,58 +102,61 @@
 #[derive(Debug, Clone, Default)]
 pub struct EndpointRegistry {
     endpoints: BTreeMap<EndpointId, EndpointEntry>,
-    /// Which lifetime of each id that is.
-    lives: HashMap<EndpointName, EndpointId>,
-    /// Those that take work, by service: worked out with each change, looked up with each request.
+    /// The current lifetime of each id.
+    lifetimes: HashMap<EndpointName, EndpointId>,
+    /// The endpoints that accept requests, by service; rebuilt on each change.
     ready: HashMap<String, Vec<ReadyEndpoint>>,
-    memory: LifetimeHistory,
+    history: LifetimeHistory,
     notices: NoticeBook,
     reach: DomainReach,
     revision: StoreRevision,
-    /// The revision of the last whole list that was taken in: what was removed before is not known.
-    whole_at: StoreRevision,
-    /// The same of the last whole list that came from the store itself.
-    listed_at: StoreRevision,
+    /// The revision of the newest full list that was applied. Removals before it are unknown.
+    full_list_at: StoreRevision,
+    /// The revision of the newest full list that came from the store itself.
+    store_list_at: StoreRevision,
 }
 
 impl EndpointRegistry {
-    /// Returns the newest revision of a change that is known. Boxes with the same one know the same,
-    /// but for a removal that one of them never saw.
+    /// Returns the newest known revision. Boxes at the same revision know the same endpoints,
+    /// unless one of them missed a removal.
     pub const fn revision(&self) -> StoreRevision {
         self.revision
     }
 
-    /// Takes a change in; returns whether it changed what is believed.
+    /// Applies a change and returns whether it changed the known endpoints.
     ///
-    /// `kept_until_ms` is set while the store has just come back: a record removed now may lapse
-    /// only because its endpoint could not renew it.
+    /// `kept_until_ms` is set shortly after the store returned: a record removed then may have
+    /// expired only because its endpoint could not renew it, so the endpoint is kept until that
+    /// time.
     pub fn apply(&mut self, change: EndpointChange, kept_until_ms: Option<u64>) -> bool {
-        let changed = self.take(change, kept_until_ms);
+        let changed = self.apply_change(change, kept_until_ms);
         if changed {
-            self.index();
+            self.rebuild_index();
         }
         changed
     }
 
-    fn take(&mut self, change: EndpointChange, kept_until_ms: Option<u64>) -> bool {
+    fn apply_change(&mut self, change: EndpointChange, kept_until_ms: Option<u64>) -> bool {
         self.advance(change.revision());
         match change {
             EndpointChange::Put(record, revision) => self.put(record, revision),
-            EndpointChange::Waiting(record, revision, waits_ms) => {
-                self.wait_for(record, revision, waits_ms)
+            EndpointChange::Deferred(record, revision, delay_ms) => {
+                self.put_deferred(record, revision, delay_ms)
+            }
+            EndpointChange::Unusable(id, revision) => {
+                self.disable(EndpointName::new(&id), revision)
             }
-            EndpointChange::Unusable(id, revision) => self.spoil(EndpointName::new(&id), revision),
             EndpointChange::Removed(id, revision) => {
                 self.remove(EndpointName::new(&id), revision, kept_until_ms)
             }
         }
     }
 
-    fn index(&mut self) {
+    fn rebuild_index(&mut self) {
         self.ready.clear();
         let notices = &self.notices;
         let entries = self.endpoints.iter().filter(|(id, entry)| {
-            // Records tell late, or not at all while the store is away, what an answer has told already.
+            // Answers announce that an endpoint leaves before its record does.
             entry.record.state == EndpointState::Ready && !notices.leaves(**id)
         });
         for (id, entry) in entries {
@@ -161,106 +168,120 @@
         }
     }
 
-    /// Notes that all changes up to a revision are known.
+    /// Records that all changes up to a revision are known.
     pub fn advance(&mut self, revision: StoreRevision) {
         self.revision = self.revision.max(revision);
     }
 
-    /// Finds the lifetime of an id that is known.
-    fn life_mut(&mut self, name: EndpointName) -> Option<&mut EndpointEntry> {
-        let id = self.lives.get(&name)?;
+    /// Returns the entry of the current lifetime of an id.
+    fn entry_mut(&mut self, name: EndpointName) -> Option<&mut EndpointEntry> {
+        let id = self.lifetimes.get(&name)?;
         self.endpoints.get_mut(id)
     }
 
-    /// Returns the last that is known of an id, whether it is there or was removed.
-    fn last_life(&self, name: EndpointName) -> LastLifetime {
-        let known = self.lives.get(&name);
+    /// Returns the last known state of an id, whether it is present or was removed.
+    fn last_known(&self, name: EndpointName) -> LastLifetime {
+        let known = self.lifetimes.get(&name);
         match known.and_then(|id| self.endpoints.get(id)) {
             Some(entry) => LastLifetime {
                 revision: entry.newest_revision(),
-                born_ms: entry.record.born_ms,
+                started_ms: entry.record.born_ms,
             },
-            None => self.memory.removed(name),
+            None => self.history.removed(name),
         }
     }
 
-    /// Takes in a record that the box which tells of it does not use yet: nor does this one, unless it knows of no
-    /// reason.
-    fn wait_for(&mut self, record: EndpointRecord, revision: StoreRevision, waits_ms: u64) -> bool {
+    /// Applies a record that the reporting box defers. It is deferred here as well, unless its
+    /// lifetime is already in use.
+    fn put_deferred(
+        &mut self,
+        record: EndpointRecord,
+        revision: StoreRevision,
+        delay_ms: u64,
+    ) -> bool {
         match () {
             () if self.endpoints.contains_key(&record.key()) => self.put(record, revision),
             () => {
-                self.memory.set_aside_told(record, revision, waits_ms);
+                self.history.defer_reported(record, revision, delay_ms);
                 false
             }
         }
     }
 
-    /// Tells whether a lifetime that is not known, and of which another box tells, had been removed by then: it was
-    /// missing in the store's list of this revision or a later one, or it is told of an era that is over.
+    /// Returns whether a reported lifetime that is unknown here had been removed by then: it was
+    /// missing from the store's list of this revision or a later one, or its era is over.
     ///
-    /// The list of another box proves no such thing within its era, as that box may have missed something.
-    fn is_over(&self, record: &EndpointRecord, revision: StoreRevision) -> bool {
-        let is_past = revision <= self.listed_at || revision.era < self.whole_at.era;
+    /// Only lists from the store count within an era, since another box may have missed a record.
+    fn is_outdated(&self, record: &EndpointRecord, revision: StoreRevision) -> bool {
+        let is_past = revision <= self.store_list_at || revision.era < self.full_list_at.era;
         is_past && !self.endpoints.contains_key(&record.key())
     }
 
     fn put(&mut self, record: EndpointRecord, revision: StoreRevision) -> bool {
         let name = record.name();
-        if self.memory.is_removed(name, revision) {
+        if self.history.is_removed(name, revision) {
             return false;
         }
-        let last = self.last_life(name);
-        let order = record.born_ms.cmp(&last.born_ms);
+        let last = self.last_known(name);
+        let order = record.born_ms.cmp(&last.started_ms);
         match order {
             Ordering::Less if revision.era > last.revision.era => {
-                self.memory.set_aside_returned(record, revision);
+                self.history.defer_restored(record, revision);
                 return false;
             }
             Ordering::Less if revision > last.revision => {
-                self.memory.set_aside(record, revision);
+                self.history.defer(record, revision);
                 return false;
             }
             Ordering::Less => return false,
-            Ordering::Equal | Ordering::Greater => self.memory.drop_aside(name, revision),
+            Ordering::Equal | Ordering::Greater => self.history.drop_deferred(name, revision),
         }
-        match self.life_mut(name) {
+        match self.entry_mut(name) {
             Some(known) if order.is_eq() => known.write(record, revision),
             _ => {
-                self.begin_life(record, revision);
+                self.start_lifetime(record, revision);
                 true
             }
         }
     }
 
-    /// Puts a lifetime in the place of the one that is known of its id; nothing of that one is kept.
-    fn begin_life(&mut self, record: EndpointRecord, revision: StoreRevision) {
+    /// Starts tracking a lifetime and discards the previous one of its id.
+    fn start_lifetime(&mut self, record: EndpointRecord, revision: StoreRevision) {
         let (name, id) = (record.name(), record.key());
-        let before = self.lives.insert(name, id);
-        let before = before.and_then(|before| self.endpoints.remove(&before));
-        let missed = before.as_ref().and_then(EndpointEntry::doubt);
-        let entry = EndpointEntry::new(record, revision).missed_since(missed);
+        let previous = self.lifetimes.insert(name, id);
+        let previous = previous.and_then(|previous| self.endpoints.remove(&previous));
+        let unconfirmed = previous.as_ref().and_then(EndpointEntry::unconfirmed);
+        let entry = EndpointEntry::new(record, revision).with_unconfirmed(unconfirmed);
         self.endpoints.insert(id, entry);
     }
 
-    /// Forgets the lifetime of an id; returns what was known of it.
-    fn end_life(&mut self, name: EndpointName, revision: StoreRevision) -> Option<EndpointEntry> {
-        let id = self.lives.remove(&name);
+    /// Removes the current lifetime of an id and returns its entry.
+    fn end_lifetime(
+        &mut self,
+        name: EndpointName,
+        revision: StoreRevision,
+    ) -> Option<EndpointEntry> {
+        let id = self.lifetimes.remove(&name);
         let ended = id.and_then(|id| self.endpoints.remove(&id));
-        let born_ms = ended.as_ref().and_then(|ended| ended.record.born_ms);
-        self.memory
-            .note_removed(name, LastLifetime { revision, born_ms });
+        let started_ms = ended.as_ref().and_then(|ended| ended.record.born_ms);
+        self.history.record_removal(
+            name,
+            LastLifetime {
+                revision,
+                started_ms,
+            },
+        );
         ended
     }
 
-    /// Notes that the record of an id names no endpoint to use.
-    fn spoil(&mut self, name: EndpointName, revision: StoreRevision) -> bool {
-        self.memory.drop_aside(name, revision);
-        match self.life_mut(name) {
-            Some(known) => known.spoil(revision),
+    /// Handles a record that describes no usable endpoint.
+    fn disable(&mut self, name: EndpointName, revision: StoreRevision) -> bool {
+        self.history.drop_deferred(name, revision);
+        match self.entry_mut(name) {
+            Some(known) => known.disable(revision),
             None => {
-                // An older record of it may still be on the way.
-                self.end_life(name, revision);
+                // An older record may still arrive; the removal keeps it from being applied.
+                self.end_lifetime(name, revision);
                 false
             }
         }
@@ -272,38 +293,40 @@
         revision: StoreRevision,
         kept_until_ms: Option<u64>,
     ) -> bool {
-        self.memory.drop_aside(name, revision);
-        let Some(known) = self.life_mut(name) else {
-            // Its record may still be on the way.
-            self.end_life(name, revision);
+        self.history.drop_deferred(name, revision);
+        let Some(known) = self.entry_mut(name) else {
+            // Its record may still arrive.
+            self.end_lifetime(name, revision);
             return false;
         };
-        // One that was draining is not expected back.
+        // A draining endpoint is not expected to rewrite its record.
         match kept_until_ms {
             _ if known.revision >= revision => false,
             Some(until_ms) if known.record.state == EndpointState::Ready => {
-                known.note_missed(revision, until_ms);
+                known.mark_unconfirmed(revision, until_ms);
                 false
             }
-            _ => self.end_life(name, revision).is_some(),
+            _ => self.end_lifetime(name, revision).is_some(),
         }
     }
 
-    /// Takes the store's whole listing in, made at `revision`; returns whether it changed what is believed.
+    /// Replaces the known endpoints by the store's full list as of `revision` and returns whether
+    /// anything changed.
     pub fn replace(
         &mut self,
         listed: Vec<EndpointChange>,
         revision: StoreRevision,
         kept_until_ms: Option<u64>,
     ) -> bool {
-        self.listed_at = self.listed_at.max(revision);
+        self.store_list_at = self.store_list_at.max(revision);
         let names = listed.iter().map(|change| EndpointName::new(change.id()));
         let names: HashSet<EndpointName> = names.collect();
-        self.take_all(listed, &names, revision, kept_until_ms)
+        self.apply_list(listed, &names, revision, kept_until_ms)
     }
 
-    /// Takes a whole list in, the store's or another box's; endpoints that are not among the `names` are missing.
-    fn take_all(
+    /// Applies a full list of the store or of another box. Endpoints that are not in `names` are
+    /// missing from it.
+    fn apply_list(
         &mut self,
         listed: Vec<EndpointChange>,
         names: &HashSet<EndpointName>,
@@ -314,92 +337,92 @@
         for change in listed {
             changed |= match change {
                 EndpointChange::Put(record, revision)
-                    if self.memory.is_returned(&record, revision) =>
+                    if self.history.is_restored(&record, revision) =>
                 {
                     self.advance(revision);
-                    self.memory.set_aside_returned(record, revision);
+                    self.history.defer_restored(record, revision);
                     false
                 }
-                change => self.take(change, kept_until_ms),
+                change => self.apply_change(change, kept_until_ms),
             };
         }
-        self.memory.keep_aside_only(names, revision);
-        let known = self.lives.keys();
+        self.history.retain_deferred(names, revision);
+        let known = self.lifetimes.keys();
         let missing = known.filter(|name| !names.contains(name)).copied();
         let mut missing: Vec<EndpointName> = missing.collect();
         missing.sort_unstable();
         for name in missing {
             changed |= self.remove(name, revision, kept_until_ms);
         }
-        self.whole_at = self.whole_at.max(revision);
+        self.full_list_at = self.full_list_at.max(revision);
         if changed {
-            self.index();
+            self.rebuild_index();
         }
         changed
     }
 
-    /// Forgets the endpoints whose records lapsed and did not come back, and what they said of themselves long ago;
-    /// believes records of an earlier start that have stayed the newest.
+    /// Removes the endpoints whose records expired and were not rewritten, adopts the deferred
+    /// records that are due, and forgets old notices.
     pub fn expire(&mut self, now_ms: u64) -> ExpiryChanges {
         let entries = self.endpoints.values();
         let lapsed = entries.filter_map(|entry| {
-            let missed = entry.lapsed_revision(now_ms)?;
-            Some((entry.record.name(), missed))
+            let revision = entry.lapsed_revision(now_ms)?;
+            Some((entry.record.name(), revision))
         });
         let lapsed: Vec<(EndpointName, StoreRevision)> = lapsed.collect();
         let lapsed = lapsed
             .into_iter()
-            .filter_map(|(name, revision)| self.end_life(name, revision));
+            .filter_map(|(name, revision)| self.end_lifetime(name, revision));
         let lapsed = lapsed.map(|ended| ended.record.id).collect();
         let mut adopted = Vec::new();
-        for (record, revision) in self.memory.take_adopted(now_ms) {
-            self.begin_life(record.clone(), revision);
+        for (record, revision) in self.history.take_due(now_ms) {
+            self.start_lifetime(record.clone(), revision);
             adopted.push(EndpointChange::Put(record, revision));
         }
         let endpoints = &self.endpoints;
         self.notices
             .expire(now_ms, |id| endpoints.contains_key(&id));
-        let news = ExpiryChanges { lapsed, adopted };
-        if !news.is_empty() {
-            self.index();
+        let changes = ExpiryChanges { lapsed, adopted };
+        if !changes.is_empty() {
+            self.rebuild_index();
         }
-        news
+        changes
     }
 
-    /// Finds an endpoint.
+    /// Returns the entry of an endpoint's lifetime.
     pub fn get(&self, id: EndpointId) -> Option<&EndpointEntry> {
         self.endpoints.get(&id)
     }
 
-    /// Finds the lifetime of an id that is known.
+    /// Returns the current lifetime of an id.
     pub fn current_lifetime(&self, name: EndpointName) -> Option<EndpointId> {
-        self.lives.get(&name).copied()
+        self.lifetimes.get(&name).copied()
     }
 
-    /// Lists all endpoints.
+    /// Iterates over all endpoints.
     pub fn iter(&self) -> impl Iterator<Item = (EndpointId, &EndpointEntry)> {
         self.endpoints.iter().map(|(id, entry)| (*id, entry))
     }
 
-    /// Tells whether an endpoint may get work now, as far as it wants that, and as it and its failure domain are
-    /// trusted.
+    /// Returns whether an endpoint may be sent a request now, by its health, its notices and the
+    /// reachability of its failure domain.
     pub fn is_eligible(&self, id: EndpointId, now_ms: u64) -> bool {
         let entry = self.endpoints.get(&id);
-        let is_trusted = entry.is_some_and(|entry| {
+        let is_healthy = entry.is_some_and(|entry| {
             entry.health.is_open(now_ms) && !self.reach.is_cut(&entry.record.domain)
         });
-        is_trusted && self.notices.may_send(id, now_ms)
+        is_healthy && self.notices.may_send(id, now_ms)
     }
 
-    /// Tells when a service may have an endpoint that takes work, where it has none now.
+    /// Returns when a service that has no eligible endpoint may have one again.
     pub fn availability(&self, service: &str, now_ms: u64) -> ServiceAvailability {
         let ready = self.ready(service);
-        let rests = ready
+        let backoffs = ready
             .iter()
             .map(|ready| self.notices.rest_left(ready.id, now_ms));
-        let rests: Option<Vec<Duration>> = rests.collect();
+        let backoffs: Option<Vec<Duration>> = backoffs.collect();
         let mut known = self.endpoints.values();
-        match rests.map(|rests| rests.into_iter().min()) {
+        match backoffs.map(|backoffs| backoffs.into_iter().min()) {
             Some(Some(first)) => ServiceAvailability::BackingOff(first),
             Some(None) if known.any(|entry| entry.record.service == service) => {
                 ServiceAvailability::Leaving
@@ -408,12 +431,13 @@
         }
     }
 
-    /// Lists the endpoints of a service that take work, also those that rest after failures.
+    /// Returns the endpoints of a service that accept requests, including those that back off after
+    /// failures.
     pub fn ready(&self, service: &str) -> &[ReadyEndpoint] {
         self.ready.get(service).map_or(&[], Vec::as_slice)
     }
 
-    /// Lists the endpoints of a service that take work, with what is known of them.
+    /// Returns the endpoints of a service that accept requests, with their entries.
     pub fn ready_entries(
         &self,
         service: &str,
@@ -422,7 +446,7 @@
         ready.filter_map(|ready| Some((ready.id, self.endpoints.get(&ready.id)?)))
     }
 
-    /// Lists the endpoints of a service that may get work now.
+    /// Returns the endpoints of a service that may be sent a request now.
     pub fn eligible(
         &self,
         service: &str,
@@ -432,7 +456,7 @@
         ready.filter(move |(id, _)| self.is_eligible(*id, now_ms))
     }
 
-    /// Notes that a request is sent to an endpoint.
+    /// Records that a request is sent to an endpoint.
     pub fn note_sent(&mut self, id: EndpointId, now_ms: u64) {
         if let Some(entry) = self.endpoints.get_mut(&id) {
             entry.in_flight += 1;
@@ -441,14 +465,14 @@
         self.notices.note_sent(id, now_ms);
     }
 
-    /// Notes that a request has left an endpoint.
+    /// Records that a request to an endpoint has ended.
     pub fn note_request_ended(&mut self, id: EndpointId) {
         if let Some(entry) = self.endpoints.get_mut(&id) {
             entry.in_flight = entry.in_flight.saturating_sub(1);
         }
     }
 
-    /// Notes what was seen of an endpoint.
+    /// Records the outcome of a request to an endpoint or of an attempt to connect to it.
     pub fn note_sign(&mut self, id: EndpointId, sign: EndpointSign, now_ms: u64) {
         let Some(entry) = self.endpoints.get_mut(&id) else {
             return;
@@ -457,14 +481,14 @@
         if sign == EndpointSign::Answered {
             self.notices.note_answered(id, now_ms);
         }
-        // A connection that was open may break off long after a link was cut.
+        // An established connection may fail long after the link was cut.
         if sign != EndpointSign::Failed {
             self.note_reach(id, sign != EndpointSign::Silent);
         }
     }
 
-    /// Takes in what an endpoint says of itself in an answer; returns what is new in it. `draw` is a random number
-    /// from 0 to 1.
+    /// Records what an endpoint announced of itself in an answer and returns what is new in it.
+    /// `draw` is a random number from 0 to 1.
     pub fn receive_notice(
         &mut self,
         id: EndpointId,
@@ -472,42 +496,43 @@
         now_ms: u64,
         draw: f64,
     ) -> Vec<NoticeNews> {
-        let news = self.notices.hear(id, notice, now_ms, draw);
-        if news.contains(&NoticeNews::Leaves) {
-            self.index();
+        let changes = self.notices.hear(id, notice, now_ms, draw);
+        if changes.contains(&NoticeNews::Leaves) {
+            self.rebuild_index();
         }
-        news
+        changes
     }
 
-    /// Takes in another box's word that an endpoint leaves; returns whether it is believed.
+    /// Records another box's report that an endpoint is leaving and returns whether it is accepted.
     ///
-    /// At most half of a service is given up on the word of others: a box that is wrong must not empty it.
+    /// Reports are accepted for at most half of a service's endpoints, so that a faulty box can't
+    /// empty the service.
     pub fn receive_reported_leave(&mut self, id: EndpointId, now_ms: u64) -> bool {
         let Some(entry) = self.endpoints.get(&id) else {
             return false;
         };
         let ready = self.ready(&entry.record.service);
-        let told = ready
+        let leaving = ready
             .iter()
             .filter(|ready| ready.id != id && self.notices.is_said_to_leave(ready.id, now_ms));
-        let is_believed = (told.count() + 1) * 2 <= ready.len();
-        if is_believed {
+        let is_accepted = (leaving.count() + 1) * 2 <= ready.len();
+        if is_accepted {
             self.notices.hear_told(id, now_ms);
         }
-        is_believed
+        is_accepted
     }
 
-    /// Returns what endpoints have said of themselves in their answers.
+    /// Returns what endpoints announced of themselves in their answers.
     pub const fn notices(&self) -> &NoticeBook {
         &self.notices
     }
 
-    /// Returns which failure domains cannot be reached.
+    /// Returns the reachability of the failure domains.
     pub const fn reach(&self) -> &DomainReach {
         &self.reach
     }
 
-    /// Notes what came of a try to reach a failure domain through one of its endpoints.
+    /// Records whether one of its endpoints answered, as a sign of a failure domain's reachability.
     pub fn note_reach(&mut self, id: EndpointId, answered: bool) {
         let Some(entry) = self.endpoints.get(&id) else {
             return;
--- a/dockgate-core/src/gateway/endpoint_registry/endpoint_entry.rs
+++ b/dockgate-core/src/gateway/endpoint_registry/endpoint_entry.rs
@@ -1,81 +1,82 @@
-//! One endpoint as a box sees it.
+//! The state of one endpoint on this box.
 
 use super::endpoint_update::{ReportedEndpoint, UnconfirmedRecord};
 use crate::gateway::endpoint_health::EndpointHealth;
 use crate::gateway::route_table::{EndpointRecord, EndpointState};
 use crate::gateway::store_revision::StoreRevision;
 
-/// One endpoint as this box sees it.
+/// The state of one endpoint on this box.
 #[derive(Debug, Clone)]
 pub struct EndpointEntry {
-    /// What it says of itself.
+    /// Its record.
     pub record: EndpointRecord,
     /// The store's revision of the record.
     pub revision: StoreRevision,
-    /// How far it is trusted.
+    /// Its health, as observed by this box.
     pub health: EndpointHealth,
-    /// Requests of this box that it has.
+    /// The number of requests that this box has in flight to it.
     pub in_flight: u32,
-    /// Set where its record is missing, and may only have lapsed.
-    doubt: Option<UnconfirmedSince>,
+    /// Set while its record is missing and may only have expired.
+    unconfirmed: Option<UnconfirmedSince>,
 }
 
 impl EndpointEntry {
-    /// Makes the entry of an endpoint of which nothing is known but its record.
+    /// Creates the entry of an endpoint of which only the record is known.
     pub(super) fn new(record: EndpointRecord, revision: StoreRevision) -> Self {
         Self {
             record,
             revision,
             health: EndpointHealth::default(),
             in_flight: 0,
-            doubt: None,
+            unconfirmed: None,
         }
     }
 
-    /// Takes over that the record of this id was missing, where that was later than this one was written.
-    pub(super) fn missed_since(mut self, doubt: Option<UnconfirmedSince>) -> Self {
-        self.doubt = doubt.filter(|doubt| doubt.revision >= self.revision);
+    /// Marks the entry unconfirmed if the record of this id was found missing after this one was
+    /// written.
+    pub(super) fn with_unconfirmed(mut self, unconfirmed: Option<UnconfirmedSince>) -> Self {
+        self.unconfirmed = unconfirmed.filter(|since| since.revision >= self.revision);
         self
     }
 
-    /// Returns since when its record is missing, where it is.
-    pub(super) const fn doubt(&self) -> Option<UnconfirmedSince> {
-        self.doubt
+    /// Returns since when its record is missing, or `None` if it is present.
+    pub(super) const fn unconfirmed(&self) -> Option<UnconfirmedSince> {
+        self.unconfirmed
     }
 
-    /// Returns the revision of the last thing that is known of it.
+    /// Returns the newest revision at which its record was written or found missing.
     pub(super) fn newest_revision(&self) -> StoreRevision {
-        let missed = self
-            .doubt
-            .map_or(StoreRevision::NONE, |doubt| doubt.revision);
-        self.revision.max(missed)
+        let missing = self
+            .unconfirmed
+            .map_or(StoreRevision::NONE, |since| since.revision);
+        self.revision.max(missing)
     }
 
-    /// Takes a record of the same lifetime in, unless it is older than what is known; returns whether it changed
-    /// anything.
+    /// Applies a record of the same lifetime, unless it is older than what is known, and returns
+    /// whether anything changed.
     pub(super) fn write(&mut self, record: EndpointRecord, revision: StoreRevision) -> bool {
         if revision <= self.newest_revision() {
             return false;
         }
-        let has_left = self.record.state == EndpointState::Draining;
+        let is_draining = self.record.state == EndpointState::Draining;
         let state = match record.state {
-            // The store may have come back from a copy of before it said so; it says so again a moment later.
-            EndpointState::Ready if has_left && revision.era > self.revision.era => {
+            // The store may be restored from a copy made before the endpoint began to drain.
+            EndpointState::Ready if is_draining && revision.era > self.revision.era => {
                 EndpointState::Draining
             }
             state => state,
         };
         let record = EndpointRecord { state, ..record };
-        let changed = self.record != record || self.doubt.is_some();
+        let changed = self.record != record || self.unconfirmed.is_some();
         self.record = record;
         self.revision = revision;
-        self.doubt = None;
+        self.unconfirmed = None;
         changed
     }
 
-    /// Notes that its record was overwritten by one that names no endpoint to use: it takes nothing new, and what
-    /// is known of it stays for when it writes its own again.
-    pub(super) fn spoil(&mut self, revision: StoreRevision) -> bool {
+    /// Handles that its record was overwritten by one that describes no usable endpoint: it gets no
+    /// new requests, and its state is kept in case it rewrites its own record.
+    pub(super) fn disable(&mut self, revision: StoreRevision) -> bool {
         let record = EndpointRecord {
             state: EndpointState::Unusable,
             ..self.record.clone()
@@ -83,44 +84,44 @@
         self.write(record, revision)
     }
 
-    /// Returns at which revision its record was missed, where it is not kept any longer.
+    /// Returns the revision at which its record was found missing, if the time to rewrite it is
+    /// over.
     pub(super) fn lapsed_revision(&self, now_ms: u64) -> Option<StoreRevision> {
-        let doubt = self.doubt.filter(|doubt| doubt.until_ms <= now_ms)?;
-        Some(doubt.revision)
+        let since = self.unconfirmed.filter(|since| since.until_ms <= now_ms)?;
+        Some(since.revision)
     }
 
-    /// Makes what another box is told of it.
-    pub(super) fn tell(&self, now_ms: u64) -> ReportedEndpoint {
+    /// Creates the report of it for another box.
+    pub(super) fn report(&self, now_ms: u64) -> ReportedEndpoint {
         ReportedEndpoint {
             record: self.record.clone(),
             revision: self.revision,
-            doubt: self.doubt.map(|doubt| UnconfirmedRecord {
-                revision: doubt.revision,
-                lapses_in_ms: doubt.until_ms.saturating_sub(now_ms),
+            unconfirmed: self.unconfirmed.map(|since| UnconfirmedRecord {
+                revision: since.revision,
+                lapses_in_ms: since.until_ms.saturating_sub(now_ms),
             }),
-            waits_ms: None,
+            delay_ms: None,
         }
     }
 
-    /// Notes that its record was missing at this revision, and until when it is kept; the time does not
-    /// move once it is named.
-    pub(super) fn note_missed(&mut self, revision: StoreRevision, until_ms: u64) {
-        let doubt = self
-            .doubt
+    /// Records that its record was missing at this revision, and until when it is kept. Further
+    /// calls don't extend that time.
+    pub(super) fn mark_unconfirmed(&mut self, revision: StoreRevision, until_ms: u64) {
+        let since = self
+            .unconfirmed
             .get_or_insert(UnconfirmedSince { revision, until_ms });
-        doubt.revision = doubt.revision.max(revision);
+        since.revision = since.revision.max(revision);
     }
 }
 
-/// An endpoint is kept although the store has no record of it.
+/// Since when and until when an endpoint is kept although the store has no record of it.
 ///
-/// The record keeps its own revision beside that at which it was missed: told on with the later one it
-/// would replace what other boxes know for certain. An engine that had left got prompts 4.4 s later,
-/// since dozens of boxes that had heard it removed took it back from one that kept it in doubt.
+/// The record's own revision is kept apart from the one at which it was found missing. Reported
+/// with the later one, it would replace a removal that other boxes received from the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct UnconfirmedSince {
-    /// The store's revision at which it was missed.
+    /// The store's revision at which the record was found missing.
     revision: StoreRevision,
-    /// Until when it is kept.
+    /// When the endpoint is removed.
     until_ms: u64,
 }
--- a/dockgate-core/src/gateway/endpoint_registry/endpoint_update.rs
+++ b/dockgate-core/src/gateway/endpoint_registry/endpoint_update.rs
@@ -1,4 +1,4 @@
-//! What boxes tell each other of the endpoints: what changed since a revision, or all of them.
+//! Updates of endpoints between boxes: the changes since a revision, or a full list.
 
 use super::lifetime_history::LastLifetime;
 use super::{EndpointChange, EndpointRegistry};
@@ -8,186 +8,199 @@
 use std::collections::HashSet;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// An endpoint as one box tells another.
+/// An endpoint as one box reports it to another.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReportedEndpoint {
-    /// What it says of itself.
+    /// Its record.
     pub record: EndpointRecord,
-    /// The store's revision of its record.
+    /// The store's revision of the record.
     pub revision: StoreRevision,
-    /// Set where the box that tells of it keeps it although its record is missing.
-    pub doubt: Option<UnconfirmedRecord>,
-    /// Set where the box that tells of it does not use it yet, for so many more milliseconds: it had left, or another
-    /// lifetime had taken its place, before its record came back.
-    #[serde(default)]
-    pub waits_ms: Option<u64>,
+    /// Set if the reporting box keeps the endpoint although its record is missing.
+    #[serde(rename = "doubt")]
+    pub unconfirmed: Option<UnconfirmedRecord>,
+    /// Set if the reporting box defers the record's use for this many more milliseconds: its
+    /// lifetime had ended or been superseded before the record reappeared.
+    #[serde(default, rename = "waits_ms")]
+    pub delay_ms: Option<u64>,
 }
 
-/// How long an endpoint in doubt is kept by the box that tells of it.
+/// A missing record whose endpoint the reporting box still keeps.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UnconfirmedRecord {
-    /// The store's revision at which its record was missed.
+    /// The store's revision at which the record was found missing.
     pub revision: StoreRevision,
-    /// For how many more milliseconds it is kept.
+    /// For how many more milliseconds the endpoint is kept.
     pub lapses_in_ms: u64,
 }
 
-/// An endpoint that was removed, as one box tells another.
+/// A removed endpoint as one box reports it to another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RemovedEndpoint {
-    /// Its id.
+    /// The hash of its id.
     pub name: EndpointName,
-    /// The store's revision at which its record went.
+    /// The store's revision at which its record was removed.
     pub revision: StoreRevision,
-    /// When its last lifetime started, in Unix milliseconds, where that is known.
-    pub born_ms: Option<u64>,
+    /// When its last lifetime started, in Unix milliseconds, if known.
+    #[serde(rename = "born_ms")]
+    pub started_ms: Option<u64>,
 }
 
-/// What one box tells another of the endpoints.
+/// An update of endpoints that one box sends to another.
 ///
-/// A list of 3,000 is 600 KB, told to each box of a domain at each change: the busiest of 300 boxes sent
-/// 4.5 MB a second. What changed is some hundred bytes.
+/// It holds only the changes where possible, since a full list grows with the number of endpoints
+/// and would go to every box on each change.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointUpdate {
-    /// After which of the store's revisions the changes came that are told; none where all endpoints are.
+    /// The revision after which the changes came, or `None` for a full list.
     pub since: Option<StoreRevision>,
-    /// The revision up to which the box that tells knows.
+    /// The revision up to which the sending box knows all changes.
     pub revision: StoreRevision,
-    /// The endpoints, or those that changed.
+    /// All endpoints, or those that changed.
     pub endpoints: Vec<ReportedEndpoint>,
-    /// Those that were removed; none where all endpoints are told.
+    /// The endpoints that were removed; empty in a full list.
     pub removed: Vec<RemovedEndpoint>,
-    /// What [`EndpointRegistry::sum`] says where it is told.
-    pub sum: u64,
+    /// The sending box's [`EndpointRegistry::checksum`].
+    #[serde(rename = "sum")]
+    pub checksum: u64,
 }
 
-/// What came of news from another box.
+/// The outcome of merging an update from another box.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct MergeOutcome {
-    /// What is believed otherwise than before; nothing where all endpoints were told.
+    /// The changes that were applied; empty after a full list.
     pub changes: Vec<EndpointChange>,
-    /// Whether anything is.
+    /// Whether anything changed.
     pub changed: bool,
-    /// Whether both boxes know the same by now, or this one knows more: else it needs all endpoints.
+    /// Whether both boxes now know the same, or this one knows more. Otherwise it needs a full
+    /// list.
     pub agrees: bool,
 }
 
 impl EndpointRegistry {
-    /// Within which time of the store's return endpoints have written their records again, in milliseconds, as the
-    /// users' notes on their store say.
-    const WRITTEN_AGAIN_MS: u64 = 2_000;
+    /// The time, in milliseconds, within which endpoints have rewritten their records after the
+    /// store's return.
+    const REWRITE_WINDOW_MS: u64 = 2_000;
 
-    /// Returns a sum over the endpoints that are there for certain: boxes with the same revision and the
-    /// same sum know the same.
+    /// Returns a checksum of the confirmed endpoints. Boxes at the same revision with the same
+    /// checksum know the same endpoints.
     pub fn checksum(&self) -> u64 {
-        let certain = self.iter().filter(|(_, entry)| entry.doubt().is_none());
-        let parts = certain.map(|(id, entry)| {
+        let confirmed = self
+            .iter()
+            .filter(|(_, entry)| entry.unconfirmed().is_none());
+        let hashes = confirmed.map(|(id, entry)| {
             let mut bytes = [0; 24];
             bytes[..8].copy_from_slice(&id.0.to_le_bytes());
             bytes[8..16].copy_from_slice(&entry.revision.era.to_le_bytes());
             bytes[16..].copy_from_slice(&entry.revision.number.to_le_bytes());
             xxh3_64(&bytes)
         });
-        parts.fold(0, u64::wrapping_add)
+        hashes.fold(0, u64::wrapping_add)
     }
 
-    /// Tells what changed after revision `since`; or all, where that is none or not known any more.
+    /// Returns the changes after revision `since`, or a full list if it is `NONE` or too old.
     pub fn update_since(&self, since: StoreRevision, now_ms: u64) -> EndpointUpdate {
-        let known_from = self.whole_at.max(self.memory.forgotten());
+        let known_from = self.full_list_at.max(self.history.forgotten());
         let since =
             Some(since).filter(|since| *since > StoreRevision::NONE && *since >= known_from);
         let after = since.unwrap_or_default();
         let entries = self.endpoints.values();
         let changed = entries.filter(|entry| since.is_none() || entry.newest_revision() > after);
-        let removed = self.memory.removed_after(after);
+        let removed = self.history.removed_after(after);
         let removed = removed.filter(|_| since.is_some());
-        let aside = self.memory.aside_after(after, now_ms);
+        let deferred = self.history.deferred_after(after, now_ms);
         EndpointUpdate {
             since,
             revision: self.revision,
             endpoints: changed
-                .map(|entry| entry.tell(now_ms))
-                .chain(aside)
+                .map(|entry| entry.report(now_ms))
+                .chain(deferred)
                 .collect(),
             removed: removed
-                .map(|(name, life)| RemovedEndpoint {
+                .map(|(name, last)| RemovedEndpoint {
                     name,
-                    revision: life.revision,
-                    born_ms: life.born_ms,
+                    revision: last.revision,
+                    started_ms: last.started_ms,
                 })
                 .collect(),
-            sum: self.checksum(),
+            checksum: self.checksum(),
         }
     }
 
-    /// Takes in what another box told.
-    pub fn merge(&mut self, news: EndpointUpdate, now_ms: u64) -> MergeOutcome {
+    /// Merges an update from another box.
+    pub fn merge(&mut self, update: EndpointUpdate, now_ms: u64) -> MergeOutcome {
         let EndpointUpdate {
             since,
             revision,
             endpoints,
             removed,
-            sum,
-        } = news;
-        let names = endpoints.iter().map(|told| told.record.name());
+            checksum,
+        } = update;
+        let names = endpoints.iter().map(|endpoint| endpoint.record.name());
         let names: HashSet<EndpointName> = names.collect();
-        let doubts = endpoints.iter().filter_map(|endpoint| {
-            let doubt = endpoint.doubt?;
-            Some((endpoint.record.name(), doubt))
+        let unconfirmed = endpoints.iter().filter_map(|endpoint| {
+            let record = endpoint.unconfirmed?;
+            Some((endpoint.record.name(), record))
         });
-        let doubts: Vec<(EndpointName, UnconfirmedRecord)> = doubts.collect();
+        let unconfirmed: Vec<(EndpointName, UnconfirmedRecord)> = unconfirmed.collect();
         let endpoints = endpoints.into_iter();
         let endpoints: Vec<ReportedEndpoint> = endpoints
-            .filter(|told| !self.is_over(&told.record, told.revision))
+            .filter(|endpoint| !self.is_outdated(&endpoint.record, endpoint.revision))
             .collect();
-        let told = endpoints.into_iter();
-        let told = told.map(|told| match told.waits_ms {
-            Some(waits_ms) => EndpointChange::Waiting(told.record, told.revision, waits_ms),
-            None => EndpointChange::Put(told.record, told.revision),
+        let reported = endpoints.into_iter();
+        let reported = reported.map(|report| match report.delay_ms {
+            Some(delay_ms) => EndpointChange::Deferred(report.record, report.revision, delay_ms),
+            None => EndpointChange::Put(report.record, report.revision),
         });
-        // Of a later era the box that tells may have listed what endpoints have not written again yet.
-        let is_later = revision.era > self.whole_at.era && self.whole_at > StoreRevision::NONE;
-        let kept_until_ms = is_later.then_some(now_ms + Self::WRITTEN_AGAIN_MS);
+        // In a new era the sending box may have listed the store before endpoints rewrote their
+        // records.
+        let is_new_era =
+            revision.era > self.full_list_at.era && self.full_list_at > StoreRevision::NONE;
+        let kept_until_ms = is_new_era.then_some(now_ms + Self::REWRITE_WINDOW_MS);
         let mut changes = Vec::new();
         let changed = match since {
-            None => self.take_all(told.collect(), &names, revision, kept_until_ms),
+            None => self.apply_list(reported.collect(), &names, revision, kept_until_ms),
             Some(_) => {
                 for endpoint in removed {
-                    changes.extend(self.learn_removed(endpoint));
+                    changes.extend(self.merge_removed(endpoint));
                 }
-                changes.extend(told.filter(|change| self.take(change.clone(), None)));
-                self.index();
+                changes.extend(reported.filter(|change| self.apply_change(change.clone(), None)));
+                self.rebuild_index();
                 !changes.is_empty()
             }
         };
         self.advance(revision);
-        // Giving one up raises no revision, so a box that was not told would believe in it for good. Whichever lifetime
-        // is known here: there was no record of any.
-        for (name, doubt) in doubts {
-            self.memory.drop_aside(name, doubt.revision);
-            let known = self.life_mut(name);
-            if let Some(known) = known.filter(|known| known.revision < doubt.revision) {
-                known.note_missed(doubt.revision, now_ms + doubt.lapses_in_ms);
+        // The end of an unconfirmed endpoint raises no revision, so its term has to be passed on.
+        // It applies to whichever lifetime is known here, since the store had no record of the id.
+        for (name, record) in unconfirmed {
+            self.history.drop_deferred(name, record.revision);
+            let known = self.entry_mut(name);
+            if let Some(known) = known.filter(|known| known.revision < record.revision) {
+                known.mark_unconfirmed(record.revision, now_ms + record.lapses_in_ms);
             }
         }
         MergeOutcome {
             changes,
             changed,
-            agrees: since.is_none() || self.revision > revision || self.checksum() == sum,
+            agrees: since.is_none() || self.revision > revision || self.checksum() == checksum,
         }
     }
 
-    fn learn_removed(&mut self, removed: RemovedEndpoint) -> Option<EndpointChange> {
+    fn merge_removed(&mut self, removed: RemovedEndpoint) -> Option<EndpointChange> {
         let RemovedEndpoint {
             name,
             revision,
-            born_ms,
+            started_ms,
         } = removed;
-        let id = self.life_mut(name).map(|entry| entry.record.id.clone());
+        let id = self.entry_mut(name).map(|entry| entry.record.id.clone());
         let is_gone = self.remove(name, revision, None);
-        if self.life_mut(name).is_none() {
-            self.memory
-                .note_removed(name, LastLifetime { revision, born_ms });
+        if self.entry_mut(name).is_none() {
+            self.history.record_removal(
+                name,
+                LastLifetime {
+                    revision,
+                    started_ms,
+                },
+            );
         }
         let id = id.filter(|_| is_gone)?;
         Some(EndpointChange::Removed(id, revision))
--- a/dockgate-core/src/gateway/endpoint_registry/era_tests.rs
+++ b/dockgate-core/src/gateway/endpoint_registry/era_tests.rs
@@ -1,28 +1,29 @@
-//! The store comes back from older copies while boxes follow it, ask each other, and begin anew.
+//! Simulation of a store that is restored from older copies while boxes follow it and update each
+//! other.
 
 use super::*;
 use proptest::prelude::*;
 use std::collections::BTreeSet;
 
 const ENDPOINTS: usize = 3;
-/// How long what is missing in an older copy is kept, in milliseconds.
+/// How long an endpoint that is missing from an older copy is kept, in milliseconds.
 const KEPT_MS: u64 = 1_600;
-/// How long after the return of the store endpoints have written again, and records of those that have ended are gone,
-/// in milliseconds.
-const WRITTEN_MS: u64 = 1_200;
-const GONE_MS: u64 = 3_600;
-/// Within which time boxes in touch have heard of a change, in milliseconds.
-const HEARD_MS: u64 = 400;
+/// The time after a restore until endpoints have rewritten their records, in milliseconds.
+const REWRITE_MS: u64 = 1_200;
+/// The time after a restore until the records of ended endpoints have expired, in milliseconds.
+const EXPIRY_MS: u64 = 3_600;
+/// The interval at which connected boxes receive changes, in milliseconds.
+const SYNC_MS: u64 = 400;
 
-/// How an endpoint is in truth.
+/// The actual state of an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct TrueEndpoint {
+struct ActualEndpoint {
     born_ms: u64,
-    /// None where it has ended.
+    /// `None` if it has ended.
     state: Option<EndpointState>,
 }
 
-/// The platform's store, and how endpoints are in truth.
+/// The platform's store.
 #[derive(Debug, Clone)]
 struct EraStore {
     era: u64,
@@ -32,7 +33,7 @@
 }
 
 impl EraStore {
-    fn write(&mut self, at: usize, endpoint: TrueEndpoint) {
+    fn write(&mut self, at: usize, endpoint: ActualEndpoint) {
         self.number += 1;
         match endpoint.state {
             Some(state) => {
@@ -68,7 +69,7 @@
         changes.collect()
     }
 
-    /// Lists what changed after a revision of this era.
+    /// Returns the changes after a revision of this era.
     fn changes(&self, since: u64) -> Vec<EndpointChange> {
         let written = self.listing().into_iter();
         let removed = self.removed.iter().map(|(at, number)| {
@@ -82,202 +83,215 @@
     }
 }
 
-/// One box, and which lifetimes it knows to have left.
+/// A box and the lifetimes that it has era_box to drain.
 #[derive(Debug, Clone, Default)]
 struct EraBox {
-    book: EndpointRegistry,
-    /// Up to which revision it has heard the store by itself.
-    heard: Option<StoreRevision>,
-    left: BTreeSet<EndpointId>,
+    registry: EndpointRegistry,
+    /// The revision up to which it has read the store itself.
+    read_up_to: Option<StoreRevision>,
+    drained: BTreeSet<EndpointId>,
 }
 
 impl EraBox {
-    /// Hears the store: what changed, or all of it where it is of another era.
-    fn hear(&mut self, store: &EraStore, now_ms: u64) {
-        match self.heard {
-            Some(heard) if heard.era == store.era => {
-                for change in store.changes(heard.number) {
-                    self.book.apply(change, None);
+    /// Reads the changes of the store, or a full list if its era is new.
+    fn read(&mut self, store: &EraStore, now_ms: u64) {
+        match self.read_up_to {
+            Some(read_up_to) if read_up_to.era == store.era => {
+                for change in store.changes(read_up_to.number) {
+                    self.registry.apply(change, None);
                 }
-                self.book.advance(store.revision());
+                self.registry.advance(store.revision());
             }
             before => {
                 let kept_until_ms = before.map(|_| now_ms + KEPT_MS);
-                self.book
+                self.registry
                     .replace(store.listing(), store.revision(), kept_until_ms);
             }
         }
-        self.heard = Some(store.revision());
+        self.read_up_to = Some(store.revision());
     }
 
-    fn note_left(&mut self) {
+    fn note_draining(&mut self) {
         let draining = self
-            .book
+            .registry
             .iter()
             .filter(|(_, entry)| entry.record.state == EndpointState::Draining);
         let draining: Vec<EndpointId> = draining.map(|(id, _)| id).collect();
-        self.left.extend(draining);
+        self.drained.extend(draining);
     }
 
     fn ready(&self) -> BTreeSet<EndpointId> {
-        self.book.ready("x").iter().map(|ready| ready.id).collect()
+        self.registry
+            .ready("x")
+            .iter()
+            .map(|ready| ready.id)
+            .collect()
     }
 }
 
 #[derive(Debug, Clone, Copy)]
 enum EraStep {
-    Begin(usize),
+    Start(usize),
     Drain(usize),
     End(usize),
     Copy,
-    /// From which of the copies, counted from the newest.
-    Return(usize),
-    WriteAgain(usize),
-    Hear(usize),
-    Tell(usize, usize),
-    /// What a box told before comes late.
-    TellLate(usize, usize),
+    /// Restores the store from a copy, counted from the newest.
+    Restore(usize),
+    Rewrite(usize),
+    Read(usize),
+    Update(usize, usize),
+    /// An earlier update of a box arrives late.
+    UpdateLate(usize, usize),
     Restart(usize),
     Wait(u64),
 }
 
 fn step(boxes: usize) -> impl Strategy<Value = EraStep> {
     prop_oneof![
-        2 => (0..ENDPOINTS).prop_map(EraStep::Begin),
+        2 => (0..ENDPOINTS).prop_map(EraStep::Start),
         2 => (0..ENDPOINTS).prop_map(EraStep::Drain),
         2 => (0..ENDPOINTS).prop_map(EraStep::End),
         2 => Just(EraStep::Copy),
-        2 => (0..4_usize).prop_map(EraStep::Return),
-        3 => (0..ENDPOINTS).prop_map(EraStep::WriteAgain),
-        6 => (0..boxes).prop_map(EraStep::Hear),
-        6 => (0..boxes, 0..boxes).prop_map(|(from, to)| EraStep::Tell(from, to)),
-        2 => (0..boxes, 0..boxes).prop_map(|(from, to)| EraStep::TellLate(from, to)),
+        2 => (0..4_usize).prop_map(EraStep::Restore),
+        3 => (0..ENDPOINTS).prop_map(EraStep::Rewrite),
+        6 => (0..boxes).prop_map(EraStep::Read),
+        6 => (0..boxes, 0..boxes).prop_map(|(from, to)| EraStep::Update(from, to)),
+        2 => (0..boxes, 0..boxes).prop_map(|(from, to)| EraStep::UpdateLate(from, to)),
         1 => (0..boxes).prop_map(EraStep::Restart),
         2 => (1..3_000_u64).prop_map(EraStep::Wait),
     ]
 }
 
-/// Lets one box ask another, as boxes do.
-fn tell(boxes: &mut [EraBox], from: usize, to: usize, now_ms: u64) {
-    let known = boxes[to].book.revision();
-    if from == to || boxes[from].book.revision() <= known {
+/// Updates one box from another.
+fn update_box(boxes: &mut [EraBox], from: usize, to: usize, now_ms: u64) {
+    let known = boxes[to].registry.revision();
+    if from == to || boxes[from].registry.revision() <= known {
         return;
     }
-    let news = boxes[from].book.update_since(known, now_ms);
-    if !boxes[to].book.merge(news, now_ms).agrees {
-        let all = boxes[from].book.update_since(StoreRevision::NONE, now_ms);
-        boxes[to].book.merge(all, now_ms);
+    let update = boxes[from].registry.update_since(known, now_ms);
+    if !boxes[to].registry.merge(update, now_ms).agrees {
+        let all = boxes[from]
+            .registry
+            .update_since(StoreRevision::NONE, now_ms);
+        boxes[to].registry.merge(all, now_ms);
     }
 }
 
-/// Lets boxes that follow the store hear it, and each ask the one before it.
-fn keep_in_touch(boxes: &mut [EraBox], store: &EraStore, now_ms: u64) {
-    for known in boxes.iter_mut().filter(|known| known.heard.is_some()) {
-        known.hear(store, now_ms);
+/// Lets the boxes that follow the store read it, and each box update from the previous one.
+fn sync_boxes(boxes: &mut [EraBox], store: &EraStore, now_ms: u64) {
+    for era_box in boxes
+        .iter_mut()
+        .filter(|era_box| era_box.read_up_to.is_some())
+    {
+        era_box.read(store, now_ms);
     }
     for to in 1..boxes.len() {
-        tell(boxes, to - 1, to, now_ms);
+        update_box(boxes, to - 1, to, now_ms);
     }
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 512, ..ProptestConfig::default() })]
 
-    /// Whatever is lost and told late, no box sends anything to a lifetime of which it knew that it leaves; and once
-    /// endpoints have written again, all boxes use those that are ready, and no other ones.
+    /// Guards against boxes that use a lifetime known to drain, and against boxes that differ from
+    /// the store once endpoints have rewritten their records.
     #[test]
-    fn boxes_agree_with_a_store_that_comes_back_from_older_copies(
+    fn boxes_agree_with_a_store_restored_from_older_copies(
         count in 1_usize..7,
         steps in prop::collection::vec(step(6), 1..80),
     ) {
         let mut boxes = vec![EraBox::default(); count];
-        let mut truth = [TrueEndpoint { born_ms: 1, state: Some(EndpointState::Ready) }; ENDPOINTS];
+        let mut actual = [
+            ActualEndpoint { born_ms: 1, state: Some(EndpointState::Ready) };
+            ENDPOINTS
+        ];
         let mut store = EraStore {
             era: 1,
             number: 0,
             items: BTreeMap::new(),
             removed: BTreeMap::new(),
         };
-        (0..ENDPOINTS).for_each(|at| store.write(at, truth[at]));
+        (0..ENDPOINTS).for_each(|at| store.write(at, actual[at]));
         let mut copies = vec![store.clone()];
         let mut late: Vec<EndpointUpdate> = Vec::new();
-        let (mut now_ms, mut born_ms, mut returned_ms) = (1_000, 1, 1_000);
+        let (mut now_ms, mut born_ms, mut restored_ms) = (1_000, 1, 1_000);
         for step in steps {
             match step {
-                EraStep::Begin(at) => {
+                EraStep::Start(at) => {
                     born_ms += 1;
-                    truth[at] = TrueEndpoint { born_ms, state: Some(EndpointState::Ready) };
-                    store.write(at, truth[at]);
+                    actual[at] = ActualEndpoint { born_ms, state: Some(EndpointState::Ready) };
+                    store.write(at, actual[at]);
                 }
-                EraStep::Drain(at) if truth[at].state.is_some() => {
-                    truth[at].state = Some(EndpointState::Draining);
-                    store.write(at, truth[at]);
+                EraStep::Drain(at) if actual[at].state.is_some() => {
+                    actual[at].state = Some(EndpointState::Draining);
+                    store.write(at, actual[at]);
                 }
                 EraStep::Drain(_) => {}
                 EraStep::End(at) => {
-                    truth[at].state = None;
-                    store.write(at, truth[at]);
+                    actual[at].state = None;
+                    store.write(at, actual[at]);
                 }
                 EraStep::Copy => copies.push(store.clone()),
-                EraStep::Return(back) => {
+                EraStep::Restore(back) => {
                     let copy = &copies[copies.len().saturating_sub(back + 1)];
                     store = EraStore { era: store.era + 1, ..copy.clone() };
-                    returned_ms = now_ms;
+                    restored_ms = now_ms;
                 }
-                EraStep::WriteAgain(at) => store.write(at, truth[at]),
-                EraStep::Hear(at) => boxes[at % count].hear(&store, now_ms),
-                EraStep::Tell(from, to) => {
+                EraStep::Rewrite(at) => store.write(at, actual[at]),
+                EraStep::Read(at) => boxes[at % count].read(&store, now_ms),
+                EraStep::Update(from, to) => {
                     let (from, to) = (from % count, to % count);
-                    late.push(boxes[from].book.update_since(StoreRevision::NONE, now_ms));
-                    tell(&mut boxes, from, to, now_ms);
+                    late.push(boxes[from].registry.update_since(StoreRevision::NONE, now_ms));
+                    update_box(&mut boxes, from, to, now_ms);
                 }
-                EraStep::TellLate(from, to) if !late.is_empty() => {
-                    let news = late[from % late.len()].clone();
-                    boxes[to % count].book.merge(news, now_ms);
+                EraStep::UpdateLate(from, to) if !late.is_empty() => {
+                    let update = late[from % late.len()].clone();
+                    boxes[to % count].registry.merge(update, now_ms);
                 }
-                EraStep::TellLate(..) => {}
+                EraStep::UpdateLate(..) => {}
                 EraStep::Restart(at) => boxes[at % count] = EraBox::default(),
                 EraStep::Wait(ms) => {
                     let end_ms = now_ms + ms;
                     while now_ms < end_ms {
-                        now_ms = end_ms.min(now_ms + HEARD_MS);
-                        for (at, endpoint) in truth.iter().enumerate() {
+                        now_ms = end_ms.min(now_ms + SYNC_MS);
+                        for (at, endpoint) in actual.iter().enumerate() {
                             let due_ms = match endpoint.state {
-                                Some(_) => WRITTEN_MS,
-                                None => GONE_MS,
+                                Some(_) => REWRITE_MS,
+                                None => EXPIRY_MS,
                             };
-                            if now_ms >= returned_ms + due_ms {
+                            if now_ms >= restored_ms + due_ms {
                                 store.write(at, *endpoint);
                             }
                         }
-                        keep_in_touch(&mut boxes, &store, now_ms);
-                        boxes.iter_mut().for_each(|known| drop(known.book.expire(now_ms)));
+                        sync_boxes(&mut boxes, &store, now_ms);
+                        boxes.iter_mut().for_each(|era_box| drop(era_box.registry.expire(now_ms)));
                     }
                 }
             }
-            for known in &mut boxes {
-                known.book.expire(now_ms);
-                known.note_left();
-                let ready = known.ready();
-                prop_assert!(ready.is_disjoint(&known.left), "{step:?}");
+            for era_box in &mut boxes {
+                era_box.registry.expire(now_ms);
+                era_box.note_draining();
+                let ready = era_box.ready();
+                prop_assert!(ready.is_disjoint(&era_box.drained), "{step:?}");
             }
         }
-        // Endpoints write again, records of those that have ended lapse, and boxes hear of it in turns.
-        (0..ENDPOINTS).for_each(|at| store.write(at, truth[at]));
+        // Endpoints rewrite their records, those of ended ones expire, and boxes receive the
+        // changes.
+        (0..ENDPOINTS).for_each(|at| store.write(at, actual[at]));
         for _ in 0..6 {
             now_ms += KEPT_MS;
-            boxes[0].hear(&store, now_ms);
-            keep_in_touch(&mut boxes, &store, now_ms);
-            boxes.iter_mut().for_each(|known| drop(known.book.expire(now_ms)));
+            boxes[0].read(&store, now_ms);
+            sync_boxes(&mut boxes, &store, now_ms);
+            boxes.iter_mut().for_each(|era_box| drop(era_box.registry.expire(now_ms)));
         }
-        let ready = truth.iter().enumerate().filter(|(_, endpoint)| {
+        let ready = actual.iter().enumerate().filter(|(_, endpoint)| {
             endpoint.state == Some(EndpointState::Ready)
         });
         let ready: BTreeSet<EndpointId> = ready
             .map(|(at, endpoint)| EndpointId::of_life(&format!("e{at}"), Some(endpoint.born_ms)))
             .collect();
-        for (at, known) in boxes.iter().enumerate() {
-            prop_assert_eq!(&known.ready(), &ready, "box {}", at);
+        for (at, era_box) in boxes.iter().enumerate() {
+            prop_assert_eq!(&era_box.ready(), &ready, "box {}", at);
         }
     }
 }
--- a/dockgate-core/src/gateway/endpoint_registry/lifetime_history.rs
+++ b/dockgate-core/src/gateway/endpoint_registry/lifetime_history.rs
@@ -1,70 +1,72 @@
-//! What is remembered of endpoints beside the lifetimes that the book has.
+//! Removed endpoints and deferred records.
 
 use super::endpoint_update::ReportedEndpoint;
 use crate::gateway::route_table::{EndpointName, EndpointRecord};
 use crate::gateway::store_revision::StoreRevision;
 use std::collections::{HashMap, HashSet};
 
-/// Which endpoints were removed, and records of earlier lifetimes that came after later ones.
+/// The endpoints that were removed, and the records whose use is deferred.
 #[derive(Debug, Clone, Default)]
 pub(super) struct LifetimeHistory {
     removed: HashMap<EndpointName, LastLifetime>,
-    /// The newest revision of a removal that is not remembered any more.
+    /// The newest revision among the removals that were dropped.
     forgotten: StoreRevision,
-    aside: HashMap<EndpointName, DeferredRecord>,
+    deferred: HashMap<EndpointName, DeferredRecord>,
 }
 
-/// The last that is known of an endpoint.
+/// The last known state of an endpoint.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(super) struct LastLifetime {
-    /// The revision of the last thing that happened to its record.
+    /// The newest revision at which its record was written, removed or found missing.
     pub(super) revision: StoreRevision,
-    /// When its last lifetime started.
-    pub(super) born_ms: Option<u64>,
+    /// When its last lifetime started, in Unix milliseconds.
+    pub(super) started_ms: Option<u64>,
 }
 
-/// A record of a lifetime that started before the one that is known, and was written after that one's; or of one that
-/// had left, in a copy of the store from before that.
+/// A record that is not used until its delay is over.
+///
+/// Its lifetime started before the current one although it was written later, or had ended before
+/// the store was restored from an older copy.
 #[derive(Debug, Clone)]
 struct DeferredRecord {
     record: EndpointRecord,
     revision: StoreRevision,
-    /// For how long it has to be the newest until it is believed, in milliseconds.
-    wait_ms: u64,
-    /// Since when it has been the newest; named when the time is looked at first.
+    /// How long it has to stay the newest until it is adopted, in milliseconds.
+    delay_ms: u64,
+    /// Since when it has been the newest; set by the first check of its delay.
     since_ms: Option<u64>,
 }
 
 impl LifetimeHistory {
-    /// How many removed endpoints are remembered.
-    const MOST_REMOVED: usize = 4_096;
-    /// After how long, in milliseconds, the record of an earlier start is believed where the later lifetime has
-    /// written nothing since. A write that was carried out late is overwritten by the next one of the lifetime
-    /// that lives, about 1.2 s later; where that does not come, the clock by which endpoints tell their starts
-    /// went back, and to wait on would leave a sound endpoint unused. A bound.
-    const ADOPT_MS: u64 = 2_000;
-
-    /// The same, in milliseconds, for a lifetime that had left when the store came back from an older copy: its record
-    /// is there again, and goes when nobody has written it three times, about 1.2 s apart. A bound.
-    const RETURN_MS: u64 = 5_000;
-
-    /// Returns the newest revision of a removal that is not remembered any more.
+    /// The maximum number of removed endpoints that are remembered.
+    const MAX_REMOVED: usize = 4_096;
+    /// How long the record of an earlier lifetime is deferred, in milliseconds.
+    ///
+    /// A live endpoint overwrites a late write of its earlier lifetime with its next renewal. If
+    /// none comes, the endpoint's clock went back between two starts and the record is current.
+    const ADOPTION_DELAY_MS: u64 = 2_000;
+
+    /// How long the record of an ended lifetime is deferred after the store was restored from an
+    /// older copy, in milliseconds. It expires in the store sooner unless its endpoint renews it.
+    const RESTORED_DELAY_MS: u64 = 5_000;
+
+    /// Returns the newest revision among the removals that were dropped.
     pub(super) const fn forgotten(&self) -> StoreRevision {
         self.forgotten
     }
 
-    /// Tells whether an endpoint was removed at this revision or later.
+    /// Returns whether an endpoint was removed at this revision or later.
     pub(super) fn is_removed(&self, name: EndpointName, revision: StoreRevision) -> bool {
         let removed = self.removed.get(&name);
         removed.is_some_and(|removed| removed.revision >= revision)
     }
 
-    /// Returns the last that was known of an endpoint that was removed.
+    /// Returns the last known state of a removed endpoint.
     pub(super) fn removed(&self, name: EndpointName) -> LastLifetime {
         self.removed.get(&name).copied().unwrap_or_default()
     }
 
-    /// Lists what was removed after a revision.
+    /// Returns the endpoints that were removed after a revision.
     pub(super) fn removed_after(
         &self,
         revision: StoreRevision,
@@ -73,123 +75,121 @@
         removed.filter(move |(_, removed)| removed.revision > revision)
     }
 
-    /// Remembers that an endpoint was removed; forgets the oldest where there are too many.
-    pub(super) fn note_removed(&mut self, name: EndpointName, life: LastLifetime) {
-        if self.removed.len() >= Self::MOST_REMOVED {
+    /// Records the removal of an endpoint and drops the oldest one if there are too many.
+    pub(super) fn record_removal(&mut self, name: EndpointName, last: LastLifetime) {
+        if self.removed.len() >= Self::MAX_REMOVED {
             let oldest = self.removed.iter();
             let oldest = oldest.min_by_key(|(_, removed)| removed.revision);
-            if let Some((name, revision)) = oldest.map(|(name, life)| (*name, life.revision)) {
+            if let Some((name, revision)) = oldest.map(|(name, last)| (*name, last.revision)) {
                 self.removed.remove(&name);
                 self.forgotten = self.forgotten.max(revision);
             }
         }
         let removed = self.removed.entry(name).or_default();
-        removed.revision = life.revision.max(removed.revision);
-        removed.born_ms = life.born_ms.max(removed.born_ms);
+        removed.revision = last.revision.max(removed.revision);
+        removed.started_ms = last.started_ms.max(removed.started_ms);
     }
 
-    /// Keeps a record of an earlier start for the case that it stays the newest.
-    pub(super) fn set_aside(&mut self, record: EndpointRecord, revision: StoreRevision) {
-        self.keep_aside(record, revision, Self::ADOPT_MS);
+    /// Defers a record of an earlier lifetime, to be adopted if it stays the newest.
+    pub(super) fn defer(&mut self, record: EndpointRecord, revision: StoreRevision) {
+        self.defer_for(record, revision, Self::ADOPTION_DELAY_MS);
     }
 
-    /// Keeps the record of a lifetime that had left, or whose place another one had taken, when it is in an older copy of
-    /// the store.
-    pub(super) fn set_aside_returned(&mut self, record: EndpointRecord, revision: StoreRevision) {
-        self.keep_aside(record, revision, Self::RETURN_MS);
+    /// Defers a record of an ended or superseded lifetime that a restored store contains.
+    pub(super) fn defer_restored(&mut self, record: EndpointRecord, revision: StoreRevision) {
+        self.defer_for(record, revision, Self::RESTORED_DELAY_MS);
     }
 
-    /// Tells whether a record that is listed is one of a lifetime that had left in an earlier era of the store, and
-    /// nothing says that it was written since the store came back.
-    pub(super) fn is_returned(&self, record: &EndpointRecord, revision: StoreRevision) -> bool {
+    /// Returns whether a listed record belongs to a lifetime that had ended in an earlier era and
+    /// is not known to have been written since the store was restored.
+    pub(super) fn is_restored(&self, record: &EndpointRecord, revision: StoreRevision) -> bool {
         let name = record.name();
-        let had_left = self.removed.get(&name).is_some_and(|removed| {
-            removed.revision.era < revision.era && removed.born_ms == record.born_ms
+        let had_ended = self.removed.get(&name).is_some_and(|removed| {
+            removed.revision.era < revision.era && removed.started_ms == record.born_ms
         });
-        let aside = self.aside.get(&name);
-        let is_written = aside
-            .is_some_and(|aside| aside.revision.era == revision.era && aside.revision < revision);
-        had_left && !is_written
+        let deferred = self.deferred.get(&name);
+        let is_written = deferred
+            .is_some_and(|known| known.revision.era == revision.era && known.revision < revision);
+        had_ended && !is_written
     }
 
-    fn keep_aside(&mut self, record: EndpointRecord, revision: StoreRevision, wait_ms: u64) {
+    fn defer_for(&mut self, record: EndpointRecord, revision: StoreRevision, delay_ms: u64) {
         let name = record.name();
-        let known = self.aside.get(&name);
+        let known = self.deferred.get(&name);
         if known.is_none_or(|known| known.revision < revision) {
-            // Each return of the store brings it back anew.
+            // The delay starts again whenever the store is restored.
             let known = known.filter(|known| known.revision.era == revision.era);
             let since_ms = known.and_then(|known| known.since_ms);
-            let aside = DeferredRecord {
+            let deferred = DeferredRecord {
                 record,
                 revision,
-                wait_ms,
+                delay_ms,
                 since_ms,
             };
-            self.aside.insert(name, aside);
+            self.deferred.insert(name, deferred);
         }
     }
 
-    /// Keeps a record that another box does not use for so many more milliseconds.
-    pub(super) fn set_aside_told(
+    /// Defers a record for the time that another box reported.
+    pub(super) fn defer_reported(
         &mut self,
         record: EndpointRecord,
         revision: StoreRevision,
-        waits_ms: u64,
+        delay_ms: u64,
     ) {
-        self.keep_aside(record, revision, waits_ms);
+        self.defer_for(record, revision, delay_ms);
     }
 
-    /// Lists what is put aside and came after a revision, as another box is told of it.
-    pub(super) fn aside_after(
+    /// Returns reports of the deferred records that are newer than a revision.
+    pub(super) fn deferred_after(
         &self,
         after: StoreRevision,
         now_ms: u64,
     ) -> impl Iterator<Item = ReportedEndpoint> {
-        let aside = self.aside.values();
-        let aside = aside.filter(move |aside| aside.revision > after);
-        aside.map(move |aside| {
-            let passed_ms = aside
+        let deferred = self.deferred.values();
+        let deferred = deferred.filter(move |deferred| deferred.revision > after);
+        deferred.map(move |deferred| {
+            let elapsed_ms = deferred
                 .since_ms
                 .map_or(0, |since_ms| now_ms.saturating_sub(since_ms));
             ReportedEndpoint {
-                record: aside.record.clone(),
-                revision: aside.revision,
-                doubt: None,
-                waits_ms: Some(aside.wait_ms.saturating_sub(passed_ms)),
+                record: deferred.record.clone(),
+                revision: deferred.revision,
+                unconfirmed: None,
+                delay_ms: Some(deferred.delay_ms.saturating_sub(elapsed_ms)),
             }
         })
     }
 
-    /// Drops what was put aside of endpoints that are not among those listed at a revision.
-    pub(super) fn keep_aside_only(
+    /// Drops the deferred records of endpoints that are missing from a list made at a revision.
+    pub(super) fn retain_deferred(
         &mut self,
         listed: &HashSet<EndpointName>,
         revision: StoreRevision,
     ) {
-        self.aside
-            .retain(|name, aside| listed.contains(name) || aside.revision > revision);
+        self.deferred
+            .retain(|name, deferred| listed.contains(name) || deferred.revision > revision);
     }
 
-    /// Drops what was put aside of an endpoint, where something newer is known.
-    pub(super) fn drop_aside(&mut self, name: EndpointName, revision: StoreRevision) {
-        let aside = self.aside.get(&name);
-        if aside.is_some_and(|aside| aside.revision <= revision) {
-            self.aside.remove(&name);
+    /// Drops the deferred record of an endpoint unless it is newer than a revision.
+    pub(super) fn drop_deferred(&mut self, name: EndpointName, revision: StoreRevision) {
+        let deferred = self.deferred.get(&name);
+        if deferred.is_some_and(|deferred| deferred.revision <= revision) {
+            self.deferred.remove(&name);
         }
     }
 
-    /// Takes the records that have been the newest for long enough to be believed.
-    pub(super) fn take_adopted(&mut self, now_ms: u64) -> Vec<(EndpointRecord, StoreRevision)> {
-        for aside in self.aside.values_mut() {
-            aside.since_ms.get_or_insert(now_ms);
+    /// Removes and returns the deferred records whose delay is over.
+    pub(super) fn take_due(&mut self, now_ms: u64) -> Vec<(EndpointRecord, StoreRevision)> {
+        for deferred in self.deferred.values_mut() {
+            deferred.since_ms.get_or_insert(now_ms);
         }
-        let is_due = |aside: &DeferredRecord| {
-            let since_ms = aside.since_ms.unwrap_or(now_ms);
-            now_ms >= since_ms + aside.wait_ms
+        let is_due = |deferred: &DeferredRecord| {
+            let since_ms = deferred.since_ms.unwrap_or(now_ms);
+            now_ms >= since_ms + deferred.delay_ms
         };
-        let adopted = self.aside.extract_if(|_, aside| is_due(aside));
-        adopted
-            .map(|(_, aside)| (aside.record, aside.revision))
+        let due = self.deferred.extract_if(|_, deferred| is_due(deferred));
+        due.map(|(_, deferred)| (deferred.record, deferred.revision))
             .collect()
     }
 }
--- a/dockgate-core/src/gateway/endpoint_registry/notice_tests.rs
+++ b/dockgate-core/src/gateway/endpoint_registry/notice_tests.rs
@@ -6,7 +6,7 @@
     rest: None,
 };
 
-/// Names a revision of a store that names no era.
+/// Creates a revision of a store that reports no era.
 const fn at(number: u64) -> StoreRevision {
     StoreRevision::new(0, number)
 }
@@ -28,88 +28,98 @@
     EndpointChange::Put(record(born_ms, EndpointState::Ready), at(revision))
 }
 
-fn takes_work(book: &EndpointRegistry, id: EndpointId) -> bool {
-    book.ready("x").iter().any(|ready| ready.id == id)
+fn is_ready(registry: &EndpointRegistry, id: EndpointId) -> bool {
+    registry.ready("x").iter().any(|ready| ready.id == id)
 }
 
-/// What may happen to the record of an endpoint after it has said that it leaves.
+/// An event of an endpoint's record after the endpoint announced that it leaves.
 #[derive(Debug, Clone, Copy)]
-enum RecordFault {
+enum RecordEvent {
     WrittenReady,
     Removed,
     Lapsed,
     Unusable,
     ListedWithout,
-    ToldByAnother,
+    ReportedByAnother,
     Time,
 }
 
-fn fault() -> impl Strategy<Value = RecordFault> {
+fn event() -> impl Strategy<Value = RecordEvent> {
     prop::sample::select(vec![
-        RecordFault::WrittenReady,
-        RecordFault::Removed,
-        RecordFault::Lapsed,
-        RecordFault::Unusable,
-        RecordFault::ListedWithout,
-        RecordFault::ToldByAnother,
-        RecordFault::Time,
+        RecordEvent::WrittenReady,
+        RecordEvent::Removed,
+        RecordEvent::Lapsed,
+        RecordEvent::Unusable,
+        RecordEvent::ListedWithout,
+        RecordEvent::ReportedByAnother,
+        RecordEvent::Time,
     ])
 }
 
 proptest! {
-    /// Whatever becomes of its record, a lifetime that has said that it leaves takes nothing more; the next one under
-    /// its id does from its first record on.
+    /// Guards against requests to a leaving lifetime after its record changed; the next lifetime
+    /// under the id is used from its first record on.
     #[test]
-    fn that_a_lifetime_leaves_is_final(faults in prop::collection::vec(fault(), 0..40)) {
-        let mut book = EndpointRegistry::default();
+    fn leaving_is_final_for_a_lifetime(events in prop::collection::vec(event(), 0..40)) {
+        let mut registry = EndpointRegistry::default();
         let id = record(1, EndpointState::Ready).key();
         let mut now_ms = 1_000;
         let mut revision = 1;
-        book.apply(put(1, revision), None);
-        prop_assert!(takes_work(&book, id));
-        book.receive_notice(id, LEAVES, now_ms, 0.0);
-        prop_assert!(!takes_work(&book, id));
-        for fault in faults {
+        registry.apply(put(1, revision), None);
+        prop_assert!(is_ready(&registry, id));
+        registry.receive_notice(id, LEAVES, now_ms, 0.0);
+        prop_assert!(!is_ready(&registry, id));
+        for event in events {
             revision += 1;
             let removed = EndpointChange::Removed("e".to_owned(), at(revision));
-            match fault {
-                RecordFault::WrittenReady => drop(book.apply(put(1, revision), None)),
-                RecordFault::Removed => drop(book.apply(removed, None)),
-                RecordFault::Lapsed => drop(book.apply(removed, Some(now_ms + 2_000))),
-                RecordFault::Unusable => {
-                    book.apply(EndpointChange::Unusable("e".to_owned(), at(revision)), None);
+            match event {
+                RecordEvent::WrittenReady => drop(registry.apply(put(1, revision), None)),
+                RecordEvent::Removed => drop(registry.apply(removed, None)),
+                RecordEvent::Lapsed => drop(registry.apply(removed, Some(now_ms + 2_000))),
+                RecordEvent::Unusable => {
+                    registry.apply(EndpointChange::Unusable("e".to_owned(), at(revision)), None);
                 }
-                RecordFault::ListedWithout => drop(book.replace(Vec::new(), at(revision), None)),
-                RecordFault::ToldByAnother => {
+                RecordEvent::ListedWithout =>
+                    drop(registry.replace(Vec::new(), at(revision), None)),
+                RecordEvent::ReportedByAnother => {
                     let mut other = EndpointRegistry::default();
                     other.apply(put(1, revision), None);
-                    book.merge(other.update_since(StoreRevision::NONE, now_ms), now_ms);
+                    registry.merge(other.update_since(StoreRevision::NONE, now_ms), now_ms);
                 }
-                RecordFault::Time => {
+                RecordEvent::Time => {
                     now_ms += 5_000;
-                    book.expire(now_ms);
+                    registry.expire(now_ms);
                 }
             }
-            prop_assert!(!takes_work(&book, id), "{fault:?}");
-            prop_assert!(!book.notices().is_wanted(id, now_ms));
+            prop_assert!(!is_ready(&registry, id), "{event:?}");
+            prop_assert!(!registry.notices().is_wanted(id, now_ms));
         }
         let next = record(2, EndpointState::Ready).key();
-        book.apply(put(2, revision + 1), None);
-        prop_assert!(takes_work(&book, next) && book.notices().is_wanted(next, now_ms));
+        registry.apply(put(2, revision + 1), None);
+        prop_assert!(is_ready(&registry, next) && registry.notices().is_wanted(next, now_ms));
     }
 }
 
 #[test]
-fn where_all_leave_others_have_to_take_their_place() {
-    let mut book = EndpointRegistry::default();
-    assert_eq!(book.availability("x", 1_000), ServiceAvailability::Unknown);
-    book.apply(put(1, 1), None);
-    book.receive_notice(record(1, EndpointState::Ready).key(), LEAVES, 1_000, 0.0);
-    assert_eq!(book.availability("x", 1_000), ServiceAvailability::Leaving);
-    assert_eq!(book.availability("y", 1_000), ServiceAvailability::Unknown);
+fn service_is_leaving_if_all_endpoints_leave() {
+    let mut registry = EndpointRegistry::default();
+    assert_eq!(
+        registry.availability("x", 1_000),
+        ServiceAvailability::Unknown
+    );
+    registry.apply(put(1, 1), None);
+    registry.receive_notice(record(1, EndpointState::Ready).key(), LEAVES, 1_000, 0.0);
+    assert_eq!(
+        registry.availability("x", 1_000),
+        ServiceAvailability::Leaving
+    );
+    assert_eq!(
+        registry.availability("y", 1_000),
+        ServiceAvailability::Unknown
+    );
 }
 
-fn rests(ms: u64) -> EndpointNotice {
+fn backoff_notice(ms: u64) -> EndpointNotice {
     EndpointNotice {
         leaves: false,
         rest: Some(Duration::from_millis(ms)),
@@ -117,86 +127,89 @@
 }
 
 #[test]
-fn where_all_rest_the_first_end_is_told() {
-    let mut book = EndpointRegistry::default();
+fn availability_reports_the_first_end_of_a_backoff() {
+    let mut registry = EndpointRegistry::default();
     let ids = ["e", "f"].map(|id| {
         let record = EndpointRecord {
             id: id.to_owned(),
             ..record(1, EndpointState::Ready)
         };
         let key = record.key();
-        book.apply(EndpointChange::Put(record, at(1)), None);
+        registry.apply(EndpointChange::Put(record, at(1)), None);
         key
     });
-    book.receive_notice(ids[0], rests(3_000), 1_000, 0.0);
-    assert_eq!(book.availability("x", 1_000), ServiceAvailability::Unknown);
-    assert_eq!(book.eligible("x", 1_000).count(), 1);
-    book.receive_notice(ids[1], rests(2_000), 1_000, 0.0);
-    assert_eq!(book.eligible("x", 1_000).count(), 0);
+    registry.receive_notice(ids[0], backoff_notice(3_000), 1_000, 0.0);
+    assert_eq!(
+        registry.availability("x", 1_000),
+        ServiceAvailability::Unknown
+    );
+    assert_eq!(registry.eligible("x", 1_000).count(), 1);
+    registry.receive_notice(ids[1], backoff_notice(2_000), 1_000, 0.0);
+    assert_eq!(registry.eligible("x", 1_000).count(), 0);
     let left = Duration::from_millis(1_500);
     assert_eq!(
-        book.availability("x", 1_500),
+        registry.availability("x", 1_500),
         ServiceAvailability::BackingOff(left)
     );
-    assert_eq!(book.eligible("x", 3_000).count(), 1);
+    assert_eq!(registry.eligible("x", 3_000).count(), 1);
 }
 
-/// What may happen while an endpoint rests.
+/// An event while an endpoint backs off.
 #[derive(Debug, Clone, Copy)]
-enum RestFault {
+enum BackoffEvent {
     Sign(EndpointSign),
     Sent,
-    RemovedAndWritten,
-    AsksForLess,
+    RemovedAndRewritten,
+    AsksForLessTime,
 }
 
 proptest! {
-    /// Whatever is seen of it, sent to it or becomes of its record, an endpoint gets nothing until its rest is over;
-    /// a failure meanwhile does not make it open sooner, and the next lifetime has asked for none.
+    /// Guards against requests before the end of a backoff; the next lifetime does not inherit it.
     #[test]
-    fn a_rest_ends_with_its_time_alone(
-        faults in prop::collection::vec((0_u8..8, 0_u64..700), 0..30),
+    fn backoff_ends_only_with_its_time(
+        events in prop::collection::vec((0_u8..8, 0_u64..700), 0..30),
         draw in 0.0_f64..1.0,
     ) {
-        let mut book = EndpointRegistry::default();
+        let mut registry = EndpointRegistry::default();
         let id = record(1, EndpointState::Ready).key();
         let mut revision = 1;
-        book.apply(put(1, revision), None);
+        registry.apply(put(1, revision), None);
         let (mut now_ms, end_ms) = (1_000, 4_000);
-        book.receive_notice(id, rests(end_ms - now_ms), now_ms, draw);
-        for (kind, after_ms) in faults {
+        registry.receive_notice(id, backoff_notice(end_ms - now_ms), now_ms, draw);
+        for (kind, after_ms) in events {
             now_ms += after_ms;
-            let fault = match kind {
-                0 => RestFault::Sign(EndpointSign::Answered),
-                1 => RestFault::Sign(EndpointSign::Full),
-                2 => RestFault::Sign(EndpointSign::Failed),
-                3 => RestFault::Sign(EndpointSign::Unreachable),
-                4 => RestFault::Sent,
-                5 => RestFault::AsksForLess,
-                _ => RestFault::RemovedAndWritten,
+            let event = match kind {
+                0 => BackoffEvent::Sign(EndpointSign::Answered),
+                1 => BackoffEvent::Sign(EndpointSign::Full),
+                2 => BackoffEvent::Sign(EndpointSign::Failed),
+                3 => BackoffEvent::Sign(EndpointSign::Unreachable),
+                4 => BackoffEvent::Sent,
+                5 => BackoffEvent::AsksForLessTime,
+                _ => BackoffEvent::RemovedAndRewritten,
             };
-            match fault {
-                RestFault::Sign(sign) => book.note_sign(id, sign, now_ms),
-                RestFault::Sent => book.note_sent(id, now_ms),
-                RestFault::AsksForLess => drop(book.receive_notice(id, rests(1), now_ms, draw)),
-                RestFault::RemovedAndWritten => {
-                    book.apply(EndpointChange::Removed("e".to_owned(), at(revision + 1)), None);
+            match event {
+                BackoffEvent::Sign(sign) => registry.note_sign(id, sign, now_ms),
+                BackoffEvent::Sent => registry.note_sent(id, now_ms),
+                BackoffEvent::AsksForLessTime =>
+                    drop(registry.receive_notice(id, backoff_notice(1), now_ms, draw)),
+                BackoffEvent::RemovedAndRewritten => {
+                    registry.apply(EndpointChange::Removed("e".to_owned(), at(revision + 1)), None);
                     revision += 2;
-                    book.apply(put(1, revision), None);
+                    registry.apply(put(1, revision), None);
                 }
             }
             let is_over = now_ms >= end_ms;
-            prop_assert!(is_over || !book.is_eligible(id, now_ms), "{fault:?} at {now_ms}");
-            prop_assert!(is_over || !book.notices().is_wanted(id, now_ms));
+            prop_assert!(is_over || !registry.is_eligible(id, now_ms), "{event:?} at {now_ms}");
+            prop_assert!(is_over || !registry.notices().is_wanted(id, now_ms));
         }
         let next = record(2, EndpointState::Ready).key();
-        book.apply(put(2, revision + 1), None);
-        prop_assert!(book.is_eligible(next, now_ms));
+        registry.apply(put(2, revision + 1), None);
+        prop_assert!(registry.is_eligible(next, now_ms));
     }
 }
 
-fn told_book(endpoints: u64) -> (EndpointRegistry, Vec<EndpointId>) {
-    let mut book = EndpointRegistry::default();
+fn registry_with(endpoints: u64) -> (EndpointRegistry, Vec<EndpointId>) {
+    let mut registry = EndpointRegistry::default();
     let records = (0..endpoints).map(|number| EndpointRecord {
         id: format!("e{number}"),
         ..record(1, EndpointState::Ready)
@@ -204,42 +217,42 @@
     let records: Vec<EndpointRecord> = records.collect();
     let ids = records.iter().map(EndpointRecord::key).collect();
     for record in records {
-        book.apply(EndpointChange::Put(record, at(1)), None);
+        registry.apply(EndpointChange::Put(record, at(1)), None);
     }
-    (book, ids)
+    (registry, ids)
 }
 
 proptest! {
-    /// Whatever other boxes say, half of a service goes on, and what they say is over after a while.
+    /// Guards against a faulty box that reports all endpoints as leaving.
     #[test]
-    fn the_word_of_others_empties_no_service(
+    fn reports_of_other_boxes_never_empty_a_service(
         endpoints in 1_u64..12,
-        words in prop::collection::vec((0_usize..12, 0_u64..1_000), 0..60),
+        reports in prop::collection::vec((0_usize..12, 0_u64..1_000), 0..60),
     ) {
-        let (mut book, ids) = told_book(endpoints);
+        let (mut registry, ids) = registry_with(endpoints);
         let mut now_ms = 1_000;
-        for (at, after_ms) in words {
+        for (at, after_ms) in reports {
             now_ms += after_ms;
-            book.receive_reported_leave(ids[at % ids.len()], now_ms);
-            let open = book.eligible("x", now_ms).count();
-            prop_assert!(open * 2 >= ids.len(), "{open} of {}", ids.len());
+            registry.receive_reported_leave(ids[at % ids.len()], now_ms);
+            let eligible = registry.eligible("x", now_ms).count();
+            prop_assert!(eligible * 2 >= ids.len(), "{eligible} of {}", ids.len());
         }
-        prop_assert_eq!(book.eligible("x", now_ms + 5_000).count(), ids.len());
+        prop_assert_eq!(registry.eligible("x", now_ms + 5_000).count(), ids.len());
     }
 }
 
 #[test]
-fn what_another_box_says_counts_until_it_is_over() {
-    let (mut book, ids) = told_book(2);
-    assert!(book.receive_reported_leave(ids[0], 1_000));
+fn reported_leave_expires() {
+    let (mut registry, ids) = registry_with(2);
+    assert!(registry.receive_reported_leave(ids[0], 1_000));
     assert!(
-        !book.receive_reported_leave(ids[1], 1_000),
-        "one has to go on"
+        !registry.receive_reported_leave(ids[1], 1_000),
+        "one endpoint has to stay eligible"
     );
-    assert!(!book.is_eligible(ids[0], 5_999));
+    assert!(!registry.is_eligible(ids[0], 5_999));
     assert!(
-        book.notices().is_wanted(ids[0], 1_000),
-        "what was decided before is sent"
+        registry.notices().is_wanted(ids[0], 1_000),
+        "requests that were placed before are sent"
     );
-    assert!(book.is_eligible(ids[0], 6_000));
+    assert!(registry.is_eligible(ids[0], 6_000));
 }
--- a/dockgate-core/src/gateway/endpoint_registry/service_availability.rs
+++ b/dockgate-core/src/gateway/endpoint_registry/service_availability.rs
@@ -1,14 +1,14 @@
-//! When a service may have an endpoint that takes work, where none does now.
+//! When a service that has no eligible endpoint may have one again.
 
 use std::time::Duration;
 
-/// What is known of that.
+/// The expected availability of a service that has no eligible endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ServiceAvailability {
-    /// Nothing is.
+    /// Nothing is known.
     Unknown,
-    /// Those that are known leave, or their records name none to use: others have to take their place.
+    /// All known endpoints are leaving or have unusable records, and replacements have to start.
     Leaving,
-    /// All have asked this box for rest; the first is back after so long.
+    /// All endpoints have asked this box to back off; the first backoff ends after this time.
     BackingOff(Duration),
 }
--- a/dockgate-core/src/gateway/endpoint_registry/tests.rs
+++ b/dockgate-core/src/gateway/endpoint_registry/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use proptest::prelude::*;
 
-/// Names a revision of a store that names no era.
+/// Creates a revision of a store that reports no era.
 const fn at(number: u64) -> StoreRevision {
     StoreRevision::new(0, number)
 }
@@ -24,258 +24,277 @@
 }
 
 #[test]
-fn an_older_record_never_replaces_a_newer_one() {
-    let mut book = EndpointRegistry::default();
-    assert!(book.apply(
+fn older_record_never_replaces_a_newer_one() {
+    let mut registry = EndpointRegistry::default();
+    assert!(registry.apply(
         EndpointChange::Put(record("e", EndpointState::Draining), at(9)),
         None
     ));
-    assert!(!book.apply(put("e", 8), None));
-    assert_eq!(book.ready("x").len(), 0);
+    assert!(!registry.apply(put("e", 8), None));
+    assert_eq!(registry.ready("x").len(), 0);
 }
 
 #[test]
-fn a_removed_endpoint_is_not_brought_back_by_a_late_record() {
-    let mut book = EndpointRegistry::default();
-    book.apply(put("e", 3), None);
-    assert!(book.apply(EndpointChange::Removed("e".to_owned(), at(5)), None));
-    assert!(!book.apply(put("e", 4), None));
-    assert!(book.apply(put("e", 6), None));
+fn removed_endpoint_is_not_restored_by_a_late_record() {
+    let mut registry = EndpointRegistry::default();
+    registry.apply(put("e", 3), None);
+    assert!(registry.apply(EndpointChange::Removed("e".to_owned(), at(5)), None));
+    assert!(!registry.apply(put("e", 4), None));
+    assert!(registry.apply(put("e", 6), None));
 }
 
 #[test]
-fn a_record_that_lapsed_while_the_store_was_away_is_kept_for_a_moment() {
-    let mut book = EndpointRegistry::default();
-    book.apply(put("back", 3), None);
-    book.apply(put("gone", 3), None);
-    book.replace(Vec::new(), at(10), Some(2_000));
-    assert_eq!(book.ready("x").len(), 2);
-    book.apply(put("back", 11), None);
-    assert!(book.expire(1_999).is_empty());
-    assert_eq!(book.expire(2_000).lapsed, ["gone"]);
-    assert_eq!(book.ready("x").len(), 1);
+fn record_that_expired_during_an_outage_is_kept_until_its_deadline() {
+    let mut registry = EndpointRegistry::default();
+    registry.apply(put("back", 3), None);
+    registry.apply(put("gone", 3), None);
+    registry.replace(Vec::new(), at(10), Some(2_000));
+    assert_eq!(registry.ready("x").len(), 2);
+    registry.apply(put("back", 11), None);
+    assert!(registry.expire(1_999).is_empty());
+    assert_eq!(registry.expire(2_000).lapsed, ["gone"]);
+    assert_eq!(registry.ready("x").len(), 1);
 }
 
 #[test]
-fn an_endpoint_that_was_draining_is_gone_at_once() {
-    let mut book = EndpointRegistry::default();
-    book.apply(
+fn missing_draining_endpoint_is_removed_at_once() {
+    let mut registry = EndpointRegistry::default();
+    registry.apply(
         EndpointChange::Put(record("e", EndpointState::Draining), at(3)),
         None,
     );
-    book.replace(Vec::new(), at(10), Some(2_000));
-    assert_eq!(book.iter().count(), 0);
+    registry.replace(Vec::new(), at(10), Some(2_000));
+    assert_eq!(registry.iter().count(), 0);
 }
 
 proptest! {
-    /// Whatever the order in which changes of one endpoint arrive, the newest decides.
     #[test]
-    fn the_newest_change_decides(order in Just((1_u64..9).collect::<Vec<_>>()).prop_shuffle()) {
-        let mut book = EndpointRegistry::default();
+    fn newest_change_wins_in_any_order(
+        order in Just((1_u64..9).collect::<Vec<_>>()).prop_shuffle(),
+    ) {
+        let mut registry = EndpointRegistry::default();
         let id = EndpointId::from_name("e");
         for revision in &order {
             let change = match revision % 4 {
                 0 => EndpointChange::Removed("e".to_owned(), at(*revision)),
                 _ => put("e", *revision),
             };
-            book.apply(change, None);
+            registry.apply(change, None);
         }
-        prop_assert!(book.get(id).is_none(), "revision 8 removed it");
+        prop_assert!(registry.get(id).is_none(), "revision 8 removed it");
     }
 }
 
 proptest! {
-    /// What is looked up for requests is what stands in the records, whatever came and went.
+    /// Guards against an index that is stale after a change.
     #[test]
-    fn what_takes_work_is_what_the_records_say(
+    fn ready_index_matches_the_records(
         changes in prop::collection::vec((0_usize..4, 0_u8..4, 0_u64..9, 1_u64..20), 1..60),
     ) {
-        let mut book = EndpointRegistry::default();
+        let mut registry = EndpointRegistry::default();
         for (name, kind, kept, revision) in changes {
             let id = ["e", "f", "g", "h"][name];
             let kept_until_ms = (kept > 5).then_some(kept * 100);
             match kind {
-                0 => drop(book.apply(EndpointChange::Removed(id.to_owned(), at(revision)), kept_until_ms)),
+                0 => drop(
+                    registry.apply(EndpointChange::Removed(id.to_owned(), at(revision)), kept_until_ms),
+                ),
                 1 => {
                     let draining = record(id, EndpointState::Draining);
-                    book.apply(EndpointChange::Put(draining, at(revision)), kept_until_ms);
+                    registry.apply(EndpointChange::Put(draining, at(revision)), kept_until_ms);
                 }
                 2 => {
                     let listed = vec![put(id, revision)];
-                    book.replace(listed, at(revision), kept_until_ms);
+                    registry.replace(listed, at(revision), kept_until_ms);
                 }
-                _ => drop(book.apply(put(id, revision), kept_until_ms)),
+                _ => drop(registry.apply(put(id, revision), kept_until_ms)),
             }
-            book.expire(revision * 40);
-            let ready: Vec<EndpointId> = book.ready("x").iter().map(|ready| ready.id).collect();
-            let entries = book.iter();
+            registry.expire(revision * 40);
+            let ready: Vec<EndpointId> = registry.ready("x").iter().map(|ready| ready.id).collect();
+            let entries = registry.iter();
             let entries = entries.filter(|(_, entry)| entry.record.state == EndpointState::Ready);
-            let stands: Vec<EndpointId> = entries.map(|(id, _)| id).collect();
-            prop_assert_eq!(ready, stands);
+            let expected: Vec<EndpointId> = entries.map(|(id, _)| id).collect();
+            prop_assert_eq!(ready, expected);
         }
     }
 }
 
 #[test]
-fn a_domain_that_is_cut_off_gets_nothing_until_one_of_its_endpoints_answers() {
-    let mut book = EndpointRegistry::default();
+fn unreachable_domain_is_ineligible_until_one_of_its_endpoints_answers() {
+    let mut registry = EndpointRegistry::default();
     for (revision, id) in ["e", "f", "g"].into_iter().enumerate() {
-        book.apply(put(id, revision as u64 + 1), None);
+        registry.apply(put(id, revision as u64 + 1), None);
     }
     let [e, f, g] = ["e", "f", "g"].map(EndpointId::from_name);
-    book.note_sign(e, EndpointSign::Silent, 1_000);
+    registry.note_sign(e, EndpointSign::Silent, 1_000);
     assert_eq!(
-        book.eligible("x", 1_000).count(),
+        registry.eligible("x", 1_000).count(),
         2,
-        "one alone may be down"
+        "a single silent endpoint may be down"
     );
-    book.note_sign(f, EndpointSign::Unreachable, 1_000);
-    book.note_sign(f, EndpointSign::Silent, 1_000);
+    registry.note_sign(f, EndpointSign::Unreachable, 1_000);
+    registry.note_sign(f, EndpointSign::Silent, 1_000);
     assert_eq!(
-        book.eligible("x", 1_000).count(),
+        registry.eligible("x", 1_000).count(),
         1,
-        "what refuses has answered"
+        "a refused connection is an answer"
+    );
+    registry.note_reach(e, false);
+    assert_eq!(registry.eligible("x", 1_000).count(), 0);
+    assert_eq!(
+        registry.ready("x").len(),
+        3,
+        "ready endpoints are the last resort"
     );
-    book.note_reach(e, false);
-    assert_eq!(book.eligible("x", 1_000).count(), 0);
-    assert_eq!(book.ready("x").len(), 3, "the last resort");
-    book.note_reach(g, true);
-    let open: Vec<EndpointId> = book.eligible("x", 60_000).map(|(id, _)| id).collect();
-    assert_eq!(open.len(), 3, "those that were silent are tried again");
+    registry.note_reach(g, true);
+    let eligible: Vec<EndpointId> = registry.eligible("x", 60_000).map(|(id, _)| id).collect();
+    assert_eq!(eligible.len(), 3, "silent endpoints are tried again");
 }
 
 #[test]
-fn a_record_that_has_lapsed_at_another_box_is_given_up_here_as_well() {
-    let mut follower = EndpointRegistry::default();
-    follower.apply(put("e", 3), None);
-    follower.apply(EndpointChange::Removed("e".to_owned(), at(5)), Some(2_600));
-    let news = follower.update_since(StoreRevision::NONE, 1_000);
-    let doubt = UnconfirmedRecord {
+fn deadline_of_an_unconfirmed_endpoint_is_reported() {
+    let mut sender = EndpointRegistry::default();
+    sender.apply(put("e", 3), None);
+    sender.apply(EndpointChange::Removed("e".to_owned(), at(5)), Some(2_600));
+    let update = sender.update_since(StoreRevision::NONE, 1_000);
+    let unconfirmed = UnconfirmedRecord {
         revision: at(5),
         lapses_in_ms: 1_600,
     };
-    let first = &news.endpoints[0];
-    assert_eq!((first.revision, first.doubt), (at(3), Some(doubt)));
+    let first = &update.endpoints[0];
+    assert_eq!(
+        (first.revision, first.unconfirmed),
+        (at(3), Some(unconfirmed))
+    );
 
-    let mut told = EndpointRegistry::default();
-    told.apply(put("e", 3), None);
-    told.merge(news, 1_010);
-    assert!(told.expire(2_600).is_empty());
-    assert_eq!(told.expire(2_610).lapsed, ["e"]);
-    assert_eq!(told.ready("x").len(), 0);
+    let mut receiver = EndpointRegistry::default();
+    receiver.apply(put("e", 3), None);
+    receiver.merge(update, 1_010);
+    assert!(receiver.expire(2_600).is_empty());
+    assert_eq!(receiver.expire(2_610).lapsed, ["e"]);
+    assert_eq!(receiver.ready("x").len(), 0);
 }
 
-/// Engines got prompts 4.4 s after they had left. Two failure domains had heard from the store that the
-/// engine's record was gone. The third was cut off just then; its boxes listed the store again 3 s
-/// later, missed the record, and kept it for two seconds more, as records that lapsed in an outage may
-/// come back. They told it on as newer than the removal, and dozens of boxes that had known better
-/// took it back: their logs had it gone twice, first by the store, then as lapsed.
+/// Guards against an unconfirmed endpoint that is reported as newer than its removal: boxes that
+/// had received the removal would restore it.
 #[test]
-fn what_one_box_holds_in_doubt_undoes_nothing_that_is_certain_at_another() {
-    let mut doubting = EndpointRegistry::default();
-    doubting.apply(put("gone", 3), None);
-    doubting.apply(put("back", 4), None);
-    let mut certain = doubting.clone();
-    certain.apply(EndpointChange::Removed("gone".to_owned(), at(5)), None);
-    certain.apply(
+fn unconfirmed_endpoint_replaces_no_confirmed_change() {
+    let mut unconfirmed = EndpointRegistry::default();
+    unconfirmed.apply(put("gone", 3), None);
+    unconfirmed.apply(put("back", 4), None);
+    let mut confirmed = unconfirmed.clone();
+    confirmed.apply(EndpointChange::Removed("gone".to_owned(), at(5)), None);
+    confirmed.apply(
         EndpointChange::Removed("back".to_owned(), at(6)),
         Some(2_600),
     );
-    doubting.replace(Vec::new(), at(7), Some(2_600));
-    certain.apply(put("back", 8), None);
+    unconfirmed.replace(Vec::new(), at(7), Some(2_600));
+    confirmed.apply(put("back", 8), None);
 
-    certain.merge(doubting.update_since(StoreRevision::NONE, 1_000), 1_000);
-    let known: Vec<&str> = certain.iter().map(|(_, entry)| &*entry.record.id).collect();
-    assert_eq!(known, ["back"], "what was removed stays so");
-    assert!(certain.expire(9_000).is_empty(), "what was written stays");
-    doubting.merge(certain.update_since(StoreRevision::NONE, 1_100), 1_100);
-    let known: Vec<&str> = doubting
+    confirmed.merge(unconfirmed.update_since(StoreRevision::NONE, 1_000), 1_000);
+    let known: Vec<&str> = confirmed
+        .iter()
+        .map(|(_, entry)| &*entry.record.id)
+        .collect();
+    assert_eq!(known, ["back"], "removed endpoints stay removed");
+    assert!(
+        confirmed.expire(9_000).is_empty(),
+        "rewritten endpoints stay"
+    );
+    unconfirmed.merge(confirmed.update_since(StoreRevision::NONE, 1_100), 1_100);
+    let known: Vec<&str> = unconfirmed
         .iter()
         .map(|(_, entry)| &*entry.record.id)
         .collect();
-    assert_eq!(known, ["back"], "who knows better ends the doubt");
+    assert_eq!(known, ["back"], "the confirmed removal is merged");
 }
 
-/// One thing that happens to a store's record and to the boxes that know of it.
+/// A step of the simulation of a store's record and the boxes that know it.
 #[derive(Debug, Clone, Copy)]
-enum BookStep {
-    /// The endpoint writes its record anew.
+enum RegistryStep {
+    /// The endpoint rewrites its record.
     Write,
     /// Its record is removed.
     Remove,
-    /// A box hears of all changes that it lacks.
+    /// A box receives all changes that it lacks.
     Watch(usize),
-    /// A box lists the store after an outage: what it misses may have lapsed.
-    ListInDoubt(usize),
-    /// A box learns what another one knows.
-    Learn(usize, usize),
-    /// What is in doubt is given up where its time is over.
+    /// A box lists the store after an outage, when missing records may have expired.
+    ListAfterOutage(usize),
+    /// A box merges an update of another box.
+    Merge(usize, usize),
+    /// Time passes, and unconfirmed endpoints are removed at their deadline.
     Expire(u64),
 }
 
-fn book_step() -> impl Strategy<Value = BookStep> {
+fn registry_step() -> impl Strategy<Value = RegistryStep> {
     prop_oneof![
-        Just(BookStep::Write),
-        Just(BookStep::Remove),
-        (0_usize..3).prop_map(BookStep::Watch),
-        (0_usize..3).prop_map(BookStep::ListInDoubt),
-        (0_usize..3, 0_usize..3).prop_map(|(from, to)| BookStep::Learn(from, to)),
-        (0_u64..1_500).prop_map(BookStep::Expire),
+        Just(RegistryStep::Write),
+        Just(RegistryStep::Remove),
+        (0_usize..3).prop_map(RegistryStep::Watch),
+        (0_usize..3).prop_map(RegistryStep::ListAfterOutage),
+        (0_usize..3, 0_usize..3).prop_map(|(from, to)| RegistryStep::Merge(from, to)),
+        (0_u64..1_500).prop_map(RegistryStep::Expire),
     ]
 }
 
 proptest! {
-    /// Whatever boxes miss, keep in doubt and tell each other: one that has heard from the store that an
-    /// endpoint is gone does not take it back before it is written again, and one that has heard it
-    /// written does not lose it to another one's doubt.
+    /// Guards against updates between boxes that restore an endpoint removed from the store, or
+    /// remove one that was rewritten there.
     #[test]
-    fn what_is_heard_from_the_store_is_undone_by_the_store_alone(
-        steps in prop::collection::vec(book_step(), 1..60),
+    fn changes_received_from_the_store_are_undone_by_the_store_alone(
+        steps in prop::collection::vec(registry_step(), 1..60),
     ) {
         let mut history = vec![put("e", 1)];
-        let mut books = [EndpointRegistry::default(), EndpointRegistry::default(), EndpointRegistry::default()];
-        let mut heard = [0_usize; 3];
+        let mut registries = [
+            EndpointRegistry::default(),
+            EndpointRegistry::default(),
+            EndpointRegistry::default(),
+        ];
+        let mut received = [0_usize; 3];
         let (mut revision, mut now) = (1, 1_000);
         let id = EndpointId::from_name("e");
         for step in steps {
             revision += 1;
             match step {
-                BookStep::Write => history.push(put("e", revision)),
-                BookStep::Remove => history.push(EndpointChange::Removed("e".to_owned(), at(revision))),
-                BookStep::Watch(at) => {
-                    for change in &history[heard[at]..] {
-                        books[at].apply(change.clone(), None);
+                RegistryStep::Write => history.push(put("e", revision)),
+                RegistryStep::Remove =>
+                    history.push(EndpointChange::Removed("e".to_owned(), at(revision))),
+                RegistryStep::Watch(at) => {
+                    for change in &history[received[at]..] {
+                        registries[at].apply(change.clone(), None);
                     }
-                    heard[at] = history.len();
+                    received[at] = history.len();
                 }
-                BookStep::ListInDoubt(index) => {
+                RegistryStep::ListAfterOutage(index) => {
                     let listed = match history.last() {
                         Some(EndpointChange::Removed(..)) | None => Vec::new(),
                         Some(written) => vec![written.clone()],
                     };
-                    books[index].replace(listed, at(revision), Some(now + 2_000));
+                    registries[index].replace(listed, at(revision), Some(now + 2_000));
                 }
-                BookStep::Learn(from, to) => {
-                    let known = books[to].revision();
-                    if books[from].revision() > known {
-                        let news = books[from].update_since(known, now);
-                        if !books[to].merge(news, now).agrees {
-                            let all = books[from].update_since(StoreRevision::NONE, now);
-                            books[to].merge(all, now);
+                RegistryStep::Merge(from, to) => {
+                    let known = registries[to].revision();
+                    if registries[from].revision() > known {
+                        let update = registries[from].update_since(known, now);
+                        if !registries[to].merge(update, now).agrees {
+                            let all = registries[from].update_since(StoreRevision::NONE, now);
+                            registries[to].merge(all, now);
                         }
                     }
                 }
-                BookStep::Expire(after) => {
-                    now += after;
-                    books.iter_mut().for_each(|book| drop(book.expire(now)));
+                RegistryStep::Expire(elapsed_ms) => {
+                    now += elapsed_ms;
+                    registries.iter_mut().for_each(|registry| drop(registry.expire(now)));
                 }
             }
-            for (book, heard) in books.iter().zip(heard) {
-                let last = heard.checked_sub(1).map(|last| &history[last]);
-                let later = history.len() > heard;
+            for (registry, received) in registries.iter().zip(received) {
+                let last = received.checked_sub(1).map(|last| &history[last]);
+                let later = history.len() > received;
                 match last {
-                    Some(EndpointChange::Removed(..)) if !later => prop_assert!(book.get(id).is_none()),
-                    Some(EndpointChange::Put(..)) if !later => prop_assert!(book.get(id).is_some()),
+                    Some(EndpointChange::Removed(..)) if !later =>
+                        prop_assert!(registry.get(id).is_none()),
+                    Some(EndpointChange::Put(..)) if !later =>
+                        prop_assert!(registry.get(id).is_some()),
                     _ => {}
                 }
             }
@@ -283,83 +302,89 @@
     }
 }
 
-/// Before: 600 KB to each box for each change at 3,000 endpoints.
 #[test]
-fn only_what_changed_is_told_to_a_box_that_knows_the_rest() {
-    let mut teller = EndpointRegistry::default();
+fn update_holds_only_the_changes() {
+    let mut sender = EndpointRegistry::default();
     for number in 0..300 {
-        teller.apply(put(&format!("e{number}"), number + 1), None);
+        sender.apply(put(&format!("e{number}"), number + 1), None);
     }
-    let mut asker = EndpointRegistry::default();
-    let all = teller.update_since(asker.revision(), 1_000);
+    let mut receiver = EndpointRegistry::default();
+    let all = sender.update_since(receiver.revision(), 1_000);
     assert_eq!((all.since, all.endpoints.len()), (None, 300));
-    assert!(asker.merge(all, 1_000).agrees);
+    assert!(receiver.merge(all, 1_000).agrees);
 
-    teller.apply(EndpointChange::Removed("e7".to_owned(), at(301)), None);
+    sender.apply(EndpointChange::Removed("e7".to_owned(), at(301)), None);
     let draining = record("e8", EndpointState::Draining);
-    teller.apply(EndpointChange::Put(draining, at(302)), None);
-    let news = teller.update_since(asker.revision(), 1_000);
-    assert_eq!((news.endpoints.len(), news.removed.len()), (1, 1));
-    let learned = asker.merge(news, 1_000);
-    assert_eq!((learned.changes.len(), learned.agrees), (2, true));
-    assert_eq!(asker.checksum(), teller.checksum());
+    sender.apply(EndpointChange::Put(draining, at(302)), None);
+    let update = sender.update_since(receiver.revision(), 1_000);
+    assert_eq!((update.endpoints.len(), update.removed.len()), (1, 1));
+    let outcome = receiver.merge(update, 1_000);
+    assert_eq!((outcome.changes.len(), outcome.agrees), (2, true));
+    assert_eq!(receiver.checksum(), sender.checksum());
 }
 
-/// A box that took in a whole list knows nothing of what was removed before.
+/// A box that applied a full list does not know earlier removals.
 #[test]
-fn a_box_that_does_not_know_what_was_removed_tells_all() {
-    let mut teller = EndpointRegistry::default();
-    teller.replace(vec![put("e", 4)], at(9), None);
-    teller.apply(put("f", 10), None);
-    assert_eq!(teller.update_since(at(8), 1_000).since, None);
-    assert_eq!(teller.update_since(at(9), 1_000).since, Some(at(9)));
+fn full_list_is_sent_if_removals_are_unknown() {
+    let mut sender = EndpointRegistry::default();
+    sender.replace(vec![put("e", 4)], at(9), None);
+    sender.apply(put("f", 10), None);
+    assert_eq!(sender.update_since(at(8), 1_000).since, None);
+    assert_eq!(sender.update_since(at(9), 1_000).since, Some(at(9)));
 }
 
-/// A box that missed a removal and knows the newest revision all the same finds it out by the sum.
+/// The revision alone does not show the missed removal.
 #[test]
-fn a_box_that_missed_something_is_told_all() {
-    let mut teller = EndpointRegistry::default();
-    let mut asker = EndpointRegistry::default();
-    for book in [&mut teller, &mut asker] {
-        book.apply(put("e", 1), None);
-        book.apply(put("f", 2), None);
+fn missed_removal_is_detected_by_the_checksum() {
+    let mut sender = EndpointRegistry::default();
+    let mut receiver = EndpointRegistry::default();
+    for registry in [&mut sender, &mut receiver] {
+        registry.apply(put("e", 1), None);
+        registry.apply(put("f", 2), None);
     }
-    teller.apply(EndpointChange::Removed("e".to_owned(), at(3)), None);
-    asker.advance(at(3));
-    teller.apply(put("f", 4), None);
-    assert!(!asker.merge(teller.update_since(at(3), 1_000), 1_000).agrees);
+    sender.apply(EndpointChange::Removed("e".to_owned(), at(3)), None);
+    receiver.advance(at(3));
+    sender.apply(put("f", 4), None);
     assert!(
-        asker
-            .merge(teller.update_since(StoreRevision::NONE, 1_000), 1_000)
+        !receiver
+            .merge(sender.update_since(at(3), 1_000), 1_000)
             .agrees
     );
-    assert_eq!(asker.checksum(), teller.checksum());
+    assert!(
+        receiver
+            .merge(sender.update_since(StoreRevision::NONE, 1_000), 1_000)
+            .agrees
+    );
+    assert_eq!(receiver.checksum(), sender.checksum());
 }
 
 proptest! {
-    /// Whatever changes come to the boxes of a chain, by watches, lists and each other: who has asked the
-    /// one that knows all, by changes or by all of it, knows the same.
+    /// Guards against boxes that merge all updates of another box and still differ from it.
     #[test]
-    fn news_makes_two_boxes_agree(
+    fn updates_make_boxes_agree(
         steps in prop::collection::vec((0_usize..6, 0_usize..5, any::<bool>()), 1..80),
     ) {
         let names = ["e", "f", "g", "h", "i"];
         let mut store: BTreeMap<&str, u64> = BTreeMap::new();
-        let mut books = [EndpointRegistry::default(), EndpointRegistry::default(), EndpointRegistry::default()];
+        let mut registries = [
+            EndpointRegistry::default(),
+            EndpointRegistry::default(),
+            EndpointRegistry::default(),
+        ];
         let mut revision = 0;
-        let ask = |books: &mut [EndpointRegistry; 3], from: usize, to: usize| {
-            let known = books[to].revision();
-            if books[from].revision() > known {
-                let news = books[from].update_since(known, 0);
-                if !books[to].merge(news, 0).agrees {
-                    let all = books[from].update_since(StoreRevision::NONE, 0);
-                    books[to].merge(all, 0);
+        let merge = |registries: &mut [EndpointRegistry; 3], from: usize, to: usize| {
+            let known = registries[to].revision();
+            if registries[from].revision() > known {
+                let update = registries[from].update_since(known, 0);
+                if !registries[to].merge(update, 0).agrees {
+                    let all = registries[from].update_since(StoreRevision::NONE, 0);
+                    registries[to].merge(all, 0);
                 }
             }
         };
-        for (what, name, is_put) in steps {
+        for (kind, name, is_put) in steps {
             let name = names[name];
-            match what {
+            match kind {
                 0..=2 => {
                     revision += 1;
                     let change = match is_put {
@@ -372,22 +397,22 @@
                             EndpointChange::Removed(name.to_owned(), at(revision))
                         }
                     };
-                    books[0].apply(change, None);
+                    registries[0].apply(change, None);
                 }
                 3 => {
                     let listed = store.iter();
                     let listed = listed.map(|(name, at)| put(name, *at));
-                    books[1].replace(listed.collect(), at(revision), None);
+                    registries[1].replace(listed.collect(), at(revision), None);
                 }
-                4 => ask(&mut books, 0, 1),
-                _ => ask(&mut books, 1, 2),
+                4 => merge(&mut registries, 0, 1),
+                _ => merge(&mut registries, 1, 2),
             }
         }
         revision += 1;
-        books[0].apply(put("last", revision), None);
-        ask(&mut books, 0, 1);
-        ask(&mut books, 1, 2);
-        prop_assert_eq!(books[1].checksum(), books[0].checksum());
-        prop_assert_eq!(books[2].checksum(), books[0].checksum());
+        registries[0].apply(put("last", revision), None);
+        merge(&mut registries, 0, 1);
+        merge(&mut registries, 1, 2);
+        prop_assert_eq!(registries[1].checksum(), registries[0].checksum());
+        prop_assert_eq!(registries[2].checksum(), registries[0].checksum());
     }
 }
--- a/dockgate-core/src/gateway/era_tracker.rs
+++ b/dockgate-core/src/gateway/era_tracker.rs
@@ -1,60 +1,58 @@
-//! Which era of the platform's store this box has heard of.
+//! The era of the platform's store.
 
-/// What a named era says.
+/// How a reported era relates to the known one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EraChange {
-    /// It is the one that is known.
-    Unchanged,
-    /// The store has come back from an older copy since: what it has must be listed anew.
+    /// It is the known era.
+    Same,
+    /// The store was restored from an older copy and has to be listed again.
     Advanced {
-        /// The era that was known.
+        /// The era known before.
         from: u64,
     },
-    /// The answer is of an era that is over.
+    /// It is an earlier era, whose data is outdated.
     Outdated,
 }
 
-/// The era of the store.
+/// Tracks the era of the store.
 ///
-/// It rises by one each time that the store comes back from an older copy, and never falls.
+/// The era rises by one each time the store is restored from an older copy, and never falls.
 ///
 /// ```
-/// use dockgate_core::gateway::{EraTracker, EraChange};
+/// use dockgate_core::gateway::{EraChange, EraTracker};
 ///
-/// let mut book = EraTracker::default();
-/// assert_eq!(book.note(Some(3)), EraChange::Unchanged);
-/// assert_eq!(book.note(Some(4)), EraChange::Advanced { from: 3 });
-/// assert_eq!(book.note(Some(3)), EraChange::Outdated);
+/// let mut tracker = EraTracker::default();
+/// assert_eq!(tracker.note(Some(3)), EraChange::Same);
+/// assert_eq!(tracker.note(Some(4)), EraChange::Advanced { from: 3 });
+/// assert_eq!(tracker.note(Some(3)), EraChange::Outdated);
 /// ```
 #[derive(Debug, Clone, Copy, Default)]
 pub struct EraTracker {
-    /// None until one was named.
+    /// `None` until an era was reported.
     current: Option<u64>,
 }
 
 impl EraTracker {
-    /// By how much the era may rise between two answers that this box hears; more is taken for a mistake, as it
-    /// would make this box deaf to the store's true era. A bound.
-    const MOST_STEP: u64 = 1_000;
+    /// The maximum rise of the era between two reports. A larger one is taken for an error, since
+    /// it would make this box ignore the store's true era.
+    const MAX_STEP: u64 = 1_000;
 
-    /// Returns the era that is known; 0 where none was named yet.
+    /// Returns the known era, or 0 if none was reported yet.
     pub fn current(&self) -> u64 {
         self.current.unwrap_or_default()
     }
 
-    /// Takes in the era that an answer names, or another box; without one, it is the one that is known.
-    pub fn note(&mut self, named: Option<u64>) -> EraChange {
+    /// Records the era reported by the store or by another box. `None` counts as the known era.
+    pub fn note(&mut self, reported: Option<u64>) -> EraChange {
         let known = self.current();
-        match (named, self.current) {
-            (None, _) => EraChange::Unchanged,
+        match (reported, self.current) {
+            (None, _) => EraChange::Same,
             (Some(era), None) => {
                 self.current = Some(era);
-                EraChange::Unchanged
+                EraChange::Same
             }
             (Some(era), Some(_)) if era < known => EraChange::Outdated,
-            (Some(era), Some(_)) if era == known || era - known > Self::MOST_STEP => {
-                EraChange::Unchanged
-            }
+            (Some(era), Some(_)) if era == known || era - known > Self::MAX_STEP => EraChange::Same,
             (Some(era), Some(_)) => {
                 self.current = Some(era);
                 EraChange::Advanced { from: known }
--- a/dockgate-core/src/gateway/retry_delay.rs
+++ b/dockgate-core/src/gateway/retry_delay.rs
@@ -1,58 +1,59 @@
-//! When a caller that is refused should come back.
+//! The delay after which a refused caller should retry.
 //!
-//! Callers come back once, and within a third of the time that they have left. A refused request is
-//! worth most if it comes back when there is room and is still in time, so the time follows the
-//! backlog that stood in its way, spread so that not all come at once.
+//! Callers retry once, and only within a third of their remaining time. A retry is useful if there
+//! is capacity by then and it still meets its deadline, so the delay follows the backlog that
+//! caused the refusal, and is spread so that callers don't all retry at once.
 
 use std::time::Duration;
 
-/// What stood in the way of a request.
+/// Why a request was refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetryCause {
-    /// The engines that were asked were busy for so long.
+    /// The engines that were asked have a backlog of this duration.
     Backlog(Duration),
-    /// The workspace is so far beyond its share that no engine takes more of it.
+    /// The workspace is so far beyond its share that no engine accepts more of its requests.
     Share,
-    /// All endpoints leave, and others have to take their place.
+    /// All endpoints are leaving, and replacements have to start.
     Replacement,
-    /// All endpoints have asked for rest, and the first is back after so long.
+    /// All endpoints have asked to back off; the first backoff ends after this time.
     Backoff(Duration),
 }
 
-/// A backlog counts as this much at least: the refusal and the next request take two hops each. A bound.
-const LEAST_BACKLOG: Duration = Duration::from_millis(100);
-/// A backlog counts as this much at most: prompts end before they are read, and others go elsewhere. A
-/// bound.
-const MOST_BACKLOG: Duration = Duration::from_millis(400);
-/// Between which parts of the backlog returns are spread.
-const SPREAD: [f64; 2] = [0.75, 1.75];
-/// When a workspace that no engine takes more of comes back at the earliest: what it may take is spread evenly over
-/// time, so there is as much room a moment later, and it may still be in time. Returns are spread over as long again.
-const SHARE_TIME: Duration = Duration::from_millis(120);
-/// When a request whose endpoints all leave comes back at the earliest: those that take their place write a record
-/// as they start, which is known here within a second. Returns are spread over as long again.
-const REPLACEMENT_TIME: Duration = Duration::from_secs(1);
-/// Over which time after the end of a rest returns are spread: all callers are told of the same end.
-const REST_SPREAD: Duration = Duration::from_millis(500);
-/// The part of the time left within which callers come back; they ignore what is later.
-const MOST_PART: f64 = 0.3;
+/// The lower bound of a backlog: the refusal and the retry take two network hops each.
+const MIN_BACKLOG: Duration = Duration::from_millis(100);
+/// The upper bound of a backlog: requests are cancelled before they are processed, and others are
+/// routed elsewhere.
+const MAX_BACKLOG: Duration = Duration::from_millis(400);
+/// The range over which retries are spread, as factors of the backlog.
+const BACKLOG_SPREAD: [f64; 2] = [0.75, 1.75];
+/// The minimum delay for a workspace beyond its share; retries are spread over as long again. Its
+/// share becomes available evenly over time, so a short delay suffices.
+const SHARE_DELAY: Duration = Duration::from_millis(120);
+/// The minimum delay while all endpoints are leaving; retries are spread over as long again.
+/// Replacements are known here within a second of their start.
+const REPLACEMENT_DELAY: Duration = Duration::from_secs(1);
+/// The time after the end of a backoff over which retries are spread, as all callers see the same
+/// end.
+const BACKOFF_SPREAD: Duration = Duration::from_millis(500);
+/// The largest delay as a fraction of the remaining time; callers ignore longer delays.
+const MAX_TIME_FRACTION: f64 = 0.3;
 
-/// Returns when to come back: `left` is the time that the caller has, `draw` a random number from 0
-/// to 1.
-pub fn retry_delay(cause: RetryCause, left: Duration, draw: f64) -> Duration {
+/// Returns the delay before a retry. `time_left` is the caller's remaining time, `draw` a random
+/// number from 0 to 1.
+pub fn retry_delay(cause: RetryCause, time_left: Duration, draw: f64) -> Duration {
     let draw = draw.clamp(0.0, 1.0);
-    let [least, most] = SPREAD;
-    let time = match cause {
+    let [min, max] = BACKLOG_SPREAD;
+    let delay = match cause {
         RetryCause::Backlog(backlog) => {
-            let backlog = backlog.clamp(LEAST_BACKLOG, MOST_BACKLOG);
-            backlog.mul_f64(least + (most - least) * draw)
+            let backlog = backlog.clamp(MIN_BACKLOG, MAX_BACKLOG);
+            backlog.mul_f64(min + (max - min) * draw)
         }
-        RetryCause::Share => SHARE_TIME.mul_f64(1.0 + draw),
-        RetryCause::Replacement => REPLACEMENT_TIME.mul_f64(1.0 + draw),
-        // Sooner it is turned away for certain, so who cannot come that late is better told.
-        RetryCause::Backoff(left) => return left + REST_SPREAD.mul_f64(draw),
+        RetryCause::Share => SHARE_DELAY.mul_f64(1.0 + draw),
+        RetryCause::Replacement => REPLACEMENT_DELAY.mul_f64(1.0 + draw),
+        // An earlier retry would be refused, so the delay is not limited by the remaining time.
+        RetryCause::Backoff(remaining) => return remaining + BACKOFF_SPREAD.mul_f64(draw),
     };
-    time.min(left.mul_f64(MOST_PART))
+    delay.min(time_left.mul_f64(MAX_TIME_FRACTION))
 }
 
 #[cfg(test)]
--- a/dockgate-core/src/gateway/store_revision.rs
+++ b/dockgate-core/src/gateway/store_revision.rs
@@ -1,12 +1,13 @@
-//! A point in what the platform's store tells.
+//! Revisions of the platform's store.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// A revision of the store, and the era in which it was given out.
+/// A revision of the store within an era.
 ///
-/// The store may come back from an older copy: revisions go back then and are given out again, and the era rises. All
-/// that is known of the store is ordered by both, so that nothing of an earlier era replaces what a later one says.
+/// If the store is restored from an older copy, its revisions go back and are assigned again, and
+/// the era rises. Ordering by era first keeps data of an earlier era from replacing that of a later
+/// one.
 ///
 /// ```
 /// use dockgate_core::gateway::StoreRevision;
@@ -18,26 +19,26 @@
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
 pub struct StoreRevision {
-    /// The era; 0 where the store names none.
+    /// The era, or 0 if the store reports none.
     pub era: u64,
-    /// The revision within it.
+    /// The revision within the era.
     pub number: u64,
 }
 
 impl StoreRevision {
-    /// Before all that the store tells.
+    /// Precedes every revision of the store.
     pub const NONE: Self = Self::new(0, 0);
-    /// Later than all that the store tells.
+    /// Follows every revision of the store.
     pub const LATEST: Self = Self::new(u64::MAX, u64::MAX);
 
-    /// Names a revision of an era.
+    /// Creates the revision with this number of an era.
     pub const fn new(era: u64, number: u64) -> Self {
         Self { era, number }
     }
 }
 
 impl From<u64> for StoreRevision {
-    /// Names a revision of a store that names no era.
+    /// Creates a revision of a store that reports no era.
     fn from(number: u64) -> Self {
         Self::new(0, number)
     }
--- a/dockgate/src/gateway/events.rs
+++ b/dockgate/src/gateway/events.rs
@@ -251,7 +251,7 @@
     pub(super) fn endpoint(change: &'a EndpointChange, source: &'a str) -> Self {
         match change {
             EndpointChange::Put(record, revision)
-            | EndpointChange::Waiting(record, revision, _) => {
+            | EndpointChange::Deferred(record, revision, _) => {
                 Self::written(record, revision.number, source)
             }
             EndpointChange::Unusable(id, revision) => Self::EndpointUnusable {
--- a/dockgate/src/gateway/gateway_state/store_reach.rs
+++ b/dockgate/src/gateway/gateway_state/store_reach.rs
@@ -147,7 +147,7 @@
             (news, beliefs.eras.current())
         });
         match news {
-            EraChange::Unchanged => {}
+            EraChange::Same => {}
             EraChange::Outdated => return None,
             EraChange::Advanced { from } => {
                 GATEWAY_METRICS.store_eras.inc();
