--- a/dockgate-core/src/gateway/endpoint_registry/era_tests.rs
+++ b/dockgate-core/src/gateway/endpoint_registry/era_tests.rs
@@ -18,7 +18,7 @@
 /// The actual state of an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct ActualEndpoint {
-    born_ms: u64,
+    started_ms: u64,
     /// `None` if it has ended.
     state: Option<EndpointState>,
 }
@@ -39,7 +39,7 @@
             Some(state) => {
                 let record = EndpointRecord {
                     id: format!("e{at}"),
-                    born_ms: Some(endpoint.born_ms),
+                    born_ms: Some(endpoint.started_ms),
                     service: "x".to_owned(),
                     address: "10.0.0.1:80".parse().unwrap(),
                     domain: "a".to_owned(),
@@ -202,7 +202,7 @@
     ) {
         let mut boxes = vec![EraBox::default(); count];
         let mut actual = [
-            ActualEndpoint { born_ms: 1, state: Some(EndpointState::Ready) };
+            ActualEndpoint { started_ms: 1, state: Some(EndpointState::Ready) };
             ENDPOINTS
         ];
         let mut store = EraStore {
@@ -214,12 +214,12 @@
         (0..ENDPOINTS).for_each(|at| store.write(at, actual[at]));
         let mut copies = vec![store.clone()];
         let mut late: Vec<EndpointUpdate> = Vec::new();
-        let (mut now_ms, mut born_ms, mut restored_ms) = (1_000, 1, 1_000);
+        let (mut now_ms, mut started_ms, mut restored_ms) = (1_000, 1, 1_000);
         for step in steps {
             match step {
                 EraStep::Start(at) => {
-                    born_ms += 1;
-                    actual[at] = ActualEndpoint { born_ms, state: Some(EndpointState::Ready) };
+                    started_ms += 1;
+                    actual[at] = ActualEndpoint { started_ms, state: Some(EndpointState::Ready) };
                     store.write(at, actual[at]);
                 }
                 EraStep::Drain(at) if actual[at].state.is_some() => {
@@ -288,7 +288,7 @@
             endpoint.state == Some(EndpointState::Ready)
         });
         let ready: BTreeSet<EndpointId> = ready
-            .map(|(at, endpoint)| EndpointId::of_life(&format!("e{at}"), Some(endpoint.born_ms)))
+            .map(|(at, endpoint)| EndpointId::of_life(&format!("e{at}"), Some(endpoint.started_ms)))
             .collect();
         for (at, era_box) in boxes.iter().enumerate() {
             prop_assert_eq!(&era_box.ready(), &ready, "box {}", at);
--- a/dockgate-core/src/gateway/endpoint_registry/lifetime_tests.rs
+++ b/dockgate-core/src/gateway/endpoint_registry/lifetime_tests.rs
@@ -313,9 +313,9 @@
                     sent[at].clear();
                     continue;
                 };
-                let born_ms = entry.record.born_ms.unwrap();
-                prop_assert!(born_ms >= newest[at], "box {at} returned to an earlier lifetime");
-                newest[at] = born_ms;
+                let started_ms = entry.record.born_ms.unwrap();
+                prop_assert!(started_ms >= newest[at], "box {at} returned to an earlier lifetime");
+                newest[at] = started_ms;
                 sent[at].retain(|sent| *sent == id);
                 // The count starts again if the record was removed and rewritten in between.
                 prop_assert!(entry.in_flight as usize <= sent[at].len(), "of another lifetime");
--- a/dockgate-core/src/gateway/endpoint_registry/notice_tests.rs
+++ b/dockgate-core/src/gateway/endpoint_registry/notice_tests.rs
@@ -11,10 +11,10 @@
     StoreRevision::new(0, number)
 }
 
-fn record(born_ms: u64, state: EndpointState) -> EndpointRecord {
+fn record(started_ms: u64, state: EndpointState) -> EndpointRecord {
     EndpointRecord {
         id: "e".to_owned(),
-        born_ms: Some(born_ms),
+        born_ms: Some(started_ms),
         service: "x".to_owned(),
         address: "10.0.0.1:80".parse().unwrap(),
         domain: "a".to_owned(),
@@ -24,8 +24,8 @@
     }
 }
 
-fn put(born_ms: u64, revision: u64) -> EndpointChange {
-    EndpointChange::Put(record(born_ms, EndpointState::Ready), at(revision))
+fn put(started_ms: u64, revision: u64) -> EndpointChange {
+    EndpointChange::Put(record(started_ms, EndpointState::Ready), at(revision))
 }
 
 fn is_ready(registry: &EndpointRegistry, id: EndpointId) -> bool {
