--- a/dockgate-core/src/gateway/endpoint_registry/tests.rs
+++ b/dockgate-core/src/gateway/endpoint_registry/tests.rs
@@ -96,9 +96,10 @@
             let id = ["e", "f", "g", "h"][name];
             let kept_until_ms = (kept > 5).then_some(kept * 100);
             match kind {
-                0 => drop(
-                    registry.apply(EndpointChange::Removed(id.to_owned(), at(revision)), kept_until_ms),
-                ),
+                0 => drop(registry.apply(
+                    EndpointChange::Removed(id.to_owned(), at(revision)),
+                    kept_until_ms,
+                )),
                 1 => {
                     let draining = record(id, EndpointState::Draining);
                     registry.apply(EndpointChange::Put(draining, at(revision)), kept_until_ms);
