--- a/dockgate-core/src/gateway.rs
+++ b/dockgate-core/src/gateway.rs
@@ -22,12 +22,12 @@
 mod box_heartbeat;
 mod decaying_usage;
 mod domain_reachability;
-mod endpoint_book;
 mod endpoint_health;
 mod endpoint_notice;
+mod endpoint_registry;
 mod engine_book;
 mod engine_load;
-mod era_book;
+mod era_tracker;
 mod event_splitter;
 mod fair_usage;
 mod fleet_view;
@@ -43,7 +43,7 @@
 mod request_fingerprint;
 mod resume_gate;
 mod retry_budget;
-mod return_time;
+mod retry_delay;
 mod route_table;
 mod share_credit;
 mod share_level;
@@ -63,15 +63,15 @@
 };
 pub use decaying_usage::UsageRow;
 pub use domain_reachability::DomainReachability;
-pub use endpoint_book::{
-    EndpointBook, EndpointChange, EndpointEntry, EndpointNews, ExpiredNews, LearnedNews,
-    ReadyEndpoint, RemovedEndpoint, ServiceOutlook, ToldDoubt, ToldEndpoint,
-};
 pub use endpoint_health::{EndpointHealth, EndpointOutcome};
 pub use endpoint_notice::EndpointNotice;
+pub use endpoint_registry::{
+    EndpointChange, EndpointEntry, EndpointRegistry, EndpointUpdate, ExpiryChanges, MergeOutcome,
+    ReadyEndpoint, RemovedEndpoint, ReportedEndpoint, ServiceAvailability, UnconfirmedRecord,
+};
 pub use engine_book::{AskTimes, EngineAsk, EngineBook, RunKey};
 pub use engine_load::{EngineLoad, EngineRun};
-pub use era_book::{EraBook, EraNews};
+pub use era_tracker::{EraChange, EraTracker};
 pub use event_splitter::{EventSplitter, SplitEvent};
 pub use fleet_view::{BoxChange, FleetView, StateSource};
 pub use home_order::{best_homes, home_subject, name_hash, owner_of_endpoint};
@@ -86,7 +86,7 @@
 pub use request_fingerprint::{FingerprintInput, InvalidFingerprint, RequestFingerprint};
 pub use resume_gate::ResumeGate;
 pub use retry_budget::{RetryBudget, RetryRule};
-pub use return_time::{ReturnCause, return_time};
+pub use retry_delay::{RetryCause, retry_delay};
 pub use route_table::{
     AnswerForm, EndpointId, EndpointName, EndpointRecord, EndpointState, EngineSpec, GatewayLimits,
     RouteConfig, RouteKey, RouteSpec, RouteTable, ServiceKey, ServiceSpec, ServiceWeight,
@@ -105,4 +105,4 @@
 pub use watch_check::WatchCheck;
 
 #[cfg(test)]
-mod jump_tests;
+mod clock_jump_tests;
--- a/dockgate-proto/src/gateway.rs
+++ b/dockgate-proto/src/gateway.rs
@@ -5,7 +5,7 @@
 //! nothing more is reported about them.
 
 use dockgate_core::gateway::{
-    BoxHeartbeat, EndpointId, EndpointNews, EngineAsk, EngineVerdict, FleetDigest, PromptPart,
+    BoxHeartbeat, EndpointId, EndpointUpdate, EngineAsk, EngineVerdict, FleetDigest, PromptPart,
     ReadSpeed, RouteConfig, StoreRevision, SuspectReport, UsageRow,
 };
 use dockgate_core::{BoxKey, Incarnation};
@@ -191,7 +191,7 @@
     /// The configuration, if it is newer.
     pub config: Option<C>,
     /// The changes of the endpoints, if there are any.
-    pub endpoints: Option<EndpointNews>,
+    pub endpoints: Option<EndpointUpdate>,
 }
 
 #[cfg(test)]
