--- a/dockgate-core/src/gateway/box_heartbeat.rs
+++ b/dockgate-core/src/gateway/box_heartbeat.rs
@@ -1,3 +1,9 @@
+//! Heartbeats of boxes, and the digests in which other boxes relay them.
+//!
+//! Each heartbeat carries a sequence number. Only a higher number of the same incarnation counts as
+//! a sign of life, however a report travels: late, duplicated or circulating reports keep no box
+//! alive.
+//!
 //! ```
 //! use dockgate_core::gateway::{BoxHeartbeat, BoxStatus};
 //!
