--- a/dockgate-core/src/gateway.rs
+++ b/dockgate-core/src/gateway.rs
@@ -11,14 +11,14 @@
 //!     model: "m".to_owned(),
 //!     input: 1_210,
 //!     output: 60,
-//!     most_output: 80,
+//!     max_output: 80,
 //!     parts: vec![PromptPart { id: 7, tokens: 800 }, PromptPart { id: 9, tokens: 410 }],
 //! };
 //! assert_eq!(prompt.shared_tokens(), 800);
 //! ```
 
 mod admission;
-mod answer_rule;
+mod answer_verdict;
 mod box_beat;
 mod broken_endpoints;
 mod decaying_usage;
@@ -26,20 +26,20 @@
 mod endpoint_book;
 mod endpoint_health;
 mod endpoint_notice;
-mod engine_book;
 mod engine_load;
+mod engine_registry;
 mod era_book;
 mod event_splitter;
 mod fair_usage;
 mod fleet_view;
-mod home_order;
 mod load_shedder;
 mod loop_lag;
 mod notice_book;
+mod prefill_model;
 mod prefix_cache;
+mod prefix_history;
 mod prompt_shape;
-mod read_log;
-mod read_model;
+mod rendezvous;
 mod request_print;
 mod retry_budget;
 mod return_time;
@@ -57,7 +57,7 @@
 mod watch_check;
 
 pub use admission::{AdmissionRule, EngineVerdict};
-pub use answer_rule::{AnswerOwner, AnswerSigns, AnswerVerdict};
+pub use answer_verdict::{AnswerAttributes, AnswerOwner, AnswerVerdict};
 pub use box_beat::{
     BoxBeat, BoxKnowledge, BoxReport, BoxRow, BoxStanding, DigestScope, DomainKey, FleetDigest,
 };
@@ -70,19 +70,19 @@
 };
 pub use endpoint_health::{EndpointHealth, EndpointSign};
 pub use endpoint_notice::EndpointNotice;
-pub use engine_book::{AskTimes, EngineAsk, EngineBook, RunKey};
 pub use engine_load::{EngineLoad, EngineRun};
+pub use engine_registry::{AdmissionRequest, EngineRegistry, LatencyLimits, RunKey};
 pub use era_book::{EraBook, EraNews};
 pub use event_splitter::{EventSplitter, SplitEvent};
 pub use fleet_view::{BoxNews, FleetView, InformedBox};
-pub use home_order::{best_homes, home_subject, name_hash, owner_of_endpoint};
 pub use load_shedder::LoadShedder;
 pub use loop_lag::{LagChange, LoopLag};
 pub use notice_book::{NoticeBook, NoticeNews};
+pub use prefill_model::{PrefillModel, PrefillSample, PrefillSpeed, PrefillWork};
 pub use prefix_cache::PrefixCache;
+pub use prefix_history::{PrefixHistory, PrefixReport};
 pub use prompt_shape::{PromptPart, PromptShape};
-pub use read_log::{DueReads, ReadLog};
-pub use read_model::{PromptWork, ReadModel, ReadSample, ReadSpeed};
+pub use rendezvous::{best_homes, home_key, name_hash, owner_of_endpoint};
 pub use request_print::{BadPrint, PrintSource, RequestPrint};
 pub use retry_budget::{RetryBudget, RetryRule};
 pub use return_time::{ReturnCause, return_time};
--- a/dockgate-core/src/gateway/admission.rs
+++ b/dockgate-core/src/gateway/admission.rs
@@ -4,9 +4,9 @@
 //! A prompt is admitted if its first event is predicted to be in time, and if the memory of all
 //! running prompts leaves room for the cache.
 
-use super::engine_book::EngineAsk;
 use super::engine_load::EngineLoad;
-use super::read_model::ReadModel;
+use super::engine_registry::AdmissionRequest;
+use super::prefill_model::PrefillModel;
 use super::share_level::ShareLevel;
 use serde::{Deserialize, Serialize};
 
@@ -14,28 +14,28 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct AdmissionRule {
     /// Up to which part of its objective a prompt may wait.
-    pub most_part: f64,
+    pub objective_fraction: f64,
     /// The part of that time that a workspace beyond its share has, divided by its pressure.
-    pub beyond_share_part: f64,
+    pub beyond_share_fraction: f64,
     /// The part of its own reading that counts as waiting, for a prompt of a workspace beyond its share. With all of it
     /// only short prompts are read where engines are busy; with none, long ones keep all others waiting.
-    pub own_read_part: f64,
+    pub own_prefill_weight: f64,
     /// Up to which part of its objective a prompt may wait that is too long to be read within it:
     /// it will be late, so it may not make others late as well.
-    pub long_part: f64,
+    pub long_prompt_fraction: f64,
     /// Up to which part of an engine's memory prompts may run; the rest is left to the cache.
-    pub memory_part: f64,
+    pub memory_fraction: f64,
 }
 
 impl Default for AdmissionRule {
     /// Figures of `docs/decisions/0009-admission.md`.
     fn default() -> Self {
         Self {
-            most_part: 0.6,
-            beyond_share_part: 0.22,
-            own_read_part: 0.4,
-            long_part: 0.2,
-            memory_part: 0.6,
+            objective_fraction: 0.6,
+            beyond_share_fraction: 0.22,
+            own_prefill_weight: 0.4,
+            long_prompt_fraction: 0.2,
+            memory_fraction: 0.6,
         }
     }
 }
@@ -66,7 +66,7 @@
     const NO_ROOM_MS: f64 = 1_000.0;
     /// The part of an objective for reading where what every first event takes leaves less: an engine
     /// that is late with all is still better than none. A bound.
-    const LEAST_PART: f64 = 0.1;
+    const MIN_FRACTION: f64 = 0.1;
 
     /// Decides on one ask.
     ///
@@ -74,21 +74,21 @@
     pub fn decide(
         &self,
         load: &EngineLoad,
-        ask: &EngineAsk,
+        request: &AdmissionRequest,
         others: u32,
         now_ms: u64,
     ) -> EngineVerdict {
         let unseen = f64::from(others + 1);
         let backlog_ms = load.backlog_ms(now_ms);
         let wait_ms = backlog_ms * unseen;
-        let read_ms = load.model().read_ms(load.work_of(ask));
-        let first_ms = backlog_ms + load.model().fixed_ms() + read_ms;
-        let most_ms = self.most_ms(load.model(), ask);
-        let in_time = self.is_in_time(wait_ms, read_ms, most_ms, ask.level);
-        let long_ms = ask.tightest_ms() * self.long_part;
-        let is_long = read_ms > most_ms - long_ms;
-        let long = is_long && !ask.level.is_beyond() && wait_ms <= long_ms;
-        let room = self.has_room(load, ask, unseen);
+        let prefill_ms = load.model().prefill_ms(load.work_of(request));
+        let first_ms = backlog_ms + load.model().fixed_ms() + prefill_ms;
+        let limit_ms = self.limit_ms(load.model(), request);
+        let in_time = self.is_in_time(wait_ms, prefill_ms, limit_ms, request.level);
+        let long_ms = request.strictest_objective_ms() * self.long_prompt_fraction;
+        let is_long = prefill_ms > limit_ms - long_ms;
+        let long = is_long && !request.level.is_beyond() && wait_ms <= long_ms;
+        let room = self.has_room(load, request, unseen);
         match room {
             true if in_time || long => EngineVerdict::Granted(first_ms as u32),
             true => EngineVerdict::Declined(first_ms as u32),
@@ -100,22 +100,22 @@
     ///
     /// A prompt with a longer objective may not fill the engine for those with a shorter one, so the
     /// shortest of the service counts. What every first event takes is no fault of the load.
-    fn most_ms(&self, model: &ReadModel, ask: &EngineAsk) -> f64 {
-        let objective_ms = ask.tightest_ms();
-        let most_ms = objective_ms * self.most_part - model.fixed_ms();
-        most_ms.max(objective_ms * Self::LEAST_PART)
+    fn limit_ms(&self, model: &PrefillModel, request: &AdmissionRequest) -> f64 {
+        let objective_ms = request.strictest_objective_ms();
+        let limit_ms = objective_ms * self.objective_fraction - model.fixed_ms();
+        limit_ms.max(objective_ms * Self::MIN_FRACTION)
     }
 
-    /// Tells whether a prompt that waits so long is read within `most_ms`, and waits no longer than its workspace may.
-    fn is_in_time(&self, wait_ms: f64, read_ms: f64, most_ms: f64, level: ShareLevel) -> bool {
-        let counted_ms = wait_ms + read_ms * self.own_read_part;
-        wait_ms + read_ms <= most_ms && counted_ms <= most_ms * self.ease(level)
+    /// Tells whether a prompt that waits so long is read within `limit_ms`, and waits no longer than its workspace may.
+    fn is_in_time(&self, wait_ms: f64, prefill_ms: f64, limit_ms: f64, level: ShareLevel) -> bool {
+        let counted_ms = wait_ms + prefill_ms * self.own_prefill_weight;
+        wait_ms + prefill_ms <= limit_ms && counted_ms <= limit_ms * self.ease(level)
     }
 
     /// Returns the part of the time within a share that a workspace has.
     fn ease(&self, level: ShareLevel) -> f64 {
         match level.is_beyond() {
-            true => (self.beyond_share_part / level.pressure()).min(1.0),
+            true => (self.beyond_share_fraction / level.pressure()).min(1.0),
             false => 1.0,
         }
     }
@@ -126,32 +126,42 @@
     ///
     /// A flood is refused many times for each prompt that is admitted, and each question costs the
     /// box a datagram and a wake-up: what it knows alone is enough for most.
-    pub fn hopeless_ms(&self, load: &EngineLoad, ask: &EngineAsk, now_ms: u64) -> Option<f64> {
+    pub fn local_decline_ms(
+        &self,
+        load: &EngineLoad,
+        request: &AdmissionRequest,
+        now_ms: u64,
+    ) -> Option<f64> {
         let wait_ms = load.backlog_ms(now_ms);
-        let read_ms = load.least_read_ms(ask);
-        let most_ms = self.most_ms(load.model(), ask);
-        let hopeless =
-            ask.level.is_beyond() && !self.is_in_time(wait_ms, read_ms, most_ms, ask.level);
-        hopeless.then_some(wait_ms + load.model().fixed_ms() + read_ms)
+        let prefill_ms = load.min_prefill_ms(request);
+        let limit_ms = self.limit_ms(load.model(), request);
+        let hopeless = request.level.is_beyond()
+            && !self.is_in_time(wait_ms, prefill_ms, limit_ms, request.level);
+        hopeless.then_some(wait_ms + load.model().fixed_ms() + prefill_ms)
     }
 
     /// Returns after how many milliseconds a first event comes at least that is too late at every
     /// engine for a workspace beyond its share, by the `fastest` of them; none where one might take it.
     ///
     /// Most of a flood is declined by this alone, before its homes are looked for.
-    pub fn hopeless_anywhere_ms(&self, fastest: &ReadModel, ask: &EngineAsk) -> Option<f64> {
-        let read_ms = fastest.read_ms(ask.least_work());
-        let most_ms = self.most_ms(fastest, ask);
-        let hopeless = ask.level.is_beyond() && !self.is_in_time(0.0, read_ms, most_ms, ask.level);
-        hopeless.then_some(fastest.fixed_ms() + read_ms)
+    pub fn fastest_decline_ms(
+        &self,
+        fastest: &PrefillModel,
+        request: &AdmissionRequest,
+    ) -> Option<f64> {
+        let prefill_ms = fastest.prefill_ms(request.min_work());
+        let limit_ms = self.limit_ms(fastest, request);
+        let hopeless =
+            request.level.is_beyond() && !self.is_in_time(0.0, prefill_ms, limit_ms, request.level);
+        hopeless.then_some(fastest.fixed_ms() + prefill_ms)
     }
 
     /// Tells whether slots and memory allow one more; a prompt of any size may run alone.
-    fn has_room(&self, load: &EngineLoad, ask: &EngineAsk, unseen: f64) -> bool {
+    fn has_room(&self, load: &EngineLoad, request: &AdmissionRequest, unseen: f64) -> bool {
         let spec = load.spec();
         let slots = load.runs() as f64 * unseen < f64::from(spec.slots);
-        let memory = load.memory() as f64 * unseen + f64::from(ask.memory());
-        let fits = memory <= spec.memory as f64 * self.memory_part;
+        let memory = load.memory() as f64 * unseen + f64::from(request.memory());
+        let fits = memory <= spec.memory as f64 * self.memory_fraction;
         slots && (fits || load.runs() == 0)
     }
 }
--- a/dockgate-core/src/gateway/answer_rule.rs
+++ b/dockgate-core/src/gateway/answer_verdict.rs
@@ -16,7 +16,7 @@
 
 /// What is known from the head of an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct AnswerSigns {
+pub struct AnswerAttributes {
     /// The HTTP status.
     pub status: u16,
     /// Whose answer it is.
@@ -45,9 +45,9 @@
 /// Statuses that promise callers that a request has not run.
 const PROMISES: [u16; 4] = [408, 421, 429, 503];
 
-impl AnswerSigns {
+impl AnswerAttributes {
     /// Judges an answer.
-    pub fn judge(&self) -> AnswerVerdict {
+    pub fn classify(&self) -> AnswerVerdict {
         match (self.status, self.owner) {
             (_, AnswerOwner::Foreign) => AnswerVerdict::Unusable,
             _ if self.not_run => AnswerVerdict::NotRun,
--- a/dockgate-core/src/gateway/box_beat.rs
+++ b/dockgate-core/src/gateway/box_beat.rs
@@ -12,7 +12,7 @@
 //! assert_eq!(beat.standing.processor, 500);
 //! ```
 
-use super::home_order::name_hash;
+use super::rendezvous::name_hash;
 use super::store_revision::StoreRevision;
 use crate::ids::{BoxKey, Incarnation};
 use serde::{Deserialize, Serialize};
--- a/dockgate-core/src/gateway/endpoint_notice.rs
+++ b/dockgate-core/src/gateway/endpoint_notice.rs
@@ -4,10 +4,10 @@
 //! is away. Its answers come from the endpoint itself, so what they say of it is the newest word there is.
 //!
 //! ```
-//! use dockgate_core::gateway::{AnswerOwner, AnswerSigns, EndpointNotice};
+//! use dockgate_core::gateway::{AnswerOwner, AnswerAttributes, EndpointNotice};
 //!
 //! let said = EndpointNotice { leaves: true, ..EndpointNotice::default() };
-//! let signs = AnswerSigns {
+//! let signs = AnswerAttributes {
 //!     status: 200,
 //!     owner: AnswerOwner::Own,
 //!     has_proof: true,
@@ -17,7 +17,7 @@
 //! assert!(said.believed(&signs).leaves);
 //! ```
 
-use super::answer_rule::{AnswerOwner, AnswerSigns};
+use super::answer_verdict::{AnswerAttributes, AnswerOwner};
 use std::time::Duration;
 
 /// The status of an answer that another endpoint gave in the place of the one that was meant.
@@ -46,7 +46,7 @@
     /// without any request's id may come from whatever listens there, and a misdirected request was answered by
     /// another endpoint. Only one that turns a request away asks for rest.
     #[must_use]
-    pub const fn believed(self, signs: &AnswerSigns) -> Self {
+    pub const fn believed(self, signs: &AnswerAttributes) -> Self {
         match (signs.owner, signs.status) {
             (AnswerOwner::Unnamed, _) | (_, MISDIRECTED) => Self {
                 leaves: false,
--- a/dockgate-core/src/gateway/endpoint_notice/tests.rs
+++ b/dockgate-core/src/gateway/endpoint_notice/tests.rs
@@ -24,7 +24,7 @@
         rest: REST,
     };
     for (has_proof, not_run) in [(false, false), (false, true), (true, false), (true, true)] {
-        let signs = AnswerSigns {
+        let signs = AnswerAttributes {
             status,
             owner,
             has_proof,
--- a/dockgate-core/src/gateway/engine_load.rs
+++ b/dockgate-core/src/gateway/engine_load.rs
@@ -2,12 +2,12 @@
 //!
 //! An engine reads prompts in order of arrival, piece by piece between the tokens that it makes.
 //! So the wait for a first event is the reading of all that was admitted before, and of the own
-//! prompt less what is cached, and a time that every first event takes ([`ReadModel`]).
+//! prompt less what is cached, and a time that every first event takes ([`PrefillModel`]).
 
-use super::engine_book::{EngineAsk, RunKey};
+use super::engine_registry::{AdmissionRequest, RunKey};
+use super::prefill_model::{PrefillModel, PrefillSample, PrefillSpeed, PrefillWork};
 use super::prefix_cache::PrefixCache;
 use super::prompt_shape::PromptPart;
-use super::read_model::{PromptWork, ReadModel, ReadSample, ReadSpeed};
 use super::route_table::EngineSpec;
 use std::collections::HashMap;
 
@@ -15,7 +15,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct EngineRun {
     /// What the engine has to read of its prompt, as believed when it was placed.
-    pub work: PromptWork,
+    pub work: PrefillWork,
     /// Tokens of memory that it takes when it has made all its output.
     pub memory: u32,
     /// When it was placed.
@@ -30,7 +30,7 @@
 #[derive(Debug, Clone)]
 pub struct EngineLoad {
     spec: EngineSpec,
-    model: ReadModel,
+    model: PrefillModel,
     runs: HashMap<RunKey, EngineRun>,
     /// Runs without a first event, in the order in which they were placed: what is to be read.
     waiting: Vec<RunKey>,
@@ -38,7 +38,7 @@
     /// When the last first event was seen.
     last_first_ms: f64,
     /// Until when the box that decides for the engine said that it reads what it has.
-    told_until_ms: f64,
+    reported_until_ms: f64,
     memory: u64,
 }
 
@@ -50,7 +50,7 @@
 
     /// Makes an engine of which nothing is known but what it can hold, and how fast others of its
     /// kind are.
-    pub fn new(spec: EngineSpec, model: ReadModel) -> Self {
+    pub fn new(spec: EngineSpec, model: PrefillModel) -> Self {
         Self {
             spec,
             model,
@@ -58,7 +58,7 @@
             waiting: Vec::new(),
             cache: PrefixCache::default(),
             last_first_ms: f64::NEG_INFINITY,
-            told_until_ms: f64::NEG_INFINITY,
+            reported_until_ms: f64::NEG_INFINITY,
             memory: 0,
         }
     }
@@ -74,7 +74,7 @@
     }
 
     /// Returns how fast the engine reads, as learned.
-    pub const fn model(&self) -> &ReadModel {
+    pub const fn model(&self) -> &PrefillModel {
         &self.model
     }
 
@@ -89,7 +89,7 @@
     }
 
     /// Returns the prompt tokens that it has not read yet.
-    pub fn unread(&self) -> u64 {
+    pub fn pending_tokens(&self) -> u64 {
         self.waiting_runs()
             .map(|run| u64::from(run.work.tokens()))
             .sum()
@@ -100,17 +100,17 @@
     }
 
     /// Returns what it would have to read of a prompt.
-    pub fn work_of(&self, ask: &EngineAsk) -> PromptWork {
-        let kept = self.cache.kept_tokens(&ask.parts).min(ask.input);
-        PromptWork::new(kept, ask.input - kept)
+    pub fn work_of(&self, request: &AdmissionRequest) -> PrefillWork {
+        let kept = self.cache.cached_tokens(&request.parts).min(request.input);
+        PrefillWork::new(kept, request.input - kept)
     }
 
     /// Returns what it would have to read of a prompt if it kept all that other prompts share: the
     /// least that a box can say which sees only its own part of the engine.
-    fn least_work_of(&self, ask: &EngineAsk) -> PromptWork {
-        let own = ask.parts.last().map_or(0, |part| part.tokens);
-        let unread = own.min(self.work_of(ask).tokens());
-        PromptWork::new(ask.input.saturating_sub(unread), unread)
+    fn min_work_of(&self, request: &AdmissionRequest) -> PrefillWork {
+        let own = request.parts.last().map_or(0, |part| part.tokens);
+        let unread = own.min(self.work_of(request).tokens());
+        PrefillWork::new(request.input.saturating_sub(unread), unread)
     }
 
     /// Returns for how many milliseconds the engine reads what it has.
@@ -123,62 +123,62 @@
         let read_until = self.last_first_ms - fixed_ms;
         let read_until = self.waiting_runs().fold(read_until, |read_until, run| {
             let begun = read_until.max(run.placed_ms as f64);
-            let read = begun + self.model.read_ms(run.work);
+            let read = begun + self.model.prefill_ms(run.work);
             read.max(now - fixed_ms)
         });
-        (read_until.max(self.told_until_ms) - now).max(0.0)
+        (read_until.max(self.reported_until_ms) - now).max(0.0)
     }
 
     /// Predicts after how many milliseconds the first event of a prompt would come.
-    pub fn first_event_ms(&self, ask: &EngineAsk, now_ms: u64) -> f64 {
-        self.backlog_ms(now_ms) + self.model.first_event_ms(self.work_of(ask))
+    pub fn first_event_ms(&self, request: &AdmissionRequest, now_ms: u64) -> f64 {
+        self.backlog_ms(now_ms) + self.model.first_event_ms(self.work_of(request))
     }
 
     /// Returns for how many milliseconds the engine reads a prompt at least, by what this box alone has sent there.
-    pub fn least_read_ms(&self, ask: &EngineAsk) -> f64 {
-        self.model.read_ms(self.least_work_of(ask))
+    pub fn min_prefill_ms(&self, request: &AdmissionRequest) -> f64 {
+        self.model.prefill_ms(self.min_work_of(request))
     }
 
     /// Takes in what the box that decides for the engine says of it.
-    pub fn hear(&mut self, backlog_ms: u32, speed: ReadSpeed, now_ms: u64) {
+    pub fn apply_report(&mut self, backlog_ms: u32, speed: PrefillSpeed, now_ms: u64) {
         self.model = speed.into();
-        self.told_until_ms = now_ms as f64 + f64::from(backlog_ms);
+        self.reported_until_ms = now_ms as f64 + f64::from(backlog_ms);
     }
 
     /// Places a request.
-    pub fn place(&mut self, key: RunKey, ask: &EngineAsk, now_ms: u64) {
+    pub fn place(&mut self, key: RunKey, request: &AdmissionRequest, now_ms: u64) {
         self.end(key);
         let run = EngineRun {
-            work: self.work_of(ask),
-            memory: ask.memory(),
+            work: self.work_of(request),
+            memory: request.memory(),
             placed_ms: now_ms,
-            until_ms: now_ms + u64::from(ask.budget_ms),
+            until_ms: now_ms + u64::from(request.budget_ms),
             started: false,
         };
         self.runs.insert(key, run);
         self.waiting.push(key);
         self.memory += u64::from(run.memory);
-        self.note_cached(&ask.parts);
+        self.note_cached(&request.parts);
     }
 
     /// Notes that parts are in the cache, as another box saw.
     pub fn note_cached(&mut self, parts: &[PromptPart]) {
         let capacity = self.spec.memory.saturating_sub(self.memory);
-        self.cache.note_read(parts, capacity);
+        self.cache.insert(parts, capacity);
     }
 
     /// Notes the first event of a request.
     ///
     /// Only a box that hears of every run at the engine `learns` from it: to others, an engine that is
     /// busy with the runs of other boxes looks slow.
-    pub fn start(&mut self, key: RunKey, now_ms: u64, learns: bool) {
+    pub fn start(&mut self, key: RunKey, now_ms: u64, updates_model: bool) {
         let Some(run) = self.runs.get_mut(&key).filter(|run| !run.started) else {
             return;
         };
         run.started = true;
         let run = *run;
         let is_first = self.waiting.first() == Some(&key);
-        if learns && is_first {
+        if updates_model && is_first {
             self.learn(&run, now_ms as f64);
         }
         self.waiting.retain(|waiting| *waiting != key);
@@ -190,7 +190,7 @@
         let placed = run.placed_ms as f64;
         let was_idle = self.last_first_ms - self.model.fixed_ms() <= placed;
         let since = if was_idle { placed } else { self.last_first_ms };
-        self.model.learn(ReadSample {
+        self.model.learn(PrefillSample {
             work: run.work,
             took_ms: now - since,
             was_idle,
--- a/dockgate-core/src/gateway/engine_load/tests.rs
+++ b/dockgate-core/src/gateway/engine_load/tests.rs
@@ -5,7 +5,7 @@
 use proptest::prelude::*;
 
 /// 20 ms for every first event, 34 tokens a millisecond, no time for pairs.
-const SPEED: ReadSpeed = ReadSpeed {
+const SPEED: PrefillSpeed = PrefillSpeed {
     fixed_us: 20_000,
     kilotoken_us: 29_412,
     megapair_us: 0,
@@ -20,12 +20,12 @@
     memory: 232_000,
 };
 
-fn ask(subject: u64, own: u64, input: u32) -> EngineAsk {
+fn request(subject: u64, own: u64, input: u32) -> AdmissionRequest {
     let shared = input / 2;
-    EngineAsk {
+    AdmissionRequest {
         workspace: 1,
         objective_ms: 600,
-        shortest_ms: 600,
+        shortest_objective_ms: 600,
         budget_ms: 6_000,
         level: ShareLevel::WITHIN,
         input,
@@ -53,29 +53,29 @@
 #[test]
 fn a_prompt_waits_for_what_was_placed_before_it() {
     let mut load = engine();
-    let alone = load.first_event_ms(&ask(1, 1, 6_800), 1_000);
+    let alone = load.first_event_ms(&request(1, 1, 6_800), 1_000);
     assert!(
         (alone - 220.0).abs() < 1.0,
         "6800 tokens at 34 a ms, and 20 ms: {alone}"
     );
-    load.place(key(1), &ask(1, 1, 6_800), 1_000);
-    let behind = load.first_event_ms(&ask(2, 2, 6_800), 1_000);
+    load.place(key(1), &request(1, 1, 6_800), 1_000);
+    let behind = load.first_event_ms(&request(2, 2, 6_800), 1_000);
     assert!((behind - 420.0).abs() < 1.0, "{behind}");
-    let cached = load.first_event_ms(&ask(1, 3, 6_800), 1_000);
+    let cached = load.first_event_ms(&request(1, 3, 6_800), 1_000);
     assert!(
         (cached - 320.0).abs() < 1.0,
         "half of it is shared: {cached}"
     );
-    let later = load.first_event_ms(&ask(2, 2, 6_800), 1_180);
+    let later = load.first_event_ms(&request(2, 2, 6_800), 1_180);
     assert!((later - 240.0).abs() < 1.0, "time passes: {later}");
 }
 
 #[test]
 fn an_engine_that_is_silent_keeps_its_backlog() {
     let mut load = engine();
-    load.place(key(1), &ask(1, 1, 6_800), 1_000);
-    load.place(key(2), &ask(2, 2, 6_800), 1_000);
-    let behind = load.first_event_ms(&ask(3, 3, 6_800), 3_000);
+    load.place(key(1), &request(1, 1, 6_800), 1_000);
+    load.place(key(2), &request(2, 2, 6_800), 1_000);
+    let behind = load.first_event_ms(&request(3, 3, 6_800), 3_000);
     assert!(
         behind > 380.0,
         "neither has been read, whatever was expected: {behind}"
@@ -85,50 +85,53 @@
 #[test]
 fn a_first_event_that_is_late_keeps_the_backlog_and_teaches_the_speed() {
     let mut load = engine();
-    load.place(key(1), &ask(1, 1, 6_800), 1_000);
-    load.place(key(2), &ask(2, 2, 6_800), 1_000);
+    load.place(key(1), &request(1, 1, 6_800), 1_000);
+    load.place(key(2), &request(2, 2, 6_800), 1_000);
     load.start(key(1), 1_800, true);
-    let behind = load.first_event_ms(&ask(3, 3, 6_800), 1_800);
+    let behind = load.first_event_ms(&request(3, 3, 6_800), 1_800);
     assert!(
         behind > 420.0,
         "the second is still unread, and reading is slow: {behind}"
     );
-    assert_eq!(load.unread(), 6_800);
+    assert_eq!(load.pending_tokens(), 6_800);
 }
 
 #[test]
 fn a_box_that_sees_a_part_of_the_engine_does_not_learn_its_speed_but_is_told() {
     let mut load = engine();
-    load.place(key(1), &ask(1, 1, 6_800), 1_000);
+    load.place(key(1), &request(1, 1, 6_800), 1_000);
     load.start(key(1), 1_900, false);
     assert_eq!(load.model().speed(), SPEED, "others were read meanwhile");
-    let speed = ReadSpeed {
+    let speed = PrefillSpeed {
         fixed_us: 50_000,
         ..SPEED
     };
-    load.hear(300, speed, 2_000);
-    let first = load.first_event_ms(&ask(2, 2, 6_800), 2_100);
+    load.apply_report(300, speed, 2_000);
+    let first = load.first_event_ms(&request(2, 2, 6_800), 2_100);
     assert!((first - 450.0).abs() < 1.0, "200 + 50 + 200 ms: {first}");
 }
 
 #[test]
 fn a_run_that_is_overtaken_was_read() {
     let mut load = engine();
-    load.place(key(1), &ask(1, 1, 6_800), 1_000);
-    load.place(key(2), &ask(2, 2, 6_800), 1_200);
+    load.place(key(1), &request(1, 1, 6_800), 1_000);
+    load.place(key(2), &request(2, 2, 6_800), 1_200);
     load.start(key(2), 1_450, true);
-    assert_eq!(load.unread(), 0, "engines read in order of arrival");
+    assert_eq!(load.pending_tokens(), 0, "engines read in order of arrival");
     assert_eq!(load.runs(), 2, "what became of the first is not known");
 }
 
 #[test]
 fn a_run_that_is_never_heard_of_again_is_forgotten() {
     let mut load = engine();
-    load.place(key(1), &ask(1, 1, 6_800), 1_000);
+    load.place(key(1), &request(1, 1, 6_800), 1_000);
     load.retain(2_000, |_| false);
     assert_eq!(load.runs(), 1);
     load.retain(9_000, |_| false);
-    assert_eq!((load.runs(), load.memory(), load.unread()), (0, 0, 0));
+    assert_eq!(
+        (load.runs(), load.memory(), load.pending_tokens()),
+        (0, 0, 0)
+    );
 }
 
 proptest! {
@@ -140,7 +143,7 @@
         for (number, event, input) in events {
             now_ms += 37;
             match event {
-                0 | 1 => load.place(key(number), &ask(u64::from(number), 7, input), now_ms),
+                0 | 1 => load.place(key(number), &request(u64::from(number), 7, input), now_ms),
                 2 => load.start(key(number), now_ms, true),
                 _ => load.end(key(number)),
             }
--- a/dockgate-core/src/gateway/engine_book.rs
+++ b/dockgate-core/src/gateway/engine_registry.rs
@@ -4,8 +4,8 @@
 //! own. The same book serves both, so that a box can decide for any engine when its owner is away.
 
 use super::engine_load::EngineLoad;
+use super::prefill_model::{PrefillModel, PrefillSpeed, PrefillWork};
 use super::prompt_shape::{PromptPart, PromptShape};
-use super::read_model::{PromptWork, ReadModel, ReadSpeed};
 use super::route_table::{EndpointId, EngineSpec};
 use super::share_level::ShareLevel;
 use crate::ids::BoxKey;
@@ -23,13 +23,13 @@
 
 /// What an engine is asked to do.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EngineAsk {
+pub struct AdmissionRequest {
     /// The workspace, as a hash of its name.
     pub workspace: u64,
     /// Within how many milliseconds from now the first event is in time.
     pub objective_ms: u32,
     /// The shortest such time among the routes of the service.
-    pub shortest_ms: u32,
+    pub shortest_objective_ms: u32,
     /// How long the caller waits at most.
     pub budget_ms: u32,
     /// How its workspace stands where it was asked.
@@ -44,22 +44,22 @@
 
 /// How long a caller and others of its service wait, in milliseconds from now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct AskTimes {
+pub struct LatencyLimits {
     /// Within which the first event is in time.
     pub objective_ms: u32,
     /// The shortest such time among the routes of the service.
-    pub shortest_ms: u32,
+    pub shortest_objective_ms: u32,
     /// Until the caller leaves.
     pub budget_ms: u32,
 }
 
-impl EngineAsk {
+impl AdmissionRequest {
     /// Makes the ask for a prompt of a caller that has this long.
-    pub fn new(workspace: u64, prompt: &PromptShape, times: AskTimes) -> Self {
+    pub fn new(workspace: u64, prompt: &PromptShape, times: LatencyLimits) -> Self {
         Self {
             workspace,
             objective_ms: times.objective_ms,
-            shortest_ms: times.shortest_ms,
+            shortest_objective_ms: times.shortest_objective_ms,
             budget_ms: times.budget_ms,
             level: ShareLevel::WITHIN,
             input: prompt.input,
@@ -76,15 +76,15 @@
     }
 
     /// Returns the shorter of its own objective and the shortest of the service, in milliseconds.
-    pub fn tightest_ms(&self) -> f64 {
-        f64::from(self.objective_ms.min(self.shortest_ms))
+    pub fn strictest_objective_ms(&self) -> f64 {
+        f64::from(self.objective_ms.min(self.shortest_objective_ms))
     }
 
     /// Returns what has to be read of the prompt if all that other prompts share is kept, and the pairs
     /// with what is kept count for nothing: the least that any engine reads.
-    pub fn least_work(&self) -> PromptWork {
+    pub fn min_work(&self) -> PrefillWork {
         let own = self.parts.last().map_or(0, |part| part.tokens);
-        PromptWork::new(0, own.min(self.input))
+        PrefillWork::new(0, own.min(self.input))
     }
 
     /// Returns the tokens of memory that the run takes when it has made all its output.
@@ -95,19 +95,19 @@
 
 /// The loads of engines by endpoint.
 #[derive(Debug, Default)]
-pub struct EngineBook {
+pub struct EngineRegistry {
     loads: BTreeMap<EndpointId, EngineLoad>,
     /// How fast an engine of each kind was when its last first event was learned from: where an
     /// engine of the same kind begins.
-    kinds: HashMap<EngineSpec, ReadSpeed>,
+    kinds: HashMap<EngineSpec, PrefillSpeed>,
 }
 
-impl EngineBook {
+impl EngineRegistry {
     /// Returns the load of an engine; one that is new has none.
     pub fn load_mut(&mut self, endpoint: EndpointId, spec: EngineSpec) -> &mut EngineLoad {
         let kind = self.kinds.get(&spec).copied();
         let load = self.loads.entry(endpoint).or_insert_with(|| {
-            let model = kind.map_or_else(ReadModel::default, ReadModel::from);
+            let model = kind.map_or_else(PrefillModel::default, PrefillModel::from);
             EngineLoad::new(spec, model)
         });
         load.set_spec(spec);
@@ -121,10 +121,12 @@
 
     /// Returns the fastest engine of a kind, each time by itself, where any was learned of: no engine of
     /// the kind is believed to be faster in any way.
-    pub fn fastest(&self, spec: EngineSpec) -> Option<ReadModel> {
+    pub fn fastest(&self, spec: EngineSpec) -> Option<PrefillModel> {
         let loads = self.loads.values().filter(|load| load.spec() == spec);
         let speeds = loads.map(|load| load.model().speed());
-        speeds.reduce(ReadSpeed::min_each).map(ReadModel::from)
+        speeds
+            .reduce(PrefillSpeed::min_each)
+            .map(PrefillModel::from)
     }
 
     /// Lists the loads of all engines.
@@ -133,12 +135,12 @@
     }
 
     /// Notes the first event of a run; `learns` where this box hears of every run at the engine.
-    pub fn start(&mut self, endpoint: EndpointId, key: RunKey, now_ms: u64, learns: bool) {
+    pub fn start(&mut self, endpoint: EndpointId, key: RunKey, now_ms: u64, updates_model: bool) {
         let Some(load) = self.loads.get_mut(&endpoint) else {
             return;
         };
-        load.start(key, now_ms, learns);
-        if learns {
+        load.start(key, now_ms, updates_model);
+        if updates_model {
             self.kinds.insert(load.spec(), load.model().speed());
         }
     }
--- a/dockgate-core/src/gateway/event_splitter.rs
+++ b/dockgate-core/src/gateway/event_splitter.rs
@@ -43,11 +43,11 @@
 
 impl EventSplitter {
     /// The most bytes that one event may have; more is no event stream.
-    pub const MOST_EVENT_BYTES: usize = 64 << 10;
+    pub const MAX_EVENT_BYTES: usize = 64 << 10;
 
     /// Adds bytes; returns the whole events that are there now, with the bytes that hold them.
     ///
-    /// Returns none where an event is longer than [`Self::MOST_EVENT_BYTES`].
+    /// Returns none where an event is longer than [`Self::MAX_EVENT_BYTES`].
     pub fn push(&mut self, bytes: &[u8]) -> Option<(Vec<u8>, Vec<SplitEvent>)> {
         self.buffer.extend_from_slice(bytes);
         let mut events = Vec::new();
@@ -61,11 +61,11 @@
         }
         let rest = self.buffer.split_off(start);
         let whole = std::mem::replace(&mut self.buffer, rest);
-        (self.buffer.len() <= Self::MOST_EVENT_BYTES).then_some((whole, events))
+        (self.buffer.len() <= Self::MAX_EVENT_BYTES).then_some((whole, events))
     }
 
     /// Tells whether the bytes so far end inside an event.
-    pub fn is_inside(&self) -> bool {
+    pub fn has_partial_event(&self) -> bool {
         !self.buffer.is_empty()
     }
 }
--- a/dockgate-core/src/gateway/event_splitter/tests.rs
+++ b/dockgate-core/src/gateway/event_splitter/tests.rs
@@ -13,17 +13,17 @@
             range: 0..15
         }]
     );
-    assert!(splitter.is_inside());
+    assert!(splitter.has_partial_event());
     let (bytes, events) = splitter.push(b"ta: b\r\n\r\n").unwrap();
     assert_eq!(events[0].id, Some(2));
     assert_eq!(bytes, b"id: 2\ndata: b\r\n\r\n");
-    assert!(!splitter.is_inside());
+    assert!(!splitter.has_partial_event());
 }
 
 #[test]
 fn what_never_ends_is_no_event() {
     let mut splitter = EventSplitter::default();
-    let line = vec![b'x'; EventSplitter::MOST_EVENT_BYTES];
+    let line = vec![b'x'; EventSplitter::MAX_EVENT_BYTES];
     assert!(splitter.push(&line).is_some());
     assert!(splitter.push(b"x").is_none());
 }
--- a/dockgate-core/src/gateway/fleet_view.rs
+++ b/dockgate-core/src/gateway/fleet_view.rs
@@ -10,7 +10,7 @@
 mod seen_box;
 
 use super::box_beat::{BoxBeat, BoxKnowledge, BoxStanding, DomainKey};
-use super::home_order::{owner_of_endpoint, pair_score};
+use super::rendezvous::{owner_of_endpoint, pair_score};
 use super::route_table::EndpointId;
 use super::store_duty::StoreWatchers;
 use super::store_revision::StoreRevision;
--- a/dockgate-core/src/gateway/fleet_view/fleet_tests.rs
+++ b/dockgate-core/src/gateway/fleet_view/fleet_tests.rs
@@ -43,7 +43,7 @@
 
 impl Luck {
     pub(super) fn draw(&mut self, below: u64) -> u64 {
-        self.0 = super::super::home_order::name_hash(&self.0.to_string());
+        self.0 = super::super::rendezvous::name_hash(&self.0.to_string());
         self.0 % below
     }
 }
--- a/dockgate-core/src/gateway/read_model.rs
+++ b/dockgate-core/src/gateway/prefill_model.rs
@@ -7,30 +7,30 @@
 //! warms up, slows down or turns bad is followed within some tens of first events.
 //!
 //! ```
-//! use dockgate_core::gateway::{PromptWork, ReadModel, ReadSample};
+//! use dockgate_core::gateway::{PrefillWork, PrefillModel, PrefillSample};
 //!
-//! let mut model = ReadModel::default();
+//! let mut model = PrefillModel::default();
 //! for _ in 0..200 {
 //!     for tokens in [200, 2_000, 8_000] {
-//!         let work = PromptWork::new(0, tokens);
+//!         let work = PrefillWork::new(0, tokens);
 //!         let took_ms = 50.0 + f64::from(tokens) / 100.0;
-//!         model.learn(ReadSample { work, took_ms, was_idle: true });
+//!         model.learn(PrefillSample { work, took_ms, was_idle: true });
 //!     }
 //! }
-//! assert!((model.first_event_ms(PromptWork::new(0, 4_000)) - 90.0).abs() < 5.0);
+//! assert!((model.first_event_ms(PrefillWork::new(0, 4_000)) - 90.0).abs() < 5.0);
 //! ```
 
 use serde::{Deserialize, Serialize};
 
 /// What an engine has to read of one prompt.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct PromptWork {
+pub struct PrefillWork {
     tokens: u32,
     kilotokens: f64,
     megapairs: f64,
 }
 
-impl PromptWork {
+impl PrefillWork {
     /// Makes the work of reading `unread` tokens behind `kept` tokens that need not be read.
     pub fn new(kept: u32, unread: u32) -> Self {
         let (before, read) = (f64::from(kept), f64::from(unread));
@@ -49,9 +49,9 @@
 
 /// One first event, and what came before it.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct ReadSample {
+pub struct PrefillSample {
     /// What was read for it.
-    pub work: PromptWork,
+    pub work: PrefillWork,
     /// Since the prompt was placed, where the engine was idle; else since the first event before.
     pub took_ms: f64,
     /// Whether the engine had nothing else to read when the prompt was placed.
@@ -60,7 +60,7 @@
 
 /// What is learned of an engine, to tell other boxes; whole microseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ReadSpeed {
+pub struct PrefillSpeed {
     /// What every first event takes.
     pub fixed_us: u32,
     /// For each thousand tokens that are read.
@@ -69,7 +69,7 @@
     pub megapair_us: u32,
 }
 
-impl ReadSpeed {
+impl PrefillSpeed {
     /// Returns the less of each time.
     #[must_use]
     pub fn min_each(self, other: Self) -> Self {
@@ -87,27 +87,27 @@
 
 /// The learned times of one engine, in milliseconds.
 #[derive(Debug, Clone, PartialEq)]
-pub struct ReadModel {
+pub struct PrefillModel {
     /// Fixed, for each thousand tokens, for each million pairs.
     times: Row,
     /// How uncertain each time is, and how they go together.
     covariance: [Row; UNKNOWNS],
 }
 
-impl Default for ReadModel {
+impl Default for PrefillModel {
     fn default() -> Self {
         Self::new(Self::START)
     }
 }
 
-impl From<ReadSpeed> for ReadModel {
-    fn from(speed: ReadSpeed) -> Self {
+impl From<PrefillSpeed> for PrefillModel {
+    fn from(speed: PrefillSpeed) -> Self {
         let micros = [speed.fixed_us, speed.kilotoken_us, speed.megapair_us];
         Self::new(micros.map(|micros| f64::from(micros) / 1e3))
     }
 }
 
-impl ReadModel {
+impl PrefillModel {
     /// Start values until first events were seen: two hops and a step; 31 tokens a millisecond, the
     /// slower end of today's engines, as what is admitted too early is late for everyone behind.
     const START: Row = [30.0, 32.0, 0.7];
@@ -141,19 +141,19 @@
     }
 
     /// Returns how long reading takes, in milliseconds.
-    pub fn read_ms(&self, work: PromptWork) -> f64 {
+    pub fn prefill_ms(&self, work: PrefillWork) -> f64 {
         self.times[1] * work.kilotokens + self.times[2] * work.megapairs
     }
 
     /// Returns how long a first event takes at an idle engine, in milliseconds.
-    pub fn first_event_ms(&self, work: PromptWork) -> f64 {
-        self.fixed_ms() + self.read_ms(work)
+    pub fn first_event_ms(&self, work: PrefillWork) -> f64 {
+        self.fixed_ms() + self.prefill_ms(work)
     }
 
     /// Returns what is learned, to tell other boxes.
-    pub fn speed(&self) -> ReadSpeed {
+    pub fn speed(&self) -> PrefillSpeed {
         let [fixed_us, kilotoken_us, megapair_us] = self.times.map(|ms| (ms * 1e3) as u32);
-        ReadSpeed {
+        PrefillSpeed {
             fixed_us,
             kilotoken_us,
             megapair_us,
@@ -161,7 +161,7 @@
     }
 
     /// Learns from a first event.
-    pub fn learn(&mut self, sample: ReadSample) {
+    pub fn learn(&mut self, sample: PrefillSample) {
         let fixed = if sample.was_idle { 1.0 } else { 0.0 };
         let seen = [fixed, sample.work.kilotokens, sample.work.megapairs];
         let expected_ms = dot(&self.times, &seen);
--- a/dockgate-core/src/gateway/prefix_cache.rs
+++ b/dockgate-core/src/gateway/prefix_cache.rs
@@ -8,7 +8,7 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 #[derive(Debug, Clone, Copy)]
-struct KeptPart {
+struct CachedPart {
     tokens: u32,
     used: u64,
 }
@@ -16,7 +16,7 @@
 /// The believed content of one engine's cache.
 #[derive(Debug, Clone, Default)]
 pub struct PrefixCache {
-    parts: HashMap<u64, KeptPart>,
+    parts: HashMap<u64, CachedPart>,
     by_use: BTreeMap<u64, u64>,
     uses: u64,
     tokens: u64,
@@ -32,7 +32,7 @@
 
 impl PrefixCache {
     /// Returns how many tokens of a prompt need not be read.
-    pub fn kept_tokens(&self, parts: &[PromptPart]) -> u32 {
+    pub fn cached_tokens(&self, parts: &[PromptPart]) -> u32 {
         chain(parts)
             .take_while(|(key, _)| self.parts.contains_key(key))
             .map(|(_, tokens)| tokens)
@@ -40,7 +40,7 @@
     }
 
     /// Notes that a prompt is read; what was unused longest gives way above `capacity` tokens.
-    pub fn note_read(&mut self, parts: &[PromptPart], capacity: u64) {
+    pub fn insert(&mut self, parts: &[PromptPart], capacity: u64) {
         let chain: Vec<(u64, u32)> = chain(parts).collect();
         // The first parts are used last, so that a chain gives way from its end.
         for (key, tokens) in chain.into_iter().rev() {
@@ -64,7 +64,7 @@
         self.by_use.insert(self.uses, key);
         self.parts.insert(
             key,
-            KeptPart {
+            CachedPart {
                 tokens,
                 used: self.uses,
             },
--- a/dockgate-core/src/gateway/prefix_cache/tests.rs
+++ b/dockgate-core/src/gateway/prefix_cache/tests.rs
@@ -13,19 +13,19 @@
 #[test]
 fn a_part_counts_only_behind_the_same_parts() {
     let mut cache = PrefixCache::default();
-    cache.note_read(&parts(&[1, 2, 3]), 1_000);
-    assert_eq!(cache.kept_tokens(&parts(&[1, 2, 9])), 200);
-    assert_eq!(cache.kept_tokens(&parts(&[2, 3])), 0);
+    cache.insert(&parts(&[1, 2, 3]), 1_000);
+    assert_eq!(cache.cached_tokens(&parts(&[1, 2, 9])), 200);
+    assert_eq!(cache.cached_tokens(&parts(&[2, 3])), 0);
 }
 
 #[test]
 fn what_was_unused_longest_gives_way_from_the_end_of_its_chain() {
     let mut cache = PrefixCache::default();
-    cache.note_read(&parts(&[1, 2]), 300);
-    cache.note_read(&parts(&[5]), 300);
-    cache.note_read(&parts(&[6]), 300);
+    cache.insert(&parts(&[1, 2]), 300);
+    cache.insert(&parts(&[5]), 300);
+    cache.insert(&parts(&[6]), 300);
     assert_eq!(
-        cache.kept_tokens(&parts(&[1, 2])),
+        cache.cached_tokens(&parts(&[1, 2])),
         100,
         "the end has given way, not the start"
     );
@@ -40,7 +40,7 @@
     ) {
         let mut cache = PrefixCache::default();
         for read in reads {
-            cache.note_read(&parts(&read), capacity);
+            cache.insert(&parts(&read), capacity);
             prop_assert!(cache.tokens() <= capacity);
             let sum: u64 = cache.parts.values().map(|part| u64::from(part.tokens)).sum();
             prop_assert_eq!(sum, cache.tokens());
--- a/dockgate-core/src/gateway/read_log.rs
+++ b/dockgate-core/src/gateway/prefix_history.rs
@@ -12,7 +12,7 @@
 
 /// Parts to be told to a box.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct DueReads {
+pub struct PrefixReport {
     /// The box that decides for the engine.
     pub owner: BoxKey,
     /// The engine.
@@ -30,11 +30,11 @@
 
 /// The shared parts that were read lately, by engine.
 #[derive(Debug, Default)]
-pub struct ReadLog {
+pub struct PrefixHistory {
     engines: BTreeMap<EndpointId, EngineReads>,
 }
 
-impl ReadLog {
+impl PrefixHistory {
     /// How many chains are remembered for an engine: what one box sends there in a few seconds.
     const MOST_CHAINS: usize = 24;
 
@@ -56,11 +56,11 @@
 
     /// Returns what is due to the boxes that decide now and may not know; `is_due` is given the box
     /// that decides and the one that was told.
-    pub fn take_due(
+    pub fn take_reports(
         &mut self,
         owner_of: impl Fn(EndpointId) -> Option<BoxKey>,
         is_due: impl Fn(BoxKey, BoxKey) -> bool,
-    ) -> Vec<DueReads> {
+    ) -> Vec<PrefixReport> {
         self.engines
             .retain(|endpoint, _| owner_of(*endpoint).is_some());
         let mut due = Vec::new();
@@ -69,7 +69,7 @@
                 continue;
             };
             reads.told = owner;
-            due.extend(reads.chains.iter().map(|parts| DueReads {
+            due.extend(reads.chains.iter().map(|parts| PrefixReport {
                 owner,
                 endpoint: *endpoint,
                 parts: parts.clone(),
--- a/dockgate-core/src/gateway/prompt_shape.rs
+++ b/dockgate-core/src/gateway/prompt_shape.rs
@@ -21,7 +21,7 @@
     /// Tokens expected to be made.
     pub output: u32,
     /// The most tokens that may be made.
-    pub most_output: u32,
+    pub max_output: u32,
     /// The parts in order; the last belongs to this request or its session alone.
     pub parts: Vec<PromptPart>,
 }
@@ -44,14 +44,14 @@
     }
 
     /// Returns what names the subject: the last shared part, else the last of all.
-    pub fn subject(&self) -> Option<u64> {
+    pub fn affinity_key(&self) -> Option<u64> {
         let part = self.shared_parts().last().or_else(|| self.parts.last());
         part.map(|part| part.id)
     }
 
     /// Returns how long the answer may take from its first event to its last, in milliseconds.
-    pub const fn most_output_ms(&self) -> u64 {
-        self.most_output as u64 * Self::TOKEN_MS
+    pub const fn max_output_ms(&self) -> u64 {
+        self.max_output as u64 * Self::TOKEN_MS
     }
 
     /// Returns the service units that fair shares are counted in.
--- a/dockgate-core/src/gateway/home_order.rs
+++ b/dockgate-core/src/gateway/rendezvous.rs
@@ -18,7 +18,7 @@
 /// Requests with the same homes move together from an endpoint that ends to the next one, and so does the one
 /// under which they end: after three of them all look alike to blame. With homes of its own for the third send, 2 of
 /// 1,516 requests that lost an endpoint are blamed in place of 21 (played load, ten runs of 30 s).
-pub const fn home_subject(shared: u64, own: u64, tried: usize) -> u64 {
+pub const fn home_key(shared: u64, own: u64, tried: usize) -> u64 {
     /// A request that was unlucky once is best off where others have read its parts before.
     const SHARED_TRIES: usize = 2;
     match tried < SHARED_TRIES {
--- a/dockgate-core/src/gateway/home_order/tests.rs
+++ b/dockgate-core/src/gateway/rendezvous/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use proptest::prelude::*;
 
-fn home_order(subject: u64, endpoints: impl Iterator<Item = EndpointId>) -> Vec<EndpointId> {
+fn ranked_homes(subject: u64, endpoints: impl Iterator<Item = EndpointId>) -> Vec<EndpointId> {
     best_homes(subject, endpoints, usize::MAX - 1, |_| true)
 }
 
@@ -27,8 +27,8 @@
 fn an_endpoint_that_goes_moves_only_its_own_subjects() {
     let endpoints: Vec<EndpointId> = (0..18).map(EndpointId).collect();
     for subject in 0..500 {
-        let before = home_order(subject, endpoints.iter().copied());
-        let after = home_order(subject, endpoints[..17].iter().copied());
+        let before = ranked_homes(subject, endpoints.iter().copied());
+        let after = ranked_homes(subject, endpoints[..17].iter().copied());
         let kept: Vec<EndpointId> = before
             .into_iter()
             .filter(|endpoint| *endpoint != EndpointId(17))
@@ -41,7 +41,7 @@
 fn subjects_spread_evenly() {
     let mut counts = [0_u32; 18];
     for subject in 0..3_600 {
-        let homes = home_order(name_hash(&subject.to_string()), (0..18).map(EndpointId));
+        let homes = ranked_homes(name_hash(&subject.to_string()), (0..18).map(EndpointId));
         counts[homes[0].0 as usize] += 1;
     }
     assert!(
@@ -63,6 +63,6 @@
 
 #[test]
 fn a_request_leaves_the_homes_that_it_shares_once_it_has_lost_two_endpoints() {
-    let subjects = [0, 1, 2, 3].map(|tried| home_subject(7, 8, tried));
+    let subjects = [0, 1, 2, 3].map(|tried| home_key(7, 8, tried));
     assert_eq!(subjects, [7, 7, 8, 8]);
 }
--- a/dockgate-core/src/gateway/share_tracker/share_simulation.rs
+++ b/dockgate-core/src/gateway/share_tracker/share_simulation.rs
@@ -5,8 +5,8 @@
 
 use super::ShareTracker;
 use crate::gateway::{
-    AdmissionRule, DomainKey, EngineAsk, EngineLoad, EngineSpec, EngineVerdict, PromptPart,
-    ReadSpeed, RunKey, ShareHeader, ShareScope, UsageRow,
+    AdmissionRequest, AdmissionRule, DomainKey, EngineLoad, EngineSpec, EngineVerdict,
+    PrefillSpeed, PromptPart, RunKey, ShareHeader, ShareScope, UsageRow,
 };
 use crate::ids::{BoxKey, Incarnation};
 use std::cmp::Reverse;
@@ -182,7 +182,7 @@
 
 impl ShareSimulation {
     fn new(floods: &[Flood], config: SimulationConfig) -> Self {
-        let speed = ReadSpeed {
+        let speed = PrefillSpeed {
             fixed_us: 20_000,
             kilotoken_us: (1_000_000.0 / ENGINE_SPEED) as u32,
             megapair_us: 0,
@@ -347,10 +347,10 @@
         self.trackers[index].record_request(workspace, units, self.now_ms);
         let level = self.trackers[index].level(workspace, units, self.now_ms);
         let number = self.event_count as u32;
-        let ask = EngineAsk {
+        let ask = AdmissionRequest {
             workspace,
             objective_ms: 1_000,
-            shortest_ms: 600,
+            shortest_objective_ms: 600,
             budget_ms: 6_000,
             level,
             input: tokens,
--- a/dockgate-proto/src/gateway.rs
+++ b/dockgate-proto/src/gateway.rs
@@ -4,8 +4,8 @@
 //! decided by the entry alone, sums replace sums, and a run that is never heard of again lapses.
 
 use dockgate_core::gateway::{
-    BoxBeat, EndpointId, EndpointNews, EngineAsk, EngineVerdict, FleetDigest, PromptPart,
-    ReadSpeed, RouteConfig, StoreRevision, SuspectRow, UsageRow,
+    AdmissionRequest, BoxBeat, EndpointId, EndpointNews, EngineVerdict, FleetDigest, PrefillSpeed,
+    PromptPart, RouteConfig, StoreRevision, SuspectRow, UsageRow,
 };
 use dockgate_core::{BoxKey, Incarnation};
 use serde::{Deserialize, Serialize};
@@ -71,7 +71,7 @@
         /// The endpoint.
         endpoint: EndpointId,
         /// The prompt.
-        ask: EngineAsk,
+        ask: AdmissionRequest,
     },
     /// Owner to entry: the answer to a seek.
     Verdict {
@@ -84,7 +84,7 @@
         /// For how many milliseconds the engine reads what it has, this prompt included.
         backlog_ms: u32,
         /// How fast the engine reads.
-        speed: ReadSpeed,
+        speed: PrefillSpeed,
     },
     /// Entry to owner: a prompt is at the endpoint that was not granted by this owner.
     Placed {
@@ -93,7 +93,7 @@
         /// The endpoint.
         endpoint: EndpointId,
         /// The prompt.
-        ask: EngineAsk,
+        ask: AdmissionRequest,
         /// Whether its first event was seen.
         started: bool,
     },
--- a/dockgate/src/gateway/call/admitted.rs
+++ b/dockgate/src/gateway/call/admitted.rs
@@ -13,8 +13,8 @@
 use bytes::Bytes;
 use dockgate_core::AttemptTrail;
 use dockgate_core::gateway::{
-    AskTimes, EndpointId, EngineAsk, GatewayLimits, PromptShape, RouteKey, RouteSpec, RouteTable,
-    ServiceKey, ServiceSpec, ShareOutcome, WorkspaceRef, name_hash,
+    AdmissionRequest, EndpointId, GatewayLimits, LatencyLimits, PromptShape, RouteKey, RouteSpec,
+    RouteTable, ServiceKey, ServiceSpec, ShareOutcome, WorkspaceRef, name_hash,
 };
 use dockgate_platform::{CallHead, decode_call};
 use http::request::Parts;
@@ -136,18 +136,18 @@
     }
 
     /// Returns what an engine is asked to do, where the request has a prompt.
-    pub(in super::super) fn engine_ask(&self) -> Option<EngineAsk> {
+    pub(in super::super) fn engine_ask(&self) -> Option<AdmissionRequest> {
         let prompt = self.head.prompt.as_ref()?;
         let shortest = self.table.tightest_objective(self.service);
         let objective = self.objective_left();
         let as_ms = |time: Duration| time.as_millis() as u32;
-        let times = AskTimes {
+        let times = LatencyLimits {
             objective_ms: as_ms(objective),
-            shortest_ms: as_ms(shortest.unwrap_or(objective)),
+            shortest_objective_ms: as_ms(shortest.unwrap_or(objective)),
             budget_ms: as_ms(self.left()),
         };
         let workspace = name_hash(self.workspace_name());
-        Some(EngineAsk::new(workspace, prompt, times))
+        Some(AdmissionRequest::new(workspace, prompt, times))
     }
 }
 
@@ -344,7 +344,7 @@
     let Some(prompt) = &head.prompt else {
         return budget;
     };
-    let made = Duration::from_millis(PromptShape::most_output_ms(prompt));
+    let made = Duration::from_millis(PromptShape::max_output_ms(prompt));
     (route.objective + made).min(budget)
 }
 
--- a/dockgate/src/gateway/call/placing.rs
+++ b/dockgate/src/gateway/call/placing.rs
@@ -8,8 +8,8 @@
 use super::{AdmittedCall, CallRefusal, CallTries};
 use crate::clock::now_ms;
 use dockgate_core::gateway::{
-    EndpointEntry, EngineAsk, PromptShape, ReturnCause, ServiceOutlook, ShareLevel, ShareOutcome,
-    name_hash, return_time,
+    AdmissionRequest, EndpointEntry, PromptShape, ReturnCause, ServiceOutlook, ShareLevel,
+    ShareOutcome, name_hash, return_time,
 };
 use std::time::Duration;
 
@@ -26,7 +26,7 @@
     model: String::new(),
     input: 0,
     output: 0,
-    most_output: 0,
+    max_output: 0,
     parts: Vec::new(),
 };
 
@@ -87,11 +87,11 @@
             .with(|beliefs| beliefs.shares.level(workspace, units, now_ms()))
     }
 
-    fn refuse_prompt(&self, none: NoPlace, ask: &EngineAsk, units: u64) -> CallRefusal {
+    fn refuse_prompt(&self, none: NoPlace, ask: &AdmissionRequest, units: u64) -> CallRefusal {
         let Some(first_ms) = none.first_event_ms() else {
             return self.refuse_unserved();
         };
-        let EngineAsk {
+        let AdmissionRequest {
             workspace, level, ..
         } = *ask;
         let cause = match none.asked.is_empty() {
--- a/dockgate/src/gateway/call/sending.rs
+++ b/dockgate/src/gateway/call/sending.rs
@@ -268,7 +268,7 @@
         if notice.leaves && self.service().engine.is_some() {
             tell_owner(&self.state, &place.target);
         }
-        let verdict = head.signs.judge();
+        let verdict = head.signs.classify();
         match verdict {
             AnswerVerdict::NotRun => {
                 let problem = format!("not run: {}", response.status());
--- a/dockgate/src/gateway/engine_seek.rs
+++ b/dockgate/src/gateway/engine_seek.rs
@@ -16,8 +16,8 @@
 use crate::clock::now_ms;
 use dockgate_core::BoxKey;
 use dockgate_core::gateway::{
-    DomainKey, EndpointId, EngineAsk, EngineSpec, EngineVerdict, PromptPart, PromptShape,
-    ReadSpeed, ReadyEndpoint, RunKey, ServiceSpec, ShareLevel, best_homes, home_subject,
+    AdmissionRequest, DomainKey, EndpointId, EngineSpec, EngineVerdict, PrefillSpeed, PromptPart,
+    PromptShape, ReadyEndpoint, RunKey, ServiceSpec, ShareLevel, best_homes, home_key,
 };
 use dockgate_proto::GatewayMessage;
 use pending_seek::PendingSeek;
@@ -114,8 +114,8 @@
     accepts: impl Fn(EndpointId) -> bool,
 ) -> Vec<EndpointId> {
     let own = wish.own_subject;
-    let subject = wish.prompt.subject().unwrap_or(own);
-    let subject = home_subject(subject, own, wish.tried.len());
+    let subject = wish.prompt.affinity_key().unwrap_or(own);
+    let subject = home_key(subject, own, wish.tried.len());
     if wish.prompt.shared_tokens() >= NEAR_BELOW_TOKENS {
         let all = ready.iter().map(|ready| ready.id);
         return best_homes(subject, all, SHARED_HOMES, accepts);
@@ -174,7 +174,7 @@
     state: &GatewayState,
     endpoint: EndpointId,
     key: RunKey,
-    ask: &EngineAsk,
+    ask: &AdmissionRequest,
     others: u32,
 ) -> Option<EngineVerdict> {
     let now = now_ms();
@@ -196,7 +196,12 @@
 }
 
 /// Notes a prompt that is at an engine, whoever decided.
-pub(super) fn place_here(state: &GatewayState, endpoint: EndpointId, key: RunKey, ask: &EngineAsk) {
+pub(super) fn place_here(
+    state: &GatewayState,
+    endpoint: EndpointId,
+    key: RunKey,
+    ask: &AdmissionRequest,
+) {
     if let Some(spec) = spec_of(state, endpoint) {
         state.with(|beliefs| {
             beliefs
@@ -211,7 +216,7 @@
 pub(super) fn placed(
     run: u32,
     endpoint: EndpointId,
-    ask: &EngineAsk,
+    ask: &AdmissionRequest,
     started: bool,
 ) -> GatewayMessage {
     GatewayMessage::Placed {
@@ -234,13 +239,13 @@
     state: &GatewayState,
     endpoint: EndpointId,
     backlog_ms: u32,
-    speed: ReadSpeed,
+    speed: PrefillSpeed,
 ) {
     if let Some(spec) = spec_of(state, endpoint) {
         let now = now_ms();
         state.with(|beliefs| {
             let load = beliefs.engines.load_mut(endpoint, spec);
-            load.hear(backlog_ms, speed, now);
+            load.apply_report(backlog_ms, speed, now);
         });
     }
 }
@@ -263,7 +268,11 @@
 }
 
 /// Asks for one home: its owner, or this box where the owner does not answer in time.
-async fn ask_home(state: &GatewayState, home: &HomeEngine, ask: &EngineAsk) -> Option<AskedHome> {
+async fn ask_home(
+    state: &GatewayState,
+    home: &HomeEngine,
+    ask: &AdmissionRequest,
+) -> Option<AskedHome> {
     let number = state.next_run();
     if home.owner == state.me() {
         let decided_by = state.settings().name.clone();
@@ -306,14 +315,14 @@
 fn decline_here(
     state: &GatewayState,
     home: &HomeEngine,
-    ask: &EngineAsk,
+    ask: &AdmissionRequest,
     number: u32,
 ) -> Option<AskedHome> {
     let settings = state.settings();
     let spec = spec_of(state, home.target.id)?;
     let first_ms = state.with(|beliefs| {
         let load = beliefs.engines.load_mut(home.target.id, spec);
-        settings.admission.hopeless_ms(load, ask, now_ms())
+        settings.admission.local_decline_ms(load, ask, now_ms())
     })?;
     GATEWAY_METRICS.declined_alone.inc();
     Some(AskedHome {
@@ -327,7 +336,7 @@
 fn ask_here(
     state: &GatewayState,
     home: &HomeEngine,
-    ask: &EngineAsk,
+    ask: &AdmissionRequest,
     others: u32,
     number: u32,
     decided_by: String,
@@ -349,7 +358,7 @@
 pub(super) async fn find_engine(
     state: &Arc<GatewayState>,
     wish: EngineWish<'_>,
-    ask: &EngineAsk,
+    ask: &AdmissionRequest,
 ) -> Result<EnginePlace, NoPlace> {
     if let Some(first_ms) = hopeless_anywhere_ms(state, &wish, ask) {
         return Err(NoPlace {
@@ -376,7 +385,7 @@
 fn hopeless_anywhere_ms(
     state: &GatewayState,
     wish: &EngineWish<'_>,
-    ask: &EngineAsk,
+    ask: &AdmissionRequest,
 ) -> Option<u32> {
     // Only a flood is worth a look at all engines.
     let is_open = wish.resumed || !wish.level.is_beyond();
@@ -384,14 +393,14 @@
     let rule = state.settings().admission;
     let first_ms = state.with(|beliefs| {
         let fastest = beliefs.engines.fastest(spec)?;
-        rule.hopeless_anywhere_ms(&fastest, ask)
+        rule.fastest_decline_ms(&fastest, ask)
     })?;
     GATEWAY_METRICS.declined_alone.inc();
     Some(first_ms as u32)
 }
 
 /// Places a prompt whose stream goes on, whatever waits there: most of it is done already.
-fn force(state: &Arc<GatewayState>, home: &HomeEngine, ask: &EngineAsk) -> EnginePlace {
+fn force(state: &Arc<GatewayState>, home: &HomeEngine, ask: &AdmissionRequest) -> EnginePlace {
     let number = state.next_run();
     place_here(state, home.target.id, state.own_run(number), ask);
     if home.owner != state.me() {
@@ -417,7 +426,7 @@
     state: &Arc<GatewayState>,
     home: &HomeEngine,
     asked: AskedHome,
-    ask: &EngineAsk,
+    ask: &AdmissionRequest,
 ) -> EnginePlace {
     let endpoint = home.target.id;
     EnginePlace {
--- a/dockgate/src/gateway/engine_seek/pending_seek.rs
+++ b/dockgate/src/gateway/engine_seek/pending_seek.rs
@@ -3,7 +3,7 @@
 use super::super::datagrams::send_to;
 use super::super::gateway_state::GatewayState;
 use dockgate_core::BoxKey;
-use dockgate_core::gateway::{EndpointId, EngineAsk, EngineVerdict};
+use dockgate_core::gateway::{AdmissionRequest, EndpointId, EngineVerdict};
 use dockgate_proto::GatewayMessage;
 use std::time::Duration;
 use tokio::sync::oneshot;
@@ -32,7 +32,7 @@
         run: u32,
         endpoint: EndpointId,
         owner: BoxKey,
-        ask: &EngineAsk,
+        ask: &AdmissionRequest,
     ) -> Self {
         let (sender, verdict) = oneshot::channel();
         state.with(|beliefs| beliefs.seeks.insert(run, sender));
--- a/dockgate/src/gateway/engine_seek/pending_seek/tests.rs
+++ b/dockgate/src/gateway/engine_seek/pending_seek/tests.rs
@@ -2,7 +2,7 @@
 use crate::clock::now_ms;
 use crate::gateway::gateway_state::tests::state_with_seed;
 use dockgate_core::Incarnation;
-use dockgate_core::gateway::{AskTimes, BoxBeat, PromptShape};
+use dockgate_core::gateway::{BoxBeat, LatencyLimits, PromptShape};
 use dockgate_proto::GatewayDatagram;
 use std::net::SocketAddr;
 use tokio::net::UdpSocket;
@@ -22,20 +22,20 @@
     (state, BoxKey::from_name("a2"))
 }
 
-fn ask() -> EngineAsk {
+fn ask() -> AdmissionRequest {
     let prompt = PromptShape {
         model: String::new(),
         input: 500,
         output: 20,
-        most_output: 20,
+        max_output: 20,
         parts: Vec::new(),
     };
-    let times = AskTimes {
+    let times = LatencyLimits {
         objective_ms: 300,
-        shortest_ms: 300,
+        shortest_objective_ms: 300,
         budget_ms: 15_000,
     };
-    EngineAsk::new(1, &prompt, times)
+    AdmissionRequest::new(1, &prompt, times)
 }
 
 /// Lists what has come, by kind.
--- a/dockgate/src/gateway/engine_seek/tests.rs
+++ b/dockgate/src/gateway/engine_seek/tests.rs
@@ -20,7 +20,7 @@
         model: String::new(),
         input: 100,
         output: 10,
-        most_output: 10,
+        max_output: 10,
         parts: Vec::new(),
     };
     let beyond = ShareLevel::new(2.0);
--- a/dockgate/src/gateway/event_stream.rs
+++ b/dockgate/src/gateway/event_stream.rs
@@ -227,7 +227,7 @@
     /// Tells what a piece of the answer comes to, or nothing where no event is whole yet.
     fn step_of(&mut self, frame: Option<Result<Frame<Bytes>, hyper::Error>>) -> Option<StreamStep> {
         let data = match frame {
-            None if self.splitter.is_inside() => {
+            None if self.splitter.has_partial_event() => {
                 return Some(StreamStep::Lost("ended inside an event"));
             }
             None => return Some(StreamStep::End),
--- a/dockgate/src/gateway/gateway_gauges.rs
+++ b/dockgate/src/gateway/gateway_gauges.rs
@@ -119,7 +119,7 @@
             self.quarantined.set(quarantined as i64);
             let loads = || beliefs.engines.iter();
             self.unread
-                .set(loads().map(|load| load.unread() as i64).sum());
+                .set(loads().map(|load| load.pending_tokens() as i64).sum());
             self.memory
                 .set(loads().map(|load| load.memory() as i64).sum());
         });
--- a/dockgate/src/gateway/gateway_state.rs
+++ b/dockgate/src/gateway/gateway_state.rs
@@ -12,10 +12,10 @@
 use crate::stop::StopFlag;
 use arc_swap::ArcSwap;
 use dockgate_core::gateway::{
-    BoxBeat, BoxStanding, BrokenEndpoints, EndpointBook, EndpointChange, EndpointId, EndpointNews,
-    EngineAsk, EngineBook, EngineVerdict, EraBook, FleetView, LoadShedder, LoopLag, ReadLog,
-    RetryBudget, RouteConfig, RouteTable, RunKey, ShareTally, ShareTracker, StoreDuty, StoreProbe,
-    StoreRevision, SuspectBook, WakeGate, WatchCheck,
+    AdmissionRequest, BoxBeat, BoxStanding, BrokenEndpoints, EndpointBook, EndpointChange,
+    EndpointId, EndpointNews, EngineRegistry, EngineVerdict, EraBook, FleetView, LoadShedder,
+    LoopLag, PrefixHistory, RetryBudget, RouteConfig, RouteTable, RunKey, ShareTally, ShareTracker,
+    StoreDuty, StoreProbe, StoreRevision, SuspectBook, WakeGate, WatchCheck,
 };
 use dockgate_core::{BoxKey, Incarnation};
 use dockgate_platform::PlatformClient;
@@ -38,7 +38,7 @@
     /// The box that was told of it.
     pub(super) owner: BoxKey,
     /// The prompt.
-    pub(super) ask: EngineAsk,
+    pub(super) ask: AdmissionRequest,
     /// Whether its first event was seen.
     pub(super) started: bool,
 }
@@ -48,7 +48,7 @@
     /// The endpoints.
     pub(super) endpoints: EndpointBook,
     /// What the engines are busy with.
-    pub(super) engines: EngineBook,
+    pub(super) engines: EngineRegistry,
     /// What the workspaces asked for and were given.
     pub(super) shares: ShareTracker,
     /// What became of their prompts here, for the log.
@@ -68,7 +68,7 @@
     /// The requests under which endpoints have ended.
     pub(super) suspects: SuspectBook,
     /// What this box had read at engines lately.
-    pub(super) reads: ReadLog,
+    pub(super) reads: PrefixHistory,
     /// Whether this box keeps up with its work.
     pub(super) lag: LoopLag,
     /// Which part of its requests this box takes.
@@ -127,7 +127,7 @@
             .standing(BoxStanding::new(settings.processor));
         let beliefs = GatewayBeliefs {
             endpoints: EndpointBook::default(),
-            engines: EngineBook::default(),
+            engines: EngineRegistry::default(),
             shares: ShareTracker::new(settings.share_window.as_millis() as u64),
             tally: ShareTally::default(),
             retries: RetryBudget::new(settings.retry_rule()),
@@ -137,7 +137,7 @@
             runs: HashMap::new(),
             broken: BrokenEndpoints::default(),
             suspects: SuspectBook::default(),
-            reads: ReadLog::default(),
+            reads: PrefixHistory::default(),
             lag: LoopLag::default(),
             shed: LoadShedder::default(),
             seeks: HashMap::new(),
--- a/dockgate/src/gateway/membership.rs
+++ b/dockgate/src/gateway/membership.rs
@@ -15,7 +15,7 @@
 use super::workspace_report::{REPORT_INTERVAL_MS, log_shares};
 use crate::clock::now_ms;
 use dockgate_core::gateway::{
-    BoxBeat, BoxNews, DigestScope, DomainKey, DueReads, EndpointId, FleetDigest, FleetView,
+    BoxBeat, BoxNews, DigestScope, DomainKey, EndpointId, FleetDigest, FleetView, PrefixReport,
     ShareHeader, ShareScope, UsageRow,
 };
 use dockgate_core::{BoxKey, Incarnation};
@@ -242,10 +242,10 @@
                 due.push((owner, placed(*number, run.endpoint, &run.ask, run.started)));
             }
         }
-        (due, reads.take_due(owner_of, is_due))
+        (due, reads.take_reports(owner_of, is_due))
     });
     let reads = reads.into_iter().map(|due| {
-        let DueReads {
+        let PrefixReport {
             owner,
             endpoint,
             parts,
--- a/dockgate/src/gateway/peer_net.rs
+++ b/dockgate/src/gateway/peer_net.rs
@@ -11,7 +11,7 @@
 use super::quarantine;
 use crate::clock::now_ms;
 use crate::metrics::METRICS;
-use dockgate_core::gateway::{EndpointId, EngineAsk, EngineVerdict, RunKey};
+use dockgate_core::gateway::{AdmissionRequest, EndpointId, EngineVerdict, RunKey};
 use dockgate_proto::{GatewayDatagram, GatewayMessage};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -114,7 +114,7 @@
     run: u32,
     endpoint: EndpointId,
     key: RunKey,
-    ask: &EngineAsk,
+    ask: &AdmissionRequest,
 ) -> Option<GatewayMessage> {
     let verdict = decide_here(state, endpoint, key, ask, 0)?;
     state.with(|beliefs| {
--- a/dockgate/src/gateway/run_guard.rs
+++ b/dockgate/src/gateway/run_guard.rs
@@ -4,7 +4,7 @@
 use super::gateway_state::{GatewayState, PlacedRun};
 use crate::clock::now_ms;
 use dockgate_core::BoxKey;
-use dockgate_core::gateway::{EndpointId, EndpointSign, EngineAsk};
+use dockgate_core::gateway::{AdmissionRequest, EndpointId, EndpointSign};
 use dockgate_proto::GatewayMessage;
 use std::sync::Arc;
 
@@ -35,7 +35,7 @@
         endpoint: EndpointId,
         number: u32,
         owner: BoxKey,
-        ask: EngineAsk,
+        ask: AdmissionRequest,
     ) -> Self {
         let run = PlacedRun {
             endpoint,
--- a/dockgate/src/gateway/settings.rs
+++ b/dockgate/src/gateway/settings.rs
@@ -207,11 +207,11 @@
         section.take_checked(key, default, PART, |value| (0.0..=2.0).contains(value))
     };
     AdmissionRule {
-        most_part: part("most_part", default.most_part),
-        beyond_share_part: part("beyond_share_part", default.beyond_share_part),
-        own_read_part: part("own_read_part", default.own_read_part),
-        long_part: part("long_part", default.long_part),
-        memory_part: part("memory_part", default.memory_part),
+        objective_fraction: part("most_part", default.objective_fraction),
+        beyond_share_fraction: part("beyond_share_part", default.beyond_share_fraction),
+        own_prefill_weight: part("own_read_part", default.own_prefill_weight),
+        long_prompt_fraction: part("long_part", default.long_prompt_fraction),
+        memory_fraction: part("memory_part", default.memory_fraction),
     }
 }
 
