--- a/dockgate-core/src/gateway/admission.rs
+++ b/dockgate-core/src/gateway/admission.rs
@@ -1,8 +1,8 @@
-//! Whether an engine takes one more prompt now.
+//! Admission control for prompts at model engines.
 //!
-//! Engines serve in order of arrival, so what is admitted too early makes all that follows late.
-//! A prompt is admitted if its first event is predicted to be in time, and if the memory of all
-//! running prompts leaves room for the cache.
+//! Engines serve prompts in order of arrival, so a prompt that is admitted too early delays all
+//! later ones. A prompt is admitted if its first event is predicted to arrive in time and the
+//! running prompts leave enough memory for the prefix cache.
 
 use super::engine_load::EngineLoad;
 use super::engine_registry::AdmissionRequest;
@@ -10,25 +10,31 @@
 use super::share_level::ShareLevel;
 use serde::{Deserialize, Serialize};
 
-/// The settings of admission.
+/// Settings of admission control.
+///
+/// The objective of a prompt is the time within which its first event is due.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct AdmissionRule {
-    /// Up to which part of its objective a prompt may wait.
+    /// The largest fraction of its objective that a prompt may spend until its first event.
     pub objective_fraction: f64,
-    /// The part of that time that a workspace beyond its share has, divided by its pressure.
+    /// The fraction of that time allowed to a workspace beyond its share; divided by the
+    /// workspace's pressure.
     pub beyond_share_fraction: f64,
-    /// The part of its own reading that counts as waiting, for a prompt of a workspace beyond its share. With all of it
-    /// only short prompts are read where engines are busy; with none, long ones keep all others waiting.
+    /// The fraction of a prompt's own prefill time that counts as waiting if its workspace is
+    /// beyond its share.
+    ///
+    /// At 1, busy engines admit only short prompts of such workspaces; at 0, long prompts delay
+    /// all others.
     pub own_prefill_weight: f64,
-    /// Up to which part of its objective a prompt may wait that is too long to be read within it:
-    /// it will be late, so it may not make others late as well.
+    /// The largest fraction of its objective that a prompt may wait if it is too long to meet the
+    /// objective. It is late in any case, so it must not delay others as well.
     pub long_prompt_fraction: f64,
-    /// Up to which part of an engine's memory prompts may run; the rest is left to the cache.
+    /// The largest fraction of an engine's memory that running prompts may take; the cache keeps
+    /// the remainder.
     pub memory_fraction: f64,
 }
 
 impl Default for AdmissionRule {
-    /// Figures of `docs/decisions/0009-admission.md`.
     fn default() -> Self {
         Self {
             objective_fraction: 0.6,
@@ -40,19 +46,19 @@
     }
 }
 
-/// The answer to an ask.
+/// The decision on an admission request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EngineVerdict {
-    /// It is admitted; its first event is predicted after this many milliseconds.
+    /// The prompt is admitted; its first event is predicted after this many milliseconds.
     Granted(u32),
-    /// It is not; its first event would have come after this many milliseconds.
+    /// The prompt is declined; its first event was predicted after this many milliseconds.
     Declined(u32),
-    /// It is not: the engine has said that it leaves.
+    /// The prompt is declined because the engine has announced that it leaves.
     Leaving,
 }
 
 impl EngineVerdict {
-    /// Returns the predicted time to the first event, in milliseconds, where one was predicted.
+    /// Returns the predicted time to the first event in milliseconds, if there is a prediction.
     pub const fn first_event_ms(self) -> Option<u32> {
         match self {
             Self::Granted(first_ms) | Self::Declined(first_ms) => Some(first_ms),
@@ -62,70 +68,71 @@
 }
 
 impl AdmissionRule {
-    /// What a prompt that finds no memory would wait at least, in milliseconds: about one run.
-    const NO_ROOM_MS: f64 = 1_000.0;
-    /// The part of an objective for reading where what every first event takes leaves less: an engine
-    /// that is late with all is still better than none. A bound.
-    const MIN_FRACTION: f64 = 0.1;
+    /// The wait assumed for a prompt that lacks a slot or memory, in milliseconds: about one run.
+    const FULL_ENGINE_WAIT_MS: f64 = 1_000.0;
+    /// The fraction of an objective that always remains for waiting and prefill, so that an engine
+    /// whose fixed time alone exceeds the objective is still used.
+    const MIN_OBJECTIVE_FRACTION: f64 = 0.1;
 
-    /// Decides on one ask.
+    /// Decides on an admission request.
     ///
-    /// `others` says how many boxes send to this engine unseen: 0 where this box decides for it.
+    /// `other_boxes` is the number of boxes that send prompts to this engine without reporting
+    /// them to this box: 0 if this box owns the engine.
     pub fn decide(
         &self,
         load: &EngineLoad,
         request: &AdmissionRequest,
-        others: u32,
+        other_boxes: u32,
         now_ms: u64,
     ) -> EngineVerdict {
-        let unseen = f64::from(others + 1);
+        let senders = f64::from(other_boxes + 1);
         let backlog_ms = load.backlog_ms(now_ms);
-        let wait_ms = backlog_ms * unseen;
+        let wait_ms = backlog_ms * senders;
         let prefill_ms = load.model().prefill_ms(load.work_of(request));
         let first_ms = backlog_ms + load.model().fixed_ms() + prefill_ms;
         let limit_ms = self.limit_ms(load.model(), request);
         let in_time = self.is_in_time(wait_ms, prefill_ms, limit_ms, request.level);
-        let long_ms = request.strictest_objective_ms() * self.long_prompt_fraction;
-        let is_long = prefill_ms > limit_ms - long_ms;
-        let long = is_long && !request.level.is_beyond() && wait_ms <= long_ms;
-        let room = self.has_room(load, request, unseen);
+        let long_wait_ms = request.strictest_objective_ms() * self.long_prompt_fraction;
+        let is_long = prefill_ms > limit_ms - long_wait_ms;
+        let admits_long = is_long && !request.level.is_beyond() && wait_ms <= long_wait_ms;
+        let room = self.has_room(load, request, senders);
         match room {
-            true if in_time || long => EngineVerdict::Granted(first_ms as u32),
+            true if in_time || admits_long => EngineVerdict::Granted(first_ms as u32),
             true => EngineVerdict::Declined(first_ms as u32),
-            false => EngineVerdict::Declined((first_ms + Self::NO_ROOM_MS) as u32),
+            false => EngineVerdict::Declined((first_ms + Self::FULL_ENGINE_WAIT_MS) as u32),
         }
     }
 
-    /// Returns for how many milliseconds the engine may read before and for a prompt within its share.
+    /// Returns the most time for waiting and prefill of a prompt within its share, in milliseconds.
     ///
-    /// A prompt with a longer objective may not fill the engine for those with a shorter one, so the
-    /// shortest of the service counts. What every first event takes is no fault of the load.
+    /// Uses the shortest objective of the service, as prompts with a long objective would otherwise
+    /// fill the engine. The fixed time of a first event does not depend on the load and is
+    /// subtracted.
     fn limit_ms(&self, model: &PrefillModel, request: &AdmissionRequest) -> f64 {
         let objective_ms = request.strictest_objective_ms();
         let limit_ms = objective_ms * self.objective_fraction - model.fixed_ms();
-        limit_ms.max(objective_ms * Self::MIN_FRACTION)
+        limit_ms.max(objective_ms * Self::MIN_OBJECTIVE_FRACTION)
     }
 
-    /// Tells whether a prompt that waits so long is read within `limit_ms`, and waits no longer than its workspace may.
+    /// Returns whether waiting and prefill fit into `limit_ms` and into the part of it that the
+    /// workspace is allowed.
     fn is_in_time(&self, wait_ms: f64, prefill_ms: f64, limit_ms: f64, level: ShareLevel) -> bool {
         let counted_ms = wait_ms + prefill_ms * self.own_prefill_weight;
-        wait_ms + prefill_ms <= limit_ms && counted_ms <= limit_ms * self.ease(level)
+        wait_ms + prefill_ms <= limit_ms && counted_ms <= limit_ms * self.share_fraction(level)
     }
 
-    /// Returns the part of the time within a share that a workspace has.
-    fn ease(&self, level: ShareLevel) -> f64 {
+    /// Returns the fraction of the time limit that a workspace is allowed.
+    fn share_fraction(&self, level: ShareLevel) -> f64 {
         match level.is_beyond() {
             true => (self.beyond_share_fraction / level.pressure()).min(1.0),
             false => 1.0,
         }
     }
 
-    /// Returns after how many milliseconds a first event comes at least that is too late for a
-    /// workspace beyond its share, whatever else the engine is busy with; none where whoever decides
-    /// for the engine has to be asked.
+    /// Declines a prompt of a workspace beyond its share by what this box alone knows of the engine.
     ///
-    /// A flood is refused many times for each prompt that is admitted, and each question costs the
-    /// box a datagram and a wake-up: what it knows alone is enough for most.
+    /// Returns the minimum time to the first event in milliseconds, or `None` if the owner of the
+    /// engine has to decide. Saves a datagram to the owner for each refused prompt of a flood.
     pub fn local_decline_ms(
         &self,
         load: &EngineLoad,
@@ -135,15 +142,15 @@
         let wait_ms = load.backlog_ms(now_ms);
         let prefill_ms = load.min_prefill_ms(request);
         let limit_ms = self.limit_ms(load.model(), request);
-        let hopeless = request.level.is_beyond()
+        let is_declined = request.level.is_beyond()
             && !self.is_in_time(wait_ms, prefill_ms, limit_ms, request.level);
-        hopeless.then_some(wait_ms + load.model().fixed_ms() + prefill_ms)
+        is_declined.then_some(wait_ms + load.model().fixed_ms() + prefill_ms)
     }
 
-    /// Returns after how many milliseconds a first event comes at least that is too late at every
-    /// engine for a workspace beyond its share, by the `fastest` of them; none where one might take it.
+    /// Declines a prompt of a workspace beyond its share if even the `fastest` engine is too slow.
     ///
-    /// Most of a flood is declined by this alone, before its homes are looked for.
+    /// Returns the minimum time to the first event in milliseconds, or `None` if some engine might
+    /// admit the prompt. Rejects most of a flood before the prompt's home engines are looked up.
     pub fn fastest_decline_ms(
         &self,
         fastest: &PrefillModel,
@@ -151,16 +158,16 @@
     ) -> Option<f64> {
         let prefill_ms = fastest.prefill_ms(request.min_work());
         let limit_ms = self.limit_ms(fastest, request);
-        let hopeless =
+        let is_declined =
             request.level.is_beyond() && !self.is_in_time(0.0, prefill_ms, limit_ms, request.level);
-        hopeless.then_some(fastest.fixed_ms() + prefill_ms)
+        is_declined.then_some(fastest.fixed_ms() + prefill_ms)
     }
 
-    /// Tells whether slots and memory allow one more; a prompt of any size may run alone.
-    fn has_room(&self, load: &EngineLoad, request: &AdmissionRequest, unseen: f64) -> bool {
+    /// Returns whether slots and memory allow one more prompt; a prompt of any size may run alone.
+    fn has_room(&self, load: &EngineLoad, request: &AdmissionRequest, senders: f64) -> bool {
         let spec = load.spec();
-        let slots = load.runs() as f64 * unseen < f64::from(spec.slots);
-        let memory = load.memory() as f64 * unseen + f64::from(request.memory());
+        let slots = load.runs() as f64 * senders < f64::from(spec.slots);
+        let memory = load.memory() as f64 * senders + f64::from(request.memory());
         let fits = memory <= spec.memory as f64 * self.memory_fraction;
         slots && (fits || load.runs() == 0)
     }
--- a/dockgate-core/src/gateway/admission/tests.rs
+++ b/dockgate-core/src/gateway/admission/tests.rs
@@ -9,7 +9,7 @@
     memory: 100_000,
 };
 
-/// 20 ms for every first event, 34 tokens a millisecond, no time for pairs.
+/// 20 ms for every first event, 34 tokens per millisecond, no attention cost.
 const SPEED: PrefillSpeed = PrefillSpeed {
     fixed_us: 20_000,
     kilotoken_us: 29_412,
@@ -41,7 +41,7 @@
     load
 }
 
-/// The parts that these tests are about, whatever the measured defaults are.
+/// A rule that does not depend on the defaults.
 const RULE: AdmissionRule = AdmissionRule {
     objective_fraction: 0.8,
     beyond_share_fraction: 0.25,
@@ -50,14 +50,19 @@
     memory_fraction: 0.6,
 };
 
-fn granted(load: &EngineLoad, request: &AdmissionRequest, level: ShareLevel, others: u32) -> bool {
+fn granted(
+    load: &EngineLoad,
+    request: &AdmissionRequest,
+    level: ShareLevel,
+    other_boxes: u32,
+) -> bool {
     let request = request.clone().level(level);
-    let verdict = RULE.decide(load, &request, others, 1_000);
+    let verdict = RULE.decide(load, &request, other_boxes, 1_000);
     matches!(verdict, EngineVerdict::Granted(_))
 }
 
 #[test]
-fn a_workspace_beyond_its_share_is_served_only_where_nothing_waits() {
+fn workspace_beyond_its_share_is_admitted_only_at_an_idle_engine() {
     let busy = load_with(1, 6_800);
     assert!(granted(&busy, &request(9, 500), ShareLevel::WITHIN, 0));
     assert!(!granted(&busy, &request(9, 500), BEYOND, 0));
@@ -65,8 +70,8 @@
 }
 
 #[test]
-fn a_prompt_within_its_share_waits_up_to_its_part_of_the_objective() {
-    // 5,000 tokens take 147 ms each, its own 2,000 another 59, all but reading 20 ms.
+fn prompt_within_its_share_waits_up_to_the_objective_fraction() {
+    // Each 5,000 tokens take 147 ms, its own 2,000 take 59 ms, and the fixed time is 20 ms.
     assert!(granted(
         &load_with(2, 5_000),
         &request(9, 2_000),
@@ -82,30 +87,30 @@
 }
 
 #[test]
-fn what_every_first_event_takes_is_not_held_against_a_workspace_beyond_its_share() {
+fn fixed_time_does_not_count_against_a_workspace_beyond_its_share() {
     let slow_start = PrefillSpeed {
         fixed_us: 150_000,
         ..SPEED
     };
     let idle = EngineLoad::new(SPEC, slow_start.into());
     assert!(granted(&idle, &request(9, 500), ShareLevel::new(1.2), 0));
-    let all_late = PrefillSpeed {
+    let too_slow = PrefillSpeed {
         fixed_us: 700_000,
         ..SPEED
     };
-    let idle = EngineLoad::new(SPEC, all_late.into());
+    let idle = EngineLoad::new(SPEC, too_slow.into());
     assert!(granted(&idle, &request(9, 500), ShareLevel::WITHIN, 0));
 }
 
 #[test]
-fn boxes_that_decide_unseen_divide_the_engine() {
+fn boxes_that_decide_independently_divide_the_engine() {
     let busy = load_with(1, 3_000);
     assert!(granted(&busy, &request(9, 500), ShareLevel::WITHIN, 0));
     assert!(!granted(&busy, &request(9, 500), ShareLevel::WITHIN, 5));
 }
 
 #[test]
-fn memory_is_left_to_the_cache_but_a_large_prompt_may_run_alone() {
+fn memory_is_kept_for_the_cache_but_a_large_prompt_may_run_alone() {
     assert!(!granted(
         &load_with(1, 1_000),
         &request(9, 60_000),
@@ -129,14 +134,14 @@
 }
 
 #[test]
-fn the_further_beyond_its_share_the_less_may_wait() {
+fn allowed_wait_shrinks_with_pressure() {
     let busy = load_with(1, 2_000);
     assert!(granted(&busy, &request(9, 500), ShareLevel::new(1.0), 0));
     assert!(!granted(&busy, &request(9, 500), ShareLevel::new(2.0), 0));
 }
 
 #[test]
-fn a_prompt_too_long_to_be_in_time_is_read_where_little_waits() {
+fn prompt_too_long_for_its_objective_is_admitted_if_little_waits() {
     assert!(granted(
         &load_with(0, 0),
         &request(9, 30_000),
@@ -152,12 +157,12 @@
     assert!(!granted(&load_with(0, 0), &request(9, 30_000), BEYOND, 0));
 }
 
-/// Has a box that knows all of an engine, and one that knows only some of its runs, decide.
-fn two_views(
+/// Returns the load as known to the owner (`all` runs) and to an entry box (`own` runs).
+fn owner_and_entry_loads(
     all: u32,
     own: u32,
     input: u32,
-    kept: bool,
+    cached: bool,
 ) -> (EngineLoad, EngineLoad, AdmissionRequest) {
     let mut request = request(9, input);
     request.parts = vec![
@@ -174,7 +179,7 @@
         EngineLoad::new(SPEC, SPEED.into()),
         EngineLoad::new(SPEC, SPEED.into()),
     );
-    if kept {
+    if cached {
         owner.note_cached(&request.parts[..1]);
     }
     for number in 0..all {
@@ -192,7 +197,7 @@
 }
 
 #[test]
-fn one_beyond_its_share_waits_no_longer_than_one_within_whatever_the_rule_says() {
+fn beyond_share_fraction_above_one_grants_no_extra_wait() {
     let (busy, request) = (load_with(3, 5_000), request(9, 2_000));
     assert!(!granted(&busy, &request, ShareLevel::WITHIN, 0));
     let rule = AdmissionRule {
@@ -205,35 +210,35 @@
 }
 
 #[test]
-fn a_flood_is_refused_without_a_question_where_its_own_part_takes_too_long() {
-    let (_, entry, request) = two_views(0, 0, 6_000, true);
-    // Half of the prompt is its own: 88 ms beside the 20 of any, of an objective of 600.
-    let at = |times| request.clone().level(ShareLevel::new(times));
-    let hopeless = |times| RULE.local_decline_ms(&entry, &at(times), 1_000);
+fn entry_box_declines_a_flood_locally_if_the_unshared_part_takes_too_long() {
+    let (_, entry, request) = owner_and_entry_loads(0, 0, 6_000, true);
+    // Half of the prompt is unshared: 88 ms and the fixed 20 ms, of an objective of 600 ms.
+    let at = |pressure| request.clone().level(ShareLevel::new(pressure));
+    let local_decline = |pressure| RULE.local_decline_ms(&entry, &at(pressure), 1_000);
     assert_eq!(
-        hopeless(0.9),
+        local_decline(0.9),
         None,
-        "a workspace within its share has its engines asked"
+        "a workspace within its share is never declined locally"
     );
-    assert_eq!(hopeless(1.05), None);
-    assert!(hopeless(2.0).is_some());
-    let anywhere = |times| RULE.fastest_decline_ms(&SPEED.into(), &at(times));
-    assert_eq!([0.9, 1.05].map(anywhere), [None; 2]);
-    assert!(anywhere(2.0).is_some());
+    assert_eq!(local_decline(1.05), None);
+    assert!(local_decline(2.0).is_some());
+    let fastest_decline = |pressure| RULE.fastest_decline_ms(&SPEED.into(), &at(pressure));
+    assert_eq!([0.9, 1.05].map(fastest_decline), [None; 2]);
+    assert!(fastest_decline(2.0).is_some());
 }
 
 proptest! {
-    /// What a box declines alone, the box that knows the engine would have declined as well.
+    /// A local decision must not decline a prompt that the owner would admit.
     #[test]
-    fn a_box_declines_alone_only_what_the_owner_would(
+    fn local_declines_agree_with_the_owner(
         all in 0_u32..4,
         own in 0_u32..4,
         input in 100_u32..20_000,
-        times in 0.5_f64..4.0,
-        kept: bool,
+        pressure in 0.5_f64..4.0,
+        cached: bool,
     ) {
-        let (owner, entry, request) = two_views(all, own.min(all), input, kept);
-        let level = ShareLevel::new(times);
+        let (owner, entry, request) = owner_and_entry_loads(all, own.min(all), input, cached);
+        let level = ShareLevel::new(pressure);
         let request = request.level(level);
         if RULE.local_decline_ms(&entry, &request, 1_000).is_some() {
             prop_assert!(!granted(&owner, &request, level, 0));
--- a/dockgate-core/src/gateway/engine_load.rs
+++ b/dockgate-core/src/gateway/engine_load.rs
@@ -1,8 +1,8 @@
-//! What one model engine is believed to be busy with, and when it would begin a new prompt.
+//! The estimated load of one model engine, and the time at which it would start a new prompt.
 //!
-//! An engine reads prompts in order of arrival, piece by piece between the tokens that it makes.
-//! So the wait for a first event is the reading of all that was admitted before, and of the own
-//! prompt less what is cached, and a time that every first event takes ([`PrefillModel`]).
+//! An engine prefills prompts in order of arrival, in chunks between decoding steps. The wait for a
+//! first event is the prefill of all prompts admitted before, the prefill of the uncached part of
+//! the prompt itself, and a fixed time for each first event ([`PrefillModel`]).
 
 use super::engine_registry::{AdmissionRequest, RunKey};
 use super::prefill_model::{PrefillModel, PrefillSample, PrefillSpeed, PrefillWork};
@@ -14,42 +14,40 @@
 /// One request at an engine.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct EngineRun {
-    /// What the engine has to read of its prompt, as believed when it was placed.
+    /// The estimated prefill work when the request was placed.
     pub work: PrefillWork,
-    /// Tokens of memory that it takes when it has made all its output.
+    /// The memory that it takes when its output is complete, in tokens.
     pub memory: u32,
-    /// When it was placed.
+    /// The time at which it was placed.
     pub placed_ms: u64,
-    /// Until when its caller waits.
+    /// The time until which its caller waits.
     pub until_ms: u64,
-    /// Whether its first event was seen.
+    /// Whether its first event has arrived.
     pub started: bool,
 }
 
-/// The believed load of one engine.
+/// The estimated load of one engine.
 #[derive(Debug, Clone)]
 pub struct EngineLoad {
     spec: EngineSpec,
     model: PrefillModel,
     runs: HashMap<RunKey, EngineRun>,
-    /// Runs without a first event, in the order in which they were placed: what is to be read.
+    /// Runs that wait for their first event, in order of placement.
     waiting: Vec<RunKey>,
     cache: PrefixCache,
-    /// When the last first event was seen.
+    /// The time of the latest first event.
     last_first_ms: f64,
-    /// Until when the box that decides for the engine said that it reads what it has.
+    /// The end of the backlog as reported by the owner of the engine.
     reported_until_ms: f64,
     memory: u64,
 }
 
 impl EngineLoad {
-    /// A run without a first event no longer counts as waiting when one that was placed so much later
-    /// has its first event, in milliseconds: engines read in order of arrival, and two that are placed
-    /// at nearly the same time may arrive in the other order. A bound.
+    /// A waiting run counts as prefilled once a run that was placed this much later has its first
+    /// event, in milliseconds. Runs placed closer together may arrive at the engine out of order.
     const OVERTAKEN_MS: u64 = 30;
 
-    /// Makes an engine of which nothing is known but what it can hold, and how fast others of its
-    /// kind are.
+    /// Creates the load of an idle engine, with the model of other engines of its kind.
     pub fn new(spec: EngineSpec, model: PrefillModel) -> Self {
         Self {
             spec,
@@ -63,32 +61,32 @@
         }
     }
 
-    /// Sets what the engine can hold.
+    /// Sets the capacity of the engine.
     pub const fn set_spec(&mut self, spec: EngineSpec) {
         self.spec = spec;
     }
 
-    /// Returns what the engine can hold.
+    /// Returns the capacity of the engine.
     pub const fn spec(&self) -> EngineSpec {
         self.spec
     }
 
-    /// Returns how fast the engine reads, as learned.
+    /// Returns the learned prefill times of the engine.
     pub const fn model(&self) -> &PrefillModel {
         &self.model
     }
 
-    /// Returns how many requests it has.
+    /// Returns the number of requests at the engine.
     pub fn runs(&self) -> usize {
         self.runs.len()
     }
 
-    /// Returns the tokens of memory that its requests take.
+    /// Returns the memory that its requests take, in tokens.
     pub const fn memory(&self) -> u64 {
         self.memory
     }
 
-    /// Returns the prompt tokens that it has not read yet.
+    /// Returns the number of prompt tokens that are not prefilled yet.
     pub fn pending_tokens(&self) -> u64 {
         self.waiting_runs()
             .map(|run| u64::from(run.work.tokens()))
@@ -99,53 +97,54 @@
         self.waiting.iter().filter_map(|key| self.runs.get(key))
     }
 
-    /// Returns what it would have to read of a prompt.
+    /// Returns the prefill work of a prompt, given the cached parts.
     pub fn work_of(&self, request: &AdmissionRequest) -> PrefillWork {
-        let kept = self.cache.cached_tokens(&request.parts).min(request.input);
-        PrefillWork::new(kept, request.input - kept)
+        let cached = self.cache.cached_tokens(&request.parts).min(request.input);
+        PrefillWork::new(cached, request.input - cached)
     }
 
-    /// Returns what it would have to read of a prompt if it kept all that other prompts share: the
-    /// least that a box can say which sees only its own part of the engine.
+    /// Returns the prefill work of a prompt if all its shared parts were cached.
+    ///
+    /// This is the lower bound known to a box that sees only its own runs at the engine.
     fn min_work_of(&self, request: &AdmissionRequest) -> PrefillWork {
         let own = request.parts.last().map_or(0, |part| part.tokens);
-        let unread = own.min(self.work_of(request).tokens());
-        PrefillWork::new(request.input.saturating_sub(unread), unread)
+        let uncached = own.min(self.work_of(request).tokens());
+        PrefillWork::new(request.input.saturating_sub(uncached), uncached)
     }
 
-    /// Returns for how many milliseconds the engine reads what it has.
+    /// Returns the time until all waiting prompts are prefilled, in milliseconds.
     ///
-    /// Each waiting prompt is read after those before it. One whose first event is overdue has not
-    /// been read yet, whatever was expected: an engine that is silent keeps its backlog.
+    /// A prompt whose first event is overdue still counts as unfinished, so that an engine that
+    /// stops answering keeps its backlog.
     pub fn backlog_ms(&self, now_ms: u64) -> f64 {
         let now = now_ms as f64;
         let fixed_ms = self.model.fixed_ms();
-        let read_until = self.last_first_ms - fixed_ms;
-        let read_until = self.waiting_runs().fold(read_until, |read_until, run| {
-            let begun = read_until.max(run.placed_ms as f64);
-            let read = begun + self.model.prefill_ms(run.work);
-            read.max(now - fixed_ms)
+        let busy_until = self.last_first_ms - fixed_ms;
+        let busy_until = self.waiting_runs().fold(busy_until, |busy_until, run| {
+            let begins = busy_until.max(run.placed_ms as f64);
+            let ends = begins + self.model.prefill_ms(run.work);
+            ends.max(now - fixed_ms)
         });
-        (read_until.max(self.reported_until_ms) - now).max(0.0)
+        (busy_until.max(self.reported_until_ms) - now).max(0.0)
     }
 
-    /// Predicts after how many milliseconds the first event of a prompt would come.
+    /// Predicts the time to the first event of a prompt, in milliseconds.
     pub fn first_event_ms(&self, request: &AdmissionRequest, now_ms: u64) -> f64 {
         self.backlog_ms(now_ms) + self.model.first_event_ms(self.work_of(request))
     }
 
-    /// Returns for how many milliseconds the engine reads a prompt at least, by what this box alone has sent there.
+    /// Returns the minimum prefill time of a prompt in milliseconds, as known to this box alone.
     pub fn min_prefill_ms(&self, request: &AdmissionRequest) -> f64 {
         self.model.prefill_ms(self.min_work_of(request))
     }
 
-    /// Takes in what the box that decides for the engine says of it.
+    /// Applies the backlog and speed that the owner of the engine reports.
     pub fn apply_report(&mut self, backlog_ms: u32, speed: PrefillSpeed, now_ms: u64) {
         self.model = speed.into();
         self.reported_until_ms = now_ms as f64 + f64::from(backlog_ms);
     }
 
-    /// Places a request.
+    /// Adds a request; one with the same key is replaced.
     pub fn place(&mut self, key: RunKey, request: &AdmissionRequest, now_ms: u64) {
         self.end(key);
         let run = EngineRun {
@@ -161,16 +160,16 @@
         self.note_cached(&request.parts);
     }
 
-    /// Notes that parts are in the cache, as another box saw.
+    /// Records that the engine has the parts in its cache.
     pub fn note_cached(&mut self, parts: &[PromptPart]) {
         let capacity = self.spec.memory.saturating_sub(self.memory);
         self.cache.insert(parts, capacity);
     }
 
-    /// Notes the first event of a request.
+    /// Records the first event of a request.
     ///
-    /// Only a box that hears of every run at the engine `learns` from it: to others, an engine that is
-    /// busy with the runs of other boxes looks slow.
+    /// `updates_model` must be set only if this box receives reports of every run at the engine:
+    /// otherwise an engine that is busy with the runs of other boxes appears slow.
     pub fn start(&mut self, key: RunKey, now_ms: u64, updates_model: bool) {
         let Some(run) = self.runs.get_mut(&key).filter(|run| !run.started) else {
             return;
@@ -197,7 +196,7 @@
         });
     }
 
-    /// Counts what was placed well before a run that has its first event as read.
+    /// Counts runs placed well before a run with a first event as prefilled.
     fn drop_overtaken(&mut self, placed_ms: u64) {
         let runs = &self.runs;
         self.waiting.retain(|key| {
@@ -206,7 +205,7 @@
         });
     }
 
-    /// Ends a request; one that is not known changes nothing.
+    /// Removes a request, if it is known.
     pub fn end(&mut self, key: RunKey) {
         if let Some(run) = self.runs.remove(&key) {
             self.memory -= u64::from(run.memory);
@@ -214,11 +213,11 @@
         }
     }
 
-    /// Ends every request that `gone` tells of, and those whose callers do not wait any more.
-    pub fn retain(&mut self, now_ms: u64, gone: impl Fn(RunKey) -> bool) {
+    /// Removes the requests for which `is_gone` holds, and those whose callers no longer wait.
+    pub fn retain(&mut self, now_ms: u64, is_gone: impl Fn(RunKey) -> bool) {
         let runs = self.runs.iter();
         let ended: Vec<RunKey> = runs
-            .filter(|(key, run)| gone(**key) || run.until_ms < now_ms)
+            .filter(|(key, run)| is_gone(**key) || run.until_ms < now_ms)
             .map(|(key, _)| *key)
             .collect();
         for key in ended {
--- a/dockgate-core/src/gateway/engine_load/tests.rs
+++ b/dockgate-core/src/gateway/engine_load/tests.rs
@@ -4,7 +4,7 @@
 use crate::ids::BoxKey;
 use proptest::prelude::*;
 
-/// 20 ms for every first event, 34 tokens a millisecond, no time for pairs.
+/// 20 ms for every first event, 34 tokens per millisecond, no attention cost.
 const SPEED: PrefillSpeed = PrefillSpeed {
     fixed_us: 20_000,
     kilotoken_us: 29_412,
@@ -20,7 +20,7 @@
     memory: 232_000,
 };
 
-fn request(subject: u64, own: u64, input: u32) -> AdmissionRequest {
+fn request(shared_part: u64, own_part: u64, input: u32) -> AdmissionRequest {
     let shared = input / 2;
     AdmissionRequest {
         workspace: 1,
@@ -32,11 +32,11 @@
         output: 50,
         parts: vec![
             PromptPart {
-                id: subject,
+                id: shared_part,
                 tokens: shared,
             },
             PromptPart {
-                id: own,
+                id: own_part,
                 tokens: input - shared,
             },
         ],
@@ -51,12 +51,12 @@
 }
 
 #[test]
-fn a_prompt_waits_for_what_was_placed_before_it() {
+fn prompt_waits_for_prompts_placed_before_it() {
     let mut load = engine();
     let alone = load.first_event_ms(&request(1, 1, 6_800), 1_000);
     assert!(
         (alone - 220.0).abs() < 1.0,
-        "6800 tokens at 34 a ms, and 20 ms: {alone}"
+        "6800 tokens at 34 per ms, and 20 ms: {alone}"
     );
     load.place(key(1), &request(1, 1, 6_800), 1_000);
     let behind = load.first_event_ms(&request(2, 2, 6_800), 1_000);
@@ -64,26 +64,26 @@
     let cached = load.first_event_ms(&request(1, 3, 6_800), 1_000);
     assert!(
         (cached - 320.0).abs() < 1.0,
-        "half of it is shared: {cached}"
+        "half of it is cached: {cached}"
     );
     let later = load.first_event_ms(&request(2, 2, 6_800), 1_180);
-    assert!((later - 240.0).abs() < 1.0, "time passes: {later}");
+    assert!(
+        (later - 240.0).abs() < 1.0,
+        "the backlog shrinks over time: {later}"
+    );
 }
 
 #[test]
-fn an_engine_that_is_silent_keeps_its_backlog() {
+fn silent_engine_keeps_its_backlog() {
     let mut load = engine();
     load.place(key(1), &request(1, 1, 6_800), 1_000);
     load.place(key(2), &request(2, 2, 6_800), 1_000);
     let behind = load.first_event_ms(&request(3, 3, 6_800), 3_000);
-    assert!(
-        behind > 380.0,
-        "neither has been read, whatever was expected: {behind}"
-    );
+    assert!(behind > 380.0, "both prompts are still waiting: {behind}");
 }
 
 #[test]
-fn a_first_event_that_is_late_keeps_the_backlog_and_teaches_the_speed() {
+fn late_first_event_keeps_the_backlog_and_lowers_the_learned_speed() {
     let mut load = engine();
     load.place(key(1), &request(1, 1, 6_800), 1_000);
     load.place(key(2), &request(2, 2, 6_800), 1_000);
@@ -91,17 +91,21 @@
     let behind = load.first_event_ms(&request(3, 3, 6_800), 1_800);
     assert!(
         behind > 420.0,
-        "the second is still unread, and reading is slow: {behind}"
+        "the second prompt still waits, and prefill is slow: {behind}"
     );
     assert_eq!(load.pending_tokens(), 6_800);
 }
 
 #[test]
-fn a_box_that_sees_a_part_of_the_engine_does_not_learn_its_speed_but_is_told() {
+fn speed_is_learned_from_reports_if_other_boxes_send_to_the_engine() {
     let mut load = engine();
     load.place(key(1), &request(1, 1, 6_800), 1_000);
     load.start(key(1), 1_900, false);
-    assert_eq!(load.model().speed(), SPEED, "others were read meanwhile");
+    assert_eq!(
+        load.model().speed(),
+        SPEED,
+        "the engine may have been busy with other prompts"
+    );
     let speed = PrefillSpeed {
         fixed_us: 50_000,
         ..SPEED
@@ -112,17 +116,21 @@
 }
 
 #[test]
-fn a_run_that_is_overtaken_was_read() {
+fn overtaken_run_counts_as_prefilled() {
     let mut load = engine();
     load.place(key(1), &request(1, 1, 6_800), 1_000);
     load.place(key(2), &request(2, 2, 6_800), 1_200);
     load.start(key(2), 1_450, true);
-    assert_eq!(load.pending_tokens(), 0, "engines read in order of arrival");
-    assert_eq!(load.runs(), 2, "what became of the first is not known");
+    assert_eq!(
+        load.pending_tokens(),
+        0,
+        "engines prefill in order of arrival"
+    );
+    assert_eq!(load.runs(), 2, "the first run may still produce output");
 }
 
 #[test]
-fn a_run_that_is_never_heard_of_again_is_forgotten() {
+fn run_without_further_reports_expires() {
     let mut load = engine();
     load.place(key(1), &request(1, 1, 6_800), 1_000);
     load.retain(2_000, |_| false);
@@ -135,9 +143,9 @@
 }
 
 proptest! {
-    /// Sums stay those of the runs, in whatever order messages come, doubled or lost.
+    /// Reordered, repeated or lost messages must not corrupt the totals.
     #[test]
-    fn sums_stay_true(events in prop::collection::vec((0_u32..12, 0_u8..4, 1_u32..20_000), 1..400)) {
+    fn totals_match_the_runs(events in prop::collection::vec((0_u32..12, 0_u8..4, 1_u32..20_000), 1..400)) {
         let mut load = engine();
         let mut now_ms = 1_000;
         for (number, event, input) in events {
--- a/dockgate-core/src/gateway/engine_registry.rs
+++ b/dockgate-core/src/gateway/engine_registry.rs
@@ -1,7 +1,8 @@
-//! The loads of all engines that this box knows something of.
+//! The loads of all engines that this box knows of.
 //!
-//! For the engines that it decides for, a box hears of every run; for the others it knows just its
-//! own. The same book serves both, so that a box can decide for any engine when its owner is away.
+//! A box receives reports of every run at the engines that it owns; of other engines it knows only
+//! its own runs. One registry holds both, so that a box can decide for any engine whose owner is
+//! unreachable.
 
 use super::engine_load::EngineLoad;
 use super::prefill_model::{PrefillModel, PrefillSpeed, PrefillWork};
@@ -12,55 +13,55 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, HashMap};
 
-/// Names one run: the box that sent it, and that box's own counter.
+/// Identifies a run by the box that sent it and that box's run counter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RunKey {
-    /// The box that holds the caller.
+    /// The box that the caller is connected to.
     pub entry: BoxKey,
-    /// Its counter.
+    /// The run counter of that box.
     pub number: u32,
 }
 
-/// What an engine is asked to do.
+/// A request to admit a prompt at an engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AdmissionRequest {
-    /// The workspace, as a hash of its name.
+    /// The hash of the workspace's name.
     pub workspace: u64,
-    /// Within how many milliseconds from now the first event is in time.
+    /// The time within which the first event is due, in milliseconds.
     pub objective_ms: u32,
-    /// The shortest such time among the routes of the service.
+    /// The shortest objective among the routes of the service, in milliseconds.
     pub shortest_objective_ms: u32,
-    /// How long the caller waits at most.
+    /// The longest time that the caller waits, in milliseconds.
     pub budget_ms: u32,
-    /// How its workspace stands where it was asked.
+    /// The share level of the workspace, as known to the box that sends the request.
     pub level: ShareLevel,
-    /// Tokens of the prompt.
+    /// The number of tokens of the prompt.
     pub input: u32,
-    /// Tokens expected to be made.
+    /// The expected number of output tokens.
     pub output: u32,
     /// The parts of the prompt.
     pub parts: Vec<PromptPart>,
 }
 
-/// How long a caller and others of its service wait, in milliseconds from now.
+/// The latency limits of a caller and its service, in milliseconds from now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LatencyLimits {
-    /// Within which the first event is in time.
+    /// The time within which the first event is due.
     pub objective_ms: u32,
-    /// The shortest such time among the routes of the service.
+    /// The shortest objective among the routes of the service.
     pub shortest_objective_ms: u32,
-    /// Until the caller leaves.
+    /// The longest time that the caller waits.
     pub budget_ms: u32,
 }
 
 impl AdmissionRequest {
-    /// Makes the ask for a prompt of a caller that has this long.
-    pub fn new(workspace: u64, prompt: &PromptShape, times: LatencyLimits) -> Self {
+    /// Creates the request for a prompt, at the level of a workspace within its share.
+    pub fn new(workspace: u64, prompt: &PromptShape, limits: LatencyLimits) -> Self {
         Self {
             workspace,
-            objective_ms: times.objective_ms,
-            shortest_objective_ms: times.shortest_objective_ms,
-            budget_ms: times.budget_ms,
+            objective_ms: limits.objective_ms,
+            shortest_objective_ms: limits.shortest_objective_ms,
+            budget_ms: limits.budget_ms,
             level: ShareLevel::WITHIN,
             input: prompt.input,
             output: prompt.output,
@@ -68,44 +69,45 @@
         }
     }
 
-    /// Sets how its workspace stands.
+    /// Sets the share level of the workspace.
     #[must_use]
     pub const fn level(mut self, level: ShareLevel) -> Self {
         self.level = level;
         self
     }
 
-    /// Returns the shorter of its own objective and the shortest of the service, in milliseconds.
+    /// Returns the shorter of the prompt's own objective and the service's shortest one, in
+    /// milliseconds.
     pub fn strictest_objective_ms(&self) -> f64 {
         f64::from(self.objective_ms.min(self.shortest_objective_ms))
     }
 
-    /// Returns what has to be read of the prompt if all that other prompts share is kept, and the pairs
-    /// with what is kept count for nothing: the least that any engine reads.
+    /// Returns the minimum prefill work at any engine.
+    ///
+    /// Assumes that all shared parts are cached and that attention to them costs nothing.
     pub fn min_work(&self) -> PrefillWork {
         let own = self.parts.last().map_or(0, |part| part.tokens);
         PrefillWork::new(0, own.min(self.input))
     }
 
-    /// Returns the tokens of memory that the run takes when it has made all its output.
+    /// Returns the memory of the run when its output is complete, in tokens.
     pub const fn memory(&self) -> u32 {
         self.input + self.output
     }
 }
 
-/// The loads of engines by endpoint.
+/// The registry of engine loads by endpoint.
 #[derive(Debug, Default)]
 pub struct EngineRegistry {
     loads: BTreeMap<EndpointId, EngineLoad>,
-    /// How fast an engine of each kind was when its last first event was learned from: where an
-    /// engine of the same kind begins.
-    kinds: HashMap<EngineSpec, PrefillSpeed>,
+    /// The latest learned speed for each kind of engine; new engines of the kind start from it.
+    speeds: HashMap<EngineSpec, PrefillSpeed>,
 }
 
 impl EngineRegistry {
-    /// Returns the load of an engine; one that is new has none.
+    /// Returns the load of an engine; adds an idle one if the engine is new.
     pub fn load_mut(&mut self, endpoint: EndpointId, spec: EngineSpec) -> &mut EngineLoad {
-        let kind = self.kinds.get(&spec).copied();
+        let kind = self.speeds.get(&spec).copied();
         let load = self.loads.entry(endpoint).or_insert_with(|| {
             let model = kind.map_or_else(PrefillModel::default, PrefillModel::from);
             EngineLoad::new(spec, model)
@@ -114,13 +116,13 @@
         load
     }
 
-    /// Returns the load of an engine, if anything is known of it.
+    /// Returns the load of an engine, if the engine is known.
     pub fn get(&self, endpoint: EndpointId) -> Option<&EngineLoad> {
         self.loads.get(&endpoint)
     }
 
-    /// Returns the fastest engine of a kind, each time by itself, where any was learned of: no engine of
-    /// the kind is believed to be faster in any way.
+    /// Returns a model with the minimum of each learned time over all engines of a kind, if any is
+    /// known.
     pub fn fastest(&self, spec: EngineSpec) -> Option<PrefillModel> {
         let loads = self.loads.values().filter(|load| load.spec() == spec);
         let speeds = loads.map(|load| load.model().speed());
@@ -129,19 +131,21 @@
             .map(PrefillModel::from)
     }
 
-    /// Lists the loads of all engines.
+    /// Iterates over the loads of all engines.
     pub fn iter(&self) -> impl Iterator<Item = &EngineLoad> {
         self.loads.values()
     }
 
-    /// Notes the first event of a run; `learns` where this box hears of every run at the engine.
+    /// Records the first event of a run.
+    ///
+    /// `updates_model` is set if this box receives reports of every run at the engine.
     pub fn start(&mut self, endpoint: EndpointId, key: RunKey, now_ms: u64, updates_model: bool) {
         let Some(load) = self.loads.get_mut(&endpoint) else {
             return;
         };
         load.start(key, now_ms, updates_model);
         if updates_model {
-            self.kinds.insert(load.spec(), load.model().speed());
+            self.speeds.insert(load.spec(), load.model().speed());
         }
     }
 
@@ -152,23 +156,23 @@
         }
     }
 
-    /// Ends all runs of a box that remembers none of them.
+    /// Ends all runs of a box that has lost its state.
     pub fn forget_entry(&mut self, entry: BoxKey, now_ms: u64) {
         for load in self.loads.values_mut() {
             load.retain(now_ms, |run| run.entry == entry);
         }
     }
 
-    /// Forgets the engines that are gone, the runs that `gone` tells of, and those that lapsed.
+    /// Removes unknown engines, the runs for which `is_gone` holds, and expired runs.
     pub fn retain(
         &mut self,
         now_ms: u64,
-        known: impl Fn(EndpointId) -> bool,
-        gone: impl Fn(RunKey) -> bool + Copy,
+        is_known: impl Fn(EndpointId) -> bool,
+        is_gone: impl Fn(RunKey) -> bool + Copy,
     ) {
-        self.loads.retain(|endpoint, _| known(*endpoint));
+        self.loads.retain(|endpoint, _| is_known(*endpoint));
         for load in self.loads.values_mut() {
-            load.retain(now_ms, gone);
+            load.retain(now_ms, is_gone);
         }
     }
 }
