--- a/dockgate-core/benches/placing.rs
+++ b/dockgate-core/benches/placing.rs
@@ -1,11 +1,5 @@
-//! What a prompt's placing and a beat cost by the boxes of the fleet and the engines of a service.
-//!
-//! Before each domain had coordinators, and homes were found in one pass, with 6, 60 and 300 boxes:
-//! placing among 9 engines 0.6, 1.7 and 6.6 us, among 160 engines 6.8, 7.7 and 13.7 us, among 12,000
-//! engines 712, 645 and 975 us; a beat 0.16 us, of which each box took 17, 197 and 997 a second.
-//! Now placing takes 0.27, 0.31 and 0.37 us among 9, 1.06, 1.10 and 1.11 us among 160, and 51, 49 and
-//! 44 us among 12,000; a beat 0.23, 0.24 and 0.25 us, of which a coordinator takes 3, 37 and 197 a
-//! second; a digest 1.6, 5.1 and 7.0 us, at most ten times a second.
+//! Cost of placing a prompt, receiving a heartbeat and building a digest, by the number of boxes in
+//! the fleet and of engines of a service.
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use dockgate_core::gateway::{
@@ -26,7 +20,7 @@
     format!("domain-{}", index % DOMAINS)
 }
 
-fn beat(index: usize, sequence: u32) -> BoxBeat {
+fn heartbeat(index: usize, sequence: u32) -> BoxBeat {
     let address = SocketAddr::from(([10, 0, (index / 250) as u8, (index % 250) as u8], 7_400));
     let processor = if index < 3 * DOMAINS { 500 } else { 120 };
     BoxBeat::new(&format!("box-{index}"), &domain(index), address)
@@ -35,9 +29,9 @@
 }
 
 fn fleet(boxes: usize) -> FleetView {
-    let mut view = FleetView::new(beat(0, 1));
+    let mut view = FleetView::new(heartbeat(0, 1));
     for index in 1..boxes {
-        view.hear(beat(index, 1), Incarnation(1), NOW_MS);
+        view.hear(heartbeat(index, 1), Incarnation(1), NOW_MS);
     }
     view
 }
@@ -48,12 +42,12 @@
         let view = fleet(boxes);
         for engines in ENGINES {
             let id = BenchmarkId::from_parameter(format!("{boxes}-boxes-{engines}-engines"));
-            let mut subject = 0;
+            let mut key = 0;
             group.bench_function(id, |bencher| {
                 bencher.iter(|| {
-                    subject += 1;
+                    key += 1;
                     let all = (0..engines).map(EndpointId);
-                    let homes = best_homes(subject, all, HOMES, |_| true);
+                    let homes = best_homes(key, all, HOMES, |_| true);
                     let owners = homes.into_iter().map(|home| {
                         let name = ["domain-0", "domain-1"][home.0 as usize % 2];
                         view.owner(home, name, NOW_MS)
@@ -66,7 +60,7 @@
     group.finish();
 }
 
-fn take_beat(criterion: &mut Criterion) {
+fn receive_heartbeat(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("take_beat");
     for boxes in BOXES {
         let mut view = fleet(boxes);
@@ -74,14 +68,14 @@
         group.bench_function(BenchmarkId::from_parameter(boxes), |bencher| {
             bencher.iter(|| {
                 sequence += 1;
-                view.hear(black_box(beat(1, sequence)), Incarnation(1), NOW_MS)
+                view.hear(black_box(heartbeat(1, sequence)), Incarnation(1), NOW_MS)
             });
         });
     }
     group.finish();
 }
 
-fn make_digest(criterion: &mut Criterion) {
+fn build_digest(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("make_digest");
     for boxes in BOXES {
         let view = fleet(boxes);
@@ -98,6 +92,6 @@
         .sample_size(20)
         .warm_up_time(Duration::from_millis(300))
         .measurement_time(Duration::from_secs(1));
-    targets = place_prompt, take_beat, make_digest
+    targets = place_prompt, receive_heartbeat, build_digest
 }
 criterion_main!(placing);
--- a/dockgate-core/src/gateway.rs
+++ b/dockgate-core/src/gateway.rs
@@ -17,7 +17,7 @@
 //! assert_eq!(prompt.shared_tokens(), 800);
 //! ```
 
-mod admission;
+mod admission_rule;
 mod answer_verdict;
 mod box_beat;
 mod broken_endpoints;
@@ -56,7 +56,7 @@
 mod wake_gate;
 mod watch_check;
 
-pub use admission::{AdmissionRule, EngineVerdict};
+pub use admission_rule::{AdmissionRule, AdmissionVerdict};
 pub use answer_verdict::{AnswerAttributes, AnswerOwner, AnswerVerdict};
 pub use box_beat::{
     BoxBeat, BoxKnowledge, BoxReport, BoxRow, BoxStanding, DigestScope, DomainKey, FleetDigest,
@@ -82,7 +82,7 @@
 pub use prefix_cache::PrefixCache;
 pub use prefix_history::{PrefixHistory, PrefixReport};
 pub use prompt_shape::{PromptPart, PromptShape};
-pub use rendezvous::{best_homes, home_key, name_hash, owner_of_endpoint};
+pub use rendezvous::{best_homes, name_hash, owner_of_endpoint, placement_key};
 pub use request_print::{BadPrint, PrintSource, RequestPrint};
 pub use retry_budget::{RetryBudget, RetryRule};
 pub use return_time::{ReturnCause, return_time};
--- a/dockgate-core/src/gateway/admission.rs
+++ b/dockgate-core/src/gateway/admission_rule.rs
@@ -48,7 +48,7 @@
 
 /// The decision on an admission request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum EngineVerdict {
+pub enum AdmissionVerdict {
     /// The prompt is admitted; its first event is predicted after this many milliseconds.
     Granted(u32),
     /// The prompt is declined; its first event was predicted after this many milliseconds.
@@ -57,7 +57,7 @@
     Leaving,
 }
 
-impl EngineVerdict {
+impl AdmissionVerdict {
     /// Returns the predicted time to the first event in milliseconds, if there is a prediction.
     pub const fn first_event_ms(self) -> Option<u32> {
         match self {
@@ -84,7 +84,7 @@
         request: &AdmissionRequest,
         other_boxes: u32,
         now_ms: u64,
-    ) -> EngineVerdict {
+    ) -> AdmissionVerdict {
         let senders = f64::from(other_boxes + 1);
         let backlog_ms = load.backlog_ms(now_ms);
         let wait_ms = backlog_ms * senders;
@@ -97,9 +97,9 @@
         let admits_long = is_long && !request.level.is_beyond() && wait_ms <= long_wait_ms;
         let room = self.has_room(load, request, senders);
         match room {
-            true if in_time || admits_long => EngineVerdict::Granted(first_ms as u32),
-            true => EngineVerdict::Declined(first_ms as u32),
-            false => EngineVerdict::Declined((first_ms + Self::FULL_ENGINE_WAIT_MS) as u32),
+            true if in_time || admits_long => AdmissionVerdict::Granted(first_ms as u32),
+            true => AdmissionVerdict::Declined(first_ms as u32),
+            false => AdmissionVerdict::Declined((first_ms + Self::FULL_ENGINE_WAIT_MS) as u32),
         }
     }
 
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Declines a prompt of a workspace beyond its share by what this box alone knows of the engine.
+    /// Declines a prompt of a workspace beyond its share without a request to the engine's owner.
     ///
     /// Returns the minimum time to the first event in milliseconds, or `None` if the owner of the
     /// engine has to decide. Saves a datagram to the owner for each refused prompt of a flood.
--- a/dockgate-core/src/gateway/admission/tests.rs
+++ b/dockgate-core/src/gateway/admission_rule/tests.rs
@@ -58,7 +58,7 @@
 ) -> bool {
     let request = request.clone().level(level);
     let verdict = RULE.decide(load, &request, other_boxes, 1_000);
-    matches!(verdict, EngineVerdict::Granted(_))
+    matches!(verdict, AdmissionVerdict::Granted(_))
 }
 
 #[test]
@@ -206,7 +206,7 @@
     };
     let request = request.level(ShareLevel::new(1.0));
     let verdict = rule.decide(&busy, &request, 0, 1_000);
-    assert!(matches!(verdict, EngineVerdict::Declined(_)));
+    assert!(matches!(verdict, AdmissionVerdict::Declined(_)));
 }
 
 #[test]
--- a/dockgate-core/src/gateway/answer_verdict.rs
+++ b/dockgate-core/src/gateway/answer_verdict.rs
@@ -1,52 +1,52 @@
-//! What may be done with an endpoint's answer.
+//! Classification of endpoint answers.
 //!
-//! A refusal promises that a request has not run, so only the endpoint's own word makes one; a
-//! success without proof, or one that belongs to another request, is no answer at all.
+//! A refusal guarantees that a request has not run, so it counts only if the endpoint states it. A
+//! success without proof, or an answer to another request, is unusable.
 
-/// Whose answer it is, by the id that it carries.
+/// The request that an answer belongs to, by the id in its head.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AnswerOwner {
-    /// The request's.
+    /// The answer carries the id of the request.
     Own,
-    /// It carries no id.
+    /// The answer carries no id.
     Unnamed,
-    /// Another request's.
+    /// The answer carries the id of another request.
     Foreign,
 }
 
-/// What is known from the head of an answer.
+/// The attributes of an answer that its head shows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AnswerAttributes {
     /// The HTTP status.
     pub status: u16,
-    /// Whose answer it is.
+    /// The request that it belongs to.
     pub owner: AnswerOwner,
     /// Whether it carries the endpoint's proof.
     pub has_proof: bool,
-    /// Whether the endpoint says that it did not run the request.
+    /// Whether the endpoint states that it did not run the request.
     pub not_run: bool,
-    /// Whether the body is encoded, so that it is not what the endpoint made.
+    /// Whether the body has a content encoding, so that it differs from the endpoint's output.
     pub is_encoded: bool,
 }
 
-/// What may be done with an answer.
+/// The class of an answer, which determines how it is handled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AnswerVerdict {
-    /// It is passed on as it is.
+    /// The answer is passed on unchanged.
     PassOn,
-    /// The endpoint ran the request and failed: passed on, unless the request may be repeated.
+    /// The endpoint ran the request and failed; passed on unless the request may be repeated.
     Failed,
     /// The endpoint did not run the request.
     NotRun,
-    /// It is no answer to this request, which may have run.
+    /// The answer is not valid for this request, which may have run.
     Unusable,
 }
 
-/// Statuses that promise callers that a request has not run.
-const PROMISES: [u16; 4] = [408, 421, 429, 503];
+/// Statuses from which callers conclude that a request has not run.
+const NOT_RUN_STATUSES: [u16; 4] = [408, 421, 429, 503];
 
 impl AnswerAttributes {
-    /// Judges an answer.
+    /// Classifies the answer.
     pub fn classify(&self) -> AnswerVerdict {
         match (self.status, self.owner) {
             (_, AnswerOwner::Foreign) => AnswerVerdict::Unusable,
@@ -54,7 +54,7 @@
             (_, AnswerOwner::Unnamed) => AnswerVerdict::Unusable,
             (200..=299, _) if self.has_proof && !self.is_encoded => AnswerVerdict::PassOn,
             (200..=299, _) => AnswerVerdict::Unusable,
-            (status, _) if PROMISES.contains(&status) => AnswerVerdict::Unusable,
+            (status, _) if NOT_RUN_STATUSES.contains(&status) => AnswerVerdict::Unusable,
             (500..=599, _) => AnswerVerdict::Failed,
             _ => AnswerVerdict::PassOn,
         }
--- a/dockgate-core/src/gateway/answer_verdict/tests.rs
+++ b/dockgate-core/src/gateway/answer_verdict/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use yare::parameterized;
 
-const GOOD: AnswerAttributes = AnswerAttributes {
+const VALID: AnswerAttributes = AnswerAttributes {
     status: 200,
     owner: AnswerOwner::Own,
     has_proof: true,
@@ -10,35 +10,35 @@
 };
 
 #[parameterized(
-    good = { GOOD, AnswerVerdict::PassOn },
-    foreign = { AnswerAttributes { owner: AnswerOwner::Foreign, ..GOOD }, AnswerVerdict::Unusable },
-    unnamed = { AnswerAttributes { owner: AnswerOwner::Unnamed, ..GOOD }, AnswerVerdict::Unusable },
-    no_proof = { AnswerAttributes { has_proof: false, ..GOOD }, AnswerVerdict::Unusable },
-    encoded = { AnswerAttributes { is_encoded: true, ..GOOD }, AnswerVerdict::Unusable },
-    shed = {
-        AnswerAttributes { status: 503, owner: AnswerOwner::Unnamed, not_run: true, ..GOOD },
+    valid = { VALID, AnswerVerdict::PassOn },
+    foreign = { AnswerAttributes { owner: AnswerOwner::Foreign, ..VALID }, AnswerVerdict::Unusable },
+    unnamed = { AnswerAttributes { owner: AnswerOwner::Unnamed, ..VALID }, AnswerVerdict::Unusable },
+    no_proof = { AnswerAttributes { has_proof: false, ..VALID }, AnswerVerdict::Unusable },
+    encoded = { AnswerAttributes { is_encoded: true, ..VALID }, AnswerVerdict::Unusable },
+    refused = {
+        AnswerAttributes { status: 503, owner: AnswerOwner::Unnamed, not_run: true, ..VALID },
         AnswerVerdict::NotRun
     },
-    foreign_shed = {
-        AnswerAttributes { status: 503, owner: AnswerOwner::Foreign, not_run: true, ..GOOD },
+    foreign_refusal = {
+        AnswerAttributes { status: 503, owner: AnswerOwner::Foreign, not_run: true, ..VALID },
         AnswerVerdict::Unusable
     },
-    promise_without_word = { AnswerAttributes { status: 503, ..GOOD }, AnswerVerdict::Unusable },
-    failed = { AnswerAttributes { status: 500, ..GOOD }, AnswerVerdict::Failed },
-    timed_out = { AnswerAttributes { status: 504, ..GOOD }, AnswerVerdict::Failed },
-    not_found = { AnswerAttributes { status: 404, ..GOOD }, AnswerVerdict::PassOn },
+    unavailable_without_statement = { AnswerAttributes { status: 503, ..VALID }, AnswerVerdict::Unusable },
+    failed = { AnswerAttributes { status: 500, ..VALID }, AnswerVerdict::Failed },
+    timed_out = { AnswerAttributes { status: 504, ..VALID }, AnswerVerdict::Failed },
+    not_found = { AnswerAttributes { status: 404, ..VALID }, AnswerVerdict::PassOn },
 )]
-fn answers_are_judged(signs: AnswerAttributes, verdict: AnswerVerdict) {
-    assert_eq!(signs.classify(), verdict);
+fn answers_are_classified(attributes: AnswerAttributes, verdict: AnswerVerdict) {
+    assert_eq!(attributes.classify(), verdict);
 }
 
 #[test]
-fn only_the_endpoints_word_makes_a_refusal() {
+fn refusal_requires_a_statement_of_the_endpoint() {
     for status in 100..600 {
-        let signs = AnswerAttributes { status, ..GOOD };
-        assert_ne!(signs.classify(), AnswerVerdict::NotRun);
-        if PROMISES.contains(&status) {
-            assert_ne!(signs.classify(), AnswerVerdict::PassOn);
+        let attributes = AnswerAttributes { status, ..VALID };
+        assert_ne!(attributes.classify(), AnswerVerdict::NotRun);
+        if NOT_RUN_STATUSES.contains(&status) {
+            assert_ne!(attributes.classify(), AnswerVerdict::PassOn);
         }
     }
 }
--- a/dockgate-core/src/gateway/event_splitter.rs
+++ b/dockgate-core/src/gateway/event_splitter.rs
@@ -1,33 +1,33 @@
-//! Cuts a stream of bytes into whole numbered events.
+//! Splits a byte stream into complete server-sent events.
 //!
-//! Only whole events are passed on, so that a stream can go on at another endpoint after any of
-//! them without a gap or a repetition.
+//! Only complete events are passed on, so that a stream can resume at another endpoint after any
+//! event without a gap or a repetition.
 
 use std::ops::Range;
 
-/// One whole event inside the bytes that were pushed.
+/// A complete event within the bytes returned by [`EventSplitter::push`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SplitEvent {
-    /// Its number, if it has one.
+    /// The numeric id, if the event has one.
     pub id: Option<u64>,
-    /// Where it stands in the bytes.
+    /// The range of the event in the bytes.
     pub range: Range<usize>,
 }
 
-/// Finds whole events in bytes that arrive in pieces.
+/// Finds complete events in bytes that arrive in chunks.
 #[derive(Debug, Clone, Default)]
 pub struct EventSplitter {
     buffer: Vec<u8>,
 }
 
-/// Returns the number that a line of an event states.
+/// Returns the numeric id in a line of an event, if it has one.
 fn id_of_line(line: &[u8]) -> Option<u64> {
     let value = line.strip_prefix(b"id:")?;
     let value = std::str::from_utf8(value).ok()?;
     value.trim().parse().ok()
 }
 
-/// Returns the length of the first whole event: up to and with its empty line.
+/// Returns the length of the first complete event, including its empty line.
 fn event_length(bytes: &[u8]) -> Option<usize> {
     let mut start = 0;
     loop {
@@ -42,12 +42,12 @@
 }
 
 impl EventSplitter {
-    /// The most bytes that one event may have; more is no event stream.
+    /// The maximum number of bytes buffered for an incomplete event.
     pub const MAX_EVENT_BYTES: usize = 64 << 10;
 
-    /// Adds bytes; returns the whole events that are there now, with the bytes that hold them.
+    /// Adds bytes, and returns the bytes of all complete events and the events in them.
     ///
-    /// Returns none where an event is longer than [`Self::MAX_EVENT_BYTES`].
+    /// Returns `None` if an incomplete event is longer than [`Self::MAX_EVENT_BYTES`].
     pub fn push(&mut self, bytes: &[u8]) -> Option<(Vec<u8>, Vec<SplitEvent>)> {
         self.buffer.extend_from_slice(bytes);
         let mut events = Vec::new();
@@ -59,12 +59,12 @@
             events.push(SplitEvent { id, range });
             start += length;
         }
-        let rest = self.buffer.split_off(start);
-        let whole = std::mem::replace(&mut self.buffer, rest);
-        (self.buffer.len() <= Self::MAX_EVENT_BYTES).then_some((whole, events))
+        let partial = self.buffer.split_off(start);
+        let complete = std::mem::replace(&mut self.buffer, partial);
+        (self.buffer.len() <= Self::MAX_EVENT_BYTES).then_some((complete, events))
     }
 
-    /// Tells whether the bytes so far end inside an event.
+    /// Returns whether the bytes so far end within an event.
     pub fn has_partial_event(&self) -> bool {
         !self.buffer.is_empty()
     }
--- a/dockgate-core/src/gateway/event_splitter/tests.rs
+++ b/dockgate-core/src/gateway/event_splitter/tests.rs
@@ -2,7 +2,7 @@
 use proptest::prelude::*;
 
 #[test]
-fn only_whole_events_come_out() {
+fn only_complete_events_are_returned() {
     let mut splitter = EventSplitter::default();
     let (bytes, events) = splitter.push(b"id: 1\ndata: a\n\nid: 2\nda").unwrap();
     assert_eq!(bytes, b"id: 1\ndata: a\n\n");
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn what_never_ends_is_no_event() {
+fn event_beyond_the_maximum_size_is_rejected() {
     let mut splitter = EventSplitter::default();
     let line = vec![b'x'; EventSplitter::MAX_EVENT_BYTES];
     assert!(splitter.push(&line).is_some());
@@ -29,11 +29,11 @@
 }
 
 proptest! {
-    /// However a stream is cut into pieces, the same events come out, byte for byte.
+    /// Chunk boundaries must not change the events or their bytes.
     #[test]
-    fn pieces_make_no_difference(
+    fn events_do_not_depend_on_chunk_boundaries(
         texts in prop::collection::vec("[a-z:\r ]{0,12}", 0..20),
-        cuts in prop::collection::vec(1_usize..30, 1..20),
+        sizes in prop::collection::vec(1_usize..30, 1..20),
     ) {
         let stream: String = texts
             .iter()
@@ -41,27 +41,27 @@
             .map(|(id, text)| format!("id: {id}\ndata:{text}\n\n"))
             .collect();
         let mut splitter = EventSplitter::default();
-        let (mut out, mut ids, mut rest) = (Vec::new(), Vec::new(), stream.as_bytes());
-        for cut in cuts.iter().cycle() {
-            if rest.is_empty() {
+        let (mut out, mut ids, mut remaining) = (Vec::new(), Vec::new(), stream.as_bytes());
+        for size in sizes.iter().cycle() {
+            if remaining.is_empty() {
                 break;
             }
-            let (piece, tail) = rest.split_at((*cut).min(rest.len()));
-            let (bytes, events) = splitter.push(piece).unwrap();
+            let (chunk, tail) = remaining.split_at((*size).min(remaining.len()));
+            let (bytes, events) = splitter.push(chunk).unwrap();
             out.extend(bytes);
             ids.extend(events.into_iter().filter_map(|event| event.id));
-            rest = tail;
+            remaining = tail;
         }
         prop_assert_eq!(out, stream.as_bytes());
         prop_assert_eq!(ids, (0..texts.len() as u64).collect::<Vec<_>>());
     }
 
-    /// No bytes make it panic.
+    /// Arbitrary bytes must not cause a panic.
     #[test]
-    fn any_bytes_are_taken(pieces in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..50), 0..30)) {
+    fn arbitrary_bytes_are_accepted(chunks in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..50), 0..30)) {
         let mut splitter = EventSplitter::default();
-        for piece in pieces {
-            let split = splitter.push(&piece);
+        for chunk in chunks {
+            let split = splitter.push(&chunk);
             prop_assert!(split.is_some());
         }
     }
--- a/dockgate-core/src/gateway/prefill_model.rs
+++ b/dockgate-core/src/gateway/prefill_model.rs
@@ -1,13 +1,13 @@
-//! How long an engine takes to a first event: learned from the first events that are seen.
+//! A model of the time to first event at an engine, learned from observed first events.
 //!
-//! Three unknowns: a fixed time that every first event takes (hops, steps, start-up of the answer), a
-//! time for each token that is read, and a time for each pair of tokens, as a token attends to all
-//! before it. A first event at an engine that was idle tells of all three; one that follows another
-//! tells of reading alone. Recursive least squares with forgetting fits them, so that an engine that
-//! warms up, slows down or turns bad is followed within some tens of first events.
+//! The model has three coefficients: a fixed time for each first event (network hops, a decoding
+//! step, start of the answer), a time per prefilled token, and a time per pair of tokens, as each
+//! token attends to all before it. A first event at an idle engine depends on all three; one that
+//! follows another depends on the prefill alone. The coefficients are fitted by recursive least
+//! squares with a forgetting factor, so that the model follows an engine whose speed changes.
 //!
 //! ```
-//! use dockgate_core::gateway::{PrefillWork, PrefillModel, PrefillSample};
+//! use dockgate_core::gateway::{PrefillModel, PrefillSample, PrefillWork};
 //!
 //! let mut model = PrefillModel::default();
 //! for _ in 0..200 {
@@ -22,7 +22,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// What an engine has to read of one prompt.
+/// The prefill work for one prompt.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct PrefillWork {
     tokens: u32,
@@ -31,46 +31,47 @@
 }
 
 impl PrefillWork {
-    /// Makes the work of reading `unread` tokens behind `kept` tokens that need not be read.
-    pub fn new(kept: u32, unread: u32) -> Self {
-        let (before, read) = (f64::from(kept), f64::from(unread));
+    /// Creates the work of prefilling `uncached` tokens that follow `cached` tokens.
+    pub fn new(cached: u32, uncached: u32) -> Self {
+        let (prefix, prefilled) = (f64::from(cached), f64::from(uncached));
         Self {
-            tokens: unread,
-            kilotokens: read / 1e3,
-            megapairs: read * (before + read / 2.0) / 1e6,
+            tokens: uncached,
+            kilotokens: prefilled / 1e3,
+            megapairs: prefilled * (prefix + prefilled / 2.0) / 1e6,
         }
     }
 
-    /// Returns how many tokens are read.
+    /// Returns the number of tokens to prefill.
     pub const fn tokens(self) -> u32 {
         self.tokens
     }
 }
 
-/// One first event, and what came before it.
+/// An observed first event.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PrefillSample {
-    /// What was read for it.
+    /// The prefill work of its prompt.
     pub work: PrefillWork,
-    /// Since the prompt was placed, where the engine was idle; else since the first event before.
+    /// The time since the prompt was placed if the engine was idle, or else since the previous
+    /// first event, in milliseconds.
     pub took_ms: f64,
-    /// Whether the engine had nothing else to read when the prompt was placed.
+    /// Whether the engine had no other prompt to prefill when this one was placed.
     pub was_idle: bool,
 }
 
-/// What is learned of an engine, to tell other boxes; whole microseconds.
+/// The learned times of an engine in whole microseconds, as reported to other boxes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PrefillSpeed {
-    /// What every first event takes.
+    /// The fixed time of each first event.
     pub fixed_us: u32,
-    /// For each thousand tokens that are read.
+    /// The time per thousand prefilled tokens.
     pub kilotoken_us: u32,
-    /// For each million pairs of a token that is read and one before it.
+    /// The time per million pairs of a prefilled token and one before it.
     pub megapair_us: u32,
 }
 
 impl PrefillSpeed {
-    /// Returns the less of each time.
+    /// Returns the minimum of each time.
     #[must_use]
     pub fn min_each(self, other: Self) -> Self {
         Self {
@@ -81,22 +82,22 @@
     }
 }
 
-/// The number of unknowns.
-const UNKNOWNS: usize = 3;
-type Row = [f64; UNKNOWNS];
+/// The number of coefficients of the model.
+const COEFFICIENTS: usize = 3;
+type Row = [f64; COEFFICIENTS];
 
-/// The learned times of one engine, in milliseconds.
+/// The prefill model of one engine, in milliseconds.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PrefillModel {
-    /// Fixed, for each thousand tokens, for each million pairs.
-    times: Row,
-    /// How uncertain each time is, and how they go together.
-    covariance: [Row; UNKNOWNS],
+    /// The fixed time, the time per thousand tokens, and the time per million pairs.
+    coefficients: Row,
+    /// The covariance of the estimated times.
+    covariance: [Row; COEFFICIENTS],
 }
 
 impl Default for PrefillModel {
     fn default() -> Self {
-        Self::new(Self::START)
+        Self::new(Self::INITIAL)
     }
 }
 
@@ -108,51 +109,53 @@
 }
 
 impl PrefillModel {
-    /// Start values until first events were seen: two hops and a step; 31 tokens a millisecond, the
-    /// slower end of today's engines, as what is admitted too early is late for everyone behind.
-    const START: Row = [30.0, 32.0, 0.7];
-    /// How far a start value may be off.
-    const START_SPREAD: Row = [40.0, 20.0, 0.4];
-    /// Bounds of what is learned, so that nonsense never closes or opens an engine for good.
-    const LEAST: Row = [1.0, 0.2, 0.0];
-    const MOST: Row = [2_000.0, 500.0, 10.0];
-    /// The weight of each older first event against the next newer one: the last hundred count, some
-    /// seconds of a busy engine.
+    /// The initial times: two hops and a decoding step, and the speed of a slow engine, as an
+    /// optimistic start admits prompts too early and delays all that follow.
+    const INITIAL: Row = [30.0, 32.0, 0.7];
+    /// The standard deviation of each initial time.
+    const INITIAL_DEVIATION: Row = [40.0, 20.0, 0.4];
+    /// Bounds of the learned times, so that outliers cannot block or open an engine for good.
+    const MIN: Row = [1.0, 0.2, 0.0];
+    const MAX: Row = [2_000.0, 500.0, 10.0];
+    /// The weight of each first event relative to the next one: about the last hundred count.
     const FORGETTING: f64 = 0.99;
-    /// How far first events scatter about any model, in milliseconds: about a step with a piece of a
-    /// prompt.
+    /// The standard deviation of a first event around its prediction, in milliseconds: about one
+    /// decoding step with a chunk of a prompt.
     const NOISE_MS: f64 = 15.0;
-    /// A first event counts as this much off its prediction at most, in parts of it and milliseconds:
-    /// one that was held up elsewhere says nothing of the engine.
-    const MOST_OFF_PART: f64 = 0.7;
-    const MOST_OFF_MS: f64 = 30.0;
+    /// The bound of the prediction error used in an update: a fraction of the prediction plus a
+    /// number of milliseconds. A longer delay has causes other than the engine.
+    const MAX_ERROR_FRACTION: f64 = 0.7;
+    const MAX_ERROR_MS: f64 = 30.0;
 
-    fn new(times: Row) -> Self {
-        let mut covariance = [[0.0; UNKNOWNS]; UNKNOWNS];
+    fn new(coefficients: Row) -> Self {
+        let mut covariance = [[0.0; COEFFICIENTS]; COEFFICIENTS];
         for (index, row) in covariance.iter_mut().enumerate() {
-            row[index] = Self::START_SPREAD[index].powi(2);
+            row[index] = Self::INITIAL_DEVIATION[index].powi(2);
+        }
+        Self {
+            coefficients,
+            covariance,
         }
-        Self { times, covariance }
     }
 
-    /// Returns what every first event takes, in milliseconds.
+    /// Returns the fixed time of each first event, in milliseconds.
     pub const fn fixed_ms(&self) -> f64 {
-        self.times[0]
+        self.coefficients[0]
     }
 
-    /// Returns how long reading takes, in milliseconds.
+    /// Returns the prefill time, in milliseconds.
     pub fn prefill_ms(&self, work: PrefillWork) -> f64 {
-        self.times[1] * work.kilotokens + self.times[2] * work.megapairs
+        self.coefficients[1] * work.kilotokens + self.coefficients[2] * work.megapairs
     }
 
-    /// Returns how long a first event takes at an idle engine, in milliseconds.
+    /// Returns the time to the first event at an idle engine, in milliseconds.
     pub fn first_event_ms(&self, work: PrefillWork) -> f64 {
         self.fixed_ms() + self.prefill_ms(work)
     }
 
-    /// Returns what is learned, to tell other boxes.
+    /// Returns the learned times in the form reported to other boxes.
     pub fn speed(&self) -> PrefillSpeed {
-        let [fixed_us, kilotoken_us, megapair_us] = self.times.map(|ms| (ms * 1e3) as u32);
+        let [fixed_us, kilotoken_us, megapair_us] = self.coefficients.map(|ms| (ms * 1e3) as u32);
         PrefillSpeed {
             fixed_us,
             kilotoken_us,
@@ -160,38 +163,40 @@
         }
     }
 
-    /// Learns from a first event.
+    /// Updates the model from an observed first event.
     pub fn learn(&mut self, sample: PrefillSample) {
         let fixed = if sample.was_idle { 1.0 } else { 0.0 };
-        let seen = [fixed, sample.work.kilotokens, sample.work.megapairs];
-        let expected_ms = dot(&self.times, &seen);
-        let most_off = expected_ms * Self::MOST_OFF_PART + Self::MOST_OFF_MS;
-        let off_ms = (sample.took_ms - expected_ms).clamp(-most_off, most_off);
-        let spread = self.covariance.map(|row| dot(&row, &seen));
-        let variance = dot(&spread, &seen) + Self::FORGETTING * Self::NOISE_MS.powi(2);
+        let inputs = [fixed, sample.work.kilotokens, sample.work.megapairs];
+        let expected_ms = dot(&self.coefficients, &inputs);
+        let max_error_ms = expected_ms * Self::MAX_ERROR_FRACTION + Self::MAX_ERROR_MS;
+        let error_ms = (sample.took_ms - expected_ms).clamp(-max_error_ms, max_error_ms);
+        let spread = self.covariance.map(|row| dot(&row, &inputs));
+        let variance = dot(&spread, &inputs) + Self::FORGETTING * Self::NOISE_MS.powi(2);
         let gain = spread.map(|spread| spread / variance);
-        for (index, time) in self.times.iter_mut().enumerate() {
-            let learned = *time + gain[index] * off_ms;
-            *time = learned.clamp(Self::LEAST[index], Self::MOST[index]);
+        for (index, coefficient) in self.coefficients.iter_mut().enumerate() {
+            let learned = *coefficient + gain[index] * error_ms;
+            *coefficient = learned.clamp(Self::MIN[index], Self::MAX[index]);
         }
         for (gain, row) in gain.iter().zip(&mut self.covariance) {
             for (spread, cell) in spread.iter().zip(row) {
                 *cell = (*cell - gain * spread) / Self::FORGETTING;
             }
         }
-        self.limit_spread();
+        self.limit_variance();
     }
 
-    /// Keeps what no first event tells of as uncertain as at the start, and no more: forgetting alone
-    /// would let it grow without end.
-    fn limit_spread(&mut self) {
-        for index in 0..UNKNOWNS {
-            let most = Self::START_SPREAD[index].powi(2);
-            let factor = (most / self.covariance[index][index]).sqrt();
+    /// Limits each variance to its initial value.
+    ///
+    /// Without a limit, forgetting would increase the variance of a time without bound while no
+    /// first event depends on it.
+    fn limit_variance(&mut self) {
+        for index in 0..COEFFICIENTS {
+            let max_variance = Self::INITIAL_DEVIATION[index].powi(2);
+            let factor = (max_variance / self.covariance[index][index]).sqrt();
             if factor >= 1.0 {
                 continue;
             }
-            for other in 0..UNKNOWNS {
+            for other in 0..COEFFICIENTS {
                 self.covariance[index][other] *= factor;
                 self.covariance[other][index] *= factor;
             }
--- a/dockgate-core/src/gateway/prefix_cache/tests.rs
+++ b/dockgate-core/src/gateway/prefix_cache/tests.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn a_part_counts_only_behind_the_same_parts() {
+fn part_is_cached_only_after_the_same_parts() {
     let mut cache = PrefixCache::default();
     cache.insert(&parts(&[1, 2, 3]), 1_000);
     assert_eq!(cache.cached_tokens(&parts(&[1, 2, 9])), 200);
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn what_was_unused_longest_gives_way_from_the_end_of_its_chain() {
+fn least_recently_used_chain_is_evicted_from_its_end() {
     let mut cache = PrefixCache::default();
     cache.insert(&parts(&[1, 2]), 300);
     cache.insert(&parts(&[5]), 300);
@@ -27,20 +27,20 @@
     assert_eq!(
         cache.cached_tokens(&parts(&[1, 2])),
         100,
-        "the end has given way, not the start"
+        "the end is evicted, not the start"
     );
     assert_eq!(cache.tokens(), 300);
 }
 
 proptest! {
     #[test]
-    fn it_never_holds_more_than_its_capacity(
-        reads in prop::collection::vec(prop::collection::vec(0_u64..20, 1..5), 1..200),
+    fn capacity_is_never_exceeded(
+        prompts in prop::collection::vec(prop::collection::vec(0_u64..20, 1..5), 1..200),
         capacity in 0_u64..2_000,
     ) {
         let mut cache = PrefixCache::default();
-        for read in reads {
-            cache.insert(&parts(&read), capacity);
+        for prompt in prompts {
+            cache.insert(&parts(&prompt), capacity);
             prop_assert!(cache.tokens() <= capacity);
             let sum: u64 = cache.parts.values().map(|part| u64::from(part.tokens)).sum();
             prop_assert_eq!(sum, cache.tokens());
--- a/dockgate-core/src/gateway/prefix_history.rs
+++ b/dockgate-core/src/gateway/prefix_history.rs
@@ -1,19 +1,18 @@
-//! Which shared parts this box had read at each engine lately, for whoever comes to decide for it.
+//! The shared prompt parts that this box recently sent to each engine.
 //!
-//! The box that decides for an engine knows its cache from the prompts that it admitted. When
-//! another box takes over, or the same one begins anew, it knows nothing; every entry then tells it
-//! what it sent there lately, so that prompts are neither refused nor sent elsewhere for parts that
-//! are cached.
+//! The owner of an engine knows the engine's cache from the prompts that it admitted. A new or
+//! restarted owner does not, so every box reports to it the shared parts that it sent recently.
+//! Otherwise prompts would be declined or sent elsewhere although their parts are cached.
 
 use super::prompt_shape::PromptPart;
 use super::route_table::EndpointId;
 use crate::ids::BoxKey;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Parts to be told to a box.
+/// Shared parts to report to the owner of an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PrefixReport {
-    /// The box that decides for the engine.
+    /// The box that owns the engine.
     pub owner: BoxKey,
     /// The engine.
     pub endpoint: EndpointId,
@@ -22,40 +21,44 @@
 }
 
 #[derive(Debug, Clone)]
-struct EngineReads {
-    told: BoxKey,
-    /// The newest stands last; each chain of parts stands once.
+struct EngineHistory {
+    informed_owner: BoxKey,
+    /// Distinct chains of shared parts, the most recent one last.
     chains: VecDeque<Vec<PromptPart>>,
 }
 
-/// The shared parts that were read lately, by engine.
+/// The history of shared parts by engine.
 #[derive(Debug, Default)]
 pub struct PrefixHistory {
-    engines: BTreeMap<EndpointId, EngineReads>,
+    engines: BTreeMap<EndpointId, EngineHistory>,
 }
 
 impl PrefixHistory {
-    /// How many chains are remembered for an engine: what one box sends there in a few seconds.
-    const MOST_CHAINS: usize = 24;
+    /// The number of chains kept for an engine: about what one box sends there in a few seconds.
+    const MAX_CHAINS: usize = 24;
 
-    /// Notes that the parts of a prompt are read, and that `owner` knows.
-    pub fn note(&mut self, endpoint: EndpointId, owner: BoxKey, parts: &[PromptPart]) {
+    /// Records the shared parts of a prompt sent to an engine whose `owner` knows of it.
+    pub fn record(&mut self, endpoint: EndpointId, owner: BoxKey, parts: &[PromptPart]) {
         let Some((_, shared)) = parts.split_last().filter(|(_, shared)| !shared.is_empty()) else {
             return;
         };
-        let reads = self.engines.entry(endpoint).or_insert_with(|| EngineReads {
-            told: owner,
-            chains: VecDeque::new(),
-        });
-        reads.chains.retain(|chain| chain != shared);
-        reads.chains.push_back(shared.to_vec());
-        if reads.chains.len() > Self::MOST_CHAINS {
-            reads.chains.pop_front();
+        let history = self
+            .engines
+            .entry(endpoint)
+            .or_insert_with(|| EngineHistory {
+                informed_owner: owner,
+                chains: VecDeque::new(),
+            });
+        history.chains.retain(|chain| chain != shared);
+        history.chains.push_back(shared.to_vec());
+        if history.chains.len() > Self::MAX_CHAINS {
+            history.chains.pop_front();
         }
     }
 
-    /// Returns what is due to the boxes that decide now and may not know; `is_due` is given the box
-    /// that decides and the one that was told.
+    /// Returns the reports that are due to the current owners, and removes engines without one.
+    ///
+    /// `is_due` is called with the current owner and the last box that was informed.
     pub fn take_reports(
         &mut self,
         owner_of: impl Fn(EndpointId) -> Option<BoxKey>,
@@ -63,19 +66,21 @@
     ) -> Vec<PrefixReport> {
         self.engines
             .retain(|endpoint, _| owner_of(*endpoint).is_some());
-        let mut due = Vec::new();
-        for (endpoint, reads) in &mut self.engines {
-            let Some(owner) = owner_of(*endpoint).filter(|owner| is_due(*owner, reads.told)) else {
+        let mut reports = Vec::new();
+        for (endpoint, history) in &mut self.engines {
+            let Some(owner) =
+                owner_of(*endpoint).filter(|owner| is_due(*owner, history.informed_owner))
+            else {
                 continue;
             };
-            reads.told = owner;
-            due.extend(reads.chains.iter().map(|parts| PrefixReport {
+            history.informed_owner = owner;
+            reports.extend(history.chains.iter().map(|parts| PrefixReport {
                 owner,
                 endpoint: *endpoint,
                 parts: parts.clone(),
             }));
         }
-        due
+        reports
     }
 }
 
--- a/dockgate-core/src/gateway/prefix_history/tests.rs
+++ b/dockgate-core/src/gateway/prefix_history/tests.rs
@@ -4,56 +4,57 @@
 const OLD: BoxKey = BoxKey(1);
 const NEW: BoxKey = BoxKey(2);
 
-fn prompt(subject: u64, own: u64) -> Vec<PromptPart> {
-    [7, subject, own]
+fn prompt(shared_part: u64, own_part: u64) -> Vec<PromptPart> {
+    [7, shared_part, own_part]
         .map(|id| PromptPart { id, tokens: 100 })
         .to_vec()
 }
 
-fn moved(owner: BoxKey, told: BoxKey) -> bool {
-    owner != told
+fn has_moved(owner: BoxKey, informed_owner: BoxKey) -> bool {
+    owner != informed_owner
 }
 
 #[test]
-fn a_new_owner_is_told_each_chain_once() {
-    let mut log = PrefixHistory::default();
-    for own in 0..5 {
-        log.note(ENGINE, OLD, &prompt(10, own));
-        log.note(ENGINE, OLD, &prompt(11, own));
+fn new_owner_receives_each_chain_once() {
+    let mut history = PrefixHistory::default();
+    for own_part in 0..5 {
+        history.record(ENGINE, OLD, &prompt(10, own_part));
+        history.record(ENGINE, OLD, &prompt(11, own_part));
     }
-    assert_eq!(log.take_reports(|_| Some(OLD), moved), Vec::new());
-    let due = log.take_reports(|_| Some(NEW), moved);
-    let chains: Vec<&[PromptPart]> = due.iter().map(|due| &due.parts[..]).collect();
+    assert_eq!(history.take_reports(|_| Some(OLD), has_moved), Vec::new());
+    let reports = history.take_reports(|_| Some(NEW), has_moved);
+    let chains: Vec<&[PromptPart]> = reports.iter().map(|report| &report.parts[..]).collect();
     assert_eq!(chains, [&prompt(10, 0)[..2], &prompt(11, 0)[..2]]);
     assert!(
-        due.iter()
-            .all(|due| due.owner == NEW && due.endpoint == ENGINE)
+        reports
+            .iter()
+            .all(|report| report.owner == NEW && report.endpoint == ENGINE)
     );
     assert_eq!(
-        log.take_reports(|_| Some(NEW), moved),
+        history.take_reports(|_| Some(NEW), has_moved),
         Vec::new(),
-        "it has been told"
+        "the owner has been informed_owner"
     );
     assert_eq!(
-        log.take_reports(|_| Some(NEW), |_, _| true).len(),
+        history.take_reports(|_| Some(NEW), |_, _| true).len(),
         2,
-        "a new life of it has not"
+        "a restarted owner has not been informed_owner"
     );
 }
 
 #[test]
-fn only_the_newest_chains_and_living_engines_are_remembered() {
-    let mut log = PrefixHistory::default();
-    for subject in 0..100 {
-        log.note(ENGINE, OLD, &prompt(subject, 0));
+fn only_recent_chains_of_known_engines_are_kept() {
+    let mut history = PrefixHistory::default();
+    for shared_part in 0..100 {
+        history.record(ENGINE, OLD, &prompt(shared_part, 0));
     }
     assert_eq!(
-        log.take_reports(|_| Some(NEW), moved).len(),
-        PrefixHistory::MOST_CHAINS
+        history.take_reports(|_| Some(NEW), has_moved).len(),
+        PrefixHistory::MAX_CHAINS
     );
-    assert!(log.take_reports(|_| None, |_, _| true).is_empty());
+    assert!(history.take_reports(|_| None, |_, _| true).is_empty());
     assert!(
-        log.take_reports(|_| Some(OLD), |_, _| true).is_empty(),
-        "the engine has gone"
+        history.take_reports(|_| Some(OLD), |_, _| true).is_empty(),
+        "the engine has been removed"
     );
 }
--- a/dockgate-core/src/gateway/rendezvous/tests.rs
+++ b/dockgate-core/src/gateway/rendezvous/tests.rs
@@ -1,34 +1,34 @@
 use super::*;
 use proptest::prelude::*;
 
-fn ranked_homes(subject: u64, endpoints: impl Iterator<Item = EndpointId>) -> Vec<EndpointId> {
-    best_homes(subject, endpoints, usize::MAX - 1, |_| true)
+fn ranked_homes(key: u64, endpoints: impl Iterator<Item = EndpointId>) -> Vec<EndpointId> {
+    best_homes(key, endpoints, usize::MAX - 1, |_| true)
 }
 
 proptest! {
-    /// The best few that are accepted are those of the whole order.
+    /// Selection in one pass must agree with a full sort.
     #[test]
-    fn the_best_homes_are_the_first_of_the_whole_order(
-        subject in 0_u64..1_000,
+    fn best_homes_agree_with_a_full_sort(
+        key in 0_u64..1_000,
         endpoints in prop::collection::btree_set(0_u64..500, 0..60),
         count in 0_usize..6,
         refused in 1_u64..5,
     ) {
         let accepts = |endpoint: EndpointId| !endpoint.0.is_multiple_of(refused);
         let ids = || endpoints.iter().copied().map(EndpointId);
-        let mut whole: Vec<EndpointId> = ids().filter(|id| accepts(*id)).collect();
-        whole.sort_by_key(|id| std::cmp::Reverse((score(subject, id.0), *id)));
-        whole.truncate(count);
-        prop_assert_eq!(best_homes(subject, ids(), count, accepts), whole);
+        let mut sorted: Vec<EndpointId> = ids().filter(|id| accepts(*id)).collect();
+        sorted.sort_by_key(|id| std::cmp::Reverse((score(key, id.0), *id)));
+        sorted.truncate(count);
+        prop_assert_eq!(best_homes(key, ids(), count, accepts), sorted);
     }
 }
 
 #[test]
-fn an_endpoint_that_goes_moves_only_its_own_subjects() {
+fn removed_endpoint_moves_only_its_own_keys() {
     let endpoints: Vec<EndpointId> = (0..18).map(EndpointId).collect();
-    for subject in 0..500 {
-        let before = ranked_homes(subject, endpoints.iter().copied());
-        let after = ranked_homes(subject, endpoints[..17].iter().copied());
+    for key in 0..500 {
+        let before = ranked_homes(key, endpoints.iter().copied());
+        let after = ranked_homes(key, endpoints[..17].iter().copied());
         let kept: Vec<EndpointId> = before
             .into_iter()
             .filter(|endpoint| *endpoint != EndpointId(17))
@@ -38,10 +38,10 @@
 }
 
 #[test]
-fn subjects_spread_evenly() {
+fn keys_are_distributed_evenly() {
     let mut counts = [0_u32; 18];
-    for subject in 0..3_600 {
-        let homes = ranked_homes(name_hash(&subject.to_string()), (0..18).map(EndpointId));
+    for key in 0..3_600 {
+        let homes = ranked_homes(name_hash(&key.to_string()), (0..18).map(EndpointId));
         counts[homes[0].0 as usize] += 1;
     }
     assert!(
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn every_box_names_the_same_owner() {
+fn owner_does_not_depend_on_the_order_of_boxes() {
     let boxes = [BoxKey(3), BoxKey(9), BoxKey(11)];
     for endpoint in (0..100).map(EndpointId) {
         let forward = owner_of_endpoint(endpoint, boxes.iter().copied());
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_request_leaves_the_homes_that_it_shares_once_it_has_lost_two_endpoints() {
-    let subjects = [0, 1, 2, 3].map(|tried| home_key(7, 8, tried));
-    assert_eq!(subjects, [7, 7, 8, 8]);
+fn request_uses_its_own_key_after_two_attempts() {
+    let keys = [0, 1, 2, 3].map(|tried| placement_key(7, 8, tried));
+    assert_eq!(keys, [7, 7, 8, 8]);
 }
--- a/dockgate-core/src/gateway/share_tracker/share_simulation.rs
+++ b/dockgate-core/src/gateway/share_tracker/share_simulation.rs
@@ -5,7 +5,7 @@
 
 use super::ShareTracker;
 use crate::gateway::{
-    AdmissionRequest, AdmissionRule, DomainKey, EngineLoad, EngineSpec, EngineVerdict,
+    AdmissionRequest, AdmissionRule, AdmissionVerdict, DomainKey, EngineLoad, EngineSpec,
     PrefillSpeed, PromptPart, RunKey, ShareHeader, ShareScope, UsageRow,
 };
 use crate::ids::{BoxKey, Incarnation};
@@ -366,7 +366,7 @@
         let rule = AdmissionRule::default();
         let home = homes.into_iter().find(|home| {
             let verdict = rule.decide(&self.engines[*home], &ask, 0, self.now_ms);
-            matches!(verdict, EngineVerdict::Granted(_))
+            matches!(verdict, AdmissionVerdict::Granted(_))
         });
         let Some(home) = home else {
             self.outcome.rows[flood][second].refused += units;
--- a/dockgate-core/src/gateway/suspect_book/blame_tests.rs
+++ b/dockgate-core/src/gateway/suspect_book/blame_tests.rs
@@ -5,7 +5,7 @@
 //! requests of one kind share.
 
 use super::SuspectBook;
-use crate::gateway::{EndpointId, RequestPrint, best_homes, home_key};
+use crate::gateway::{EndpointId, RequestPrint, best_homes, placement_key};
 use std::collections::{BTreeMap, BTreeSet};
 use yare::parameterized;
 
@@ -119,7 +119,7 @@
             .iter()
             .filter(|(_, (_, from_ms))| *from_ms <= now_ms);
         let there = there.map(|(at, _)| EndpointId(*at));
-        let subject = home_key(
+        let subject = placement_key(
             run.kind,
             100 + u64::from(run.number),
             run.sends as usize % 3,
--- a/dockgate-proto/src/gateway.rs
+++ b/dockgate-proto/src/gateway.rs
@@ -4,8 +4,8 @@
 //! decided by the entry alone, sums replace sums, and a run that is never heard of again lapses.
 
 use dockgate_core::gateway::{
-    AdmissionRequest, BoxBeat, EndpointId, EndpointNews, EngineVerdict, FleetDigest, PrefillSpeed,
-    PromptPart, RouteConfig, StoreRevision, SuspectRow, UsageRow,
+    AdmissionRequest, AdmissionVerdict, BoxBeat, EndpointId, EndpointNews, FleetDigest,
+    PrefillSpeed, PromptPart, RouteConfig, StoreRevision, SuspectRow, UsageRow,
 };
 use dockgate_core::{BoxKey, Incarnation};
 use serde::{Deserialize, Serialize};
@@ -80,7 +80,7 @@
         /// The endpoint.
         endpoint: EndpointId,
         /// The answer.
-        verdict: EngineVerdict,
+        verdict: AdmissionVerdict,
         /// For how many milliseconds the engine reads what it has, this prompt included.
         backlog_ms: u32,
         /// How fast the engine reads.
--- a/dockgate/src/gateway/engine_seek.rs
+++ b/dockgate/src/gateway/engine_seek.rs
@@ -16,8 +16,9 @@
 use crate::clock::now_ms;
 use dockgate_core::BoxKey;
 use dockgate_core::gateway::{
-    AdmissionRequest, DomainKey, EndpointId, EngineSpec, EngineVerdict, PrefillSpeed, PromptPart,
-    PromptShape, ReadyEndpoint, RunKey, ServiceSpec, ShareLevel, best_homes, home_key,
+    AdmissionRequest, AdmissionVerdict, DomainKey, EndpointId, EngineSpec, PrefillSpeed,
+    PromptPart, PromptShape, ReadyEndpoint, RunKey, ServiceSpec, ShareLevel, best_homes,
+    placement_key,
 };
 use dockgate_proto::GatewayMessage;
 use pending_seek::PendingSeek;
@@ -115,7 +116,7 @@
 ) -> Vec<EndpointId> {
     let own = wish.own_subject;
     let subject = wish.prompt.affinity_key().unwrap_or(own);
-    let subject = home_key(subject, own, wish.tried.len());
+    let subject = placement_key(subject, own, wish.tried.len());
     if wish.prompt.shared_tokens() >= NEAR_BELOW_TOKENS {
         let all = ready.iter().map(|ready| ready.id);
         return best_homes(subject, all, SHARED_HOMES, accepts);
@@ -176,18 +177,18 @@
     key: RunKey,
     ask: &AdmissionRequest,
     others: u32,
-) -> Option<EngineVerdict> {
+) -> Option<AdmissionVerdict> {
     let now = now_ms();
     let rule = state.settings().admission;
     let spec = spec_of(state, endpoint)?;
     state.with(|beliefs| {
         let notices = beliefs.endpoints.notices();
         if notices.is_said_to_leave(endpoint, now) {
-            return Some(EngineVerdict::Leaving);
+            return Some(AdmissionVerdict::Leaving);
         }
         let load = beliefs.engines.load_mut(endpoint, spec);
         let verdict = rule.decide(load, ask, others, now);
-        if matches!(verdict, EngineVerdict::Granted(_)) {
+        if matches!(verdict, AdmissionVerdict::Granted(_)) {
             GATEWAY_METRICS.note_admitted(ask.input, load.work_of(ask).tokens());
             load.place(key, ask, now);
         }
@@ -262,7 +263,7 @@
 
 /// One home that was asked, and what came of it.
 struct AskedHome {
-    verdict: EngineVerdict,
+    verdict: AdmissionVerdict,
     number: u32,
     decided_by: String,
 }
@@ -284,11 +285,11 @@
     let seek = PendingSeek::send(state, number, home.target.id, home.owner, ask);
     if let Some(verdict) = seek.verdict().await {
         match verdict {
-            EngineVerdict::Granted(_) => {
+            AdmissionVerdict::Granted(_) => {
                 place_here(state, home.target.id, state.own_run(number), ask);
             }
-            EngineVerdict::Leaving => hear_told(state, home.target.id),
-            EngineVerdict::Declined(_) => {}
+            AdmissionVerdict::Leaving => hear_told(state, home.target.id),
+            AdmissionVerdict::Declined(_) => {}
         }
         let decided_by = state.with(|beliefs| beliefs.fleet.name(home.owner).to_owned());
         return Some(AskedHome {
@@ -326,7 +327,7 @@
     })?;
     GATEWAY_METRICS.declined_alone.inc();
     Some(AskedHome {
-        verdict: EngineVerdict::Declined(first_ms as u32),
+        verdict: AdmissionVerdict::Declined(first_ms as u32),
         number,
         decided_by: settings.name.clone(),
     })
@@ -411,7 +412,7 @@
         );
     }
     let asked = AskedHome {
-        verdict: EngineVerdict::Granted(0),
+        verdict: AdmissionVerdict::Granted(0),
         number,
         decided_by: "resume".to_owned(),
     };
@@ -419,7 +420,7 @@
 }
 
 const fn is_granted(asked: &AskedHome) -> bool {
-    matches!(asked.verdict, EngineVerdict::Granted(_))
+    matches!(asked.verdict, AdmissionVerdict::Granted(_))
 }
 
 fn take(
--- a/dockgate/src/gateway/engine_seek/pending_seek.rs
+++ b/dockgate/src/gateway/engine_seek/pending_seek.rs
@@ -3,7 +3,7 @@
 use super::super::datagrams::send_to;
 use super::super::gateway_state::GatewayState;
 use dockgate_core::BoxKey;
-use dockgate_core::gateway::{AdmissionRequest, EndpointId, EngineVerdict};
+use dockgate_core::gateway::{AdmissionRequest, AdmissionVerdict, EndpointId};
 use dockgate_proto::GatewayMessage;
 use std::time::Duration;
 use tokio::sync::oneshot;
@@ -22,7 +22,7 @@
     run: u32,
     endpoint: EndpointId,
     owner: BoxKey,
-    verdict: oneshot::Receiver<EngineVerdict>,
+    verdict: oneshot::Receiver<AdmissionVerdict>,
 }
 
 impl<'a> PendingSeek<'a> {
@@ -52,7 +52,7 @@
     }
 
     /// Waits for the verdict; returns none where it does not come in time.
-    pub(super) async fn verdict(mut self) -> Option<EngineVerdict> {
+    pub(super) async fn verdict(mut self) -> Option<AdmissionVerdict> {
         let verdict = tokio::time::timeout(VERDICT_TIMEOUT, &mut self.verdict).await;
         verdict.ok()?.ok()
     }
@@ -61,7 +61,7 @@
 impl Drop for PendingSeek<'_> {
     fn drop(&mut self) {
         self.state.with(|beliefs| beliefs.seeks.remove(&self.run));
-        if let Ok(EngineVerdict::Granted(_)) = self.verdict.try_recv() {
+        if let Ok(AdmissionVerdict::Granted(_)) = self.verdict.try_recv() {
             let ended = GatewayMessage::Ended {
                 run: self.run,
                 endpoint: self.endpoint,
--- a/dockgate/src/gateway/engine_seek/pending_seek/tests.rs
+++ b/dockgate/src/gateway/engine_seek/pending_seek/tests.rs
@@ -59,13 +59,13 @@
 /// On a box that is short of processor callers leave while the verdict is there and their tasks have not run
 /// yet; the engine was then believed to work on the prompt until the caller's time was over, 15 s.
 #[parameterized(
-    granted_and_taken = { EngineVerdict::Granted(40), SeekEnd::Taken, &["seek"] },
-    granted_to_nobody = { EngineVerdict::Granted(40), SeekEnd::CallerLeaves, &["seek", "ended"] },
-    declined_to_nobody = { EngineVerdict::Declined(900), SeekEnd::CallerLeaves, &["seek"] },
+    granted_and_taken = { AdmissionVerdict::Granted(40), SeekEnd::Taken, &["seek"] },
+    granted_to_nobody = { AdmissionVerdict::Granted(40), SeekEnd::CallerLeaves, &["seek", "ended"] },
+    declined_to_nobody = { AdmissionVerdict::Declined(900), SeekEnd::CallerLeaves, &["seek"] },
 )]
 #[test_macro(tokio::test)]
 async fn a_place_that_nobody_takes_is_given_back(
-    verdict: EngineVerdict,
+    verdict: AdmissionVerdict,
     end: SeekEnd,
     told: &[&str],
 ) {
--- a/dockgate/src/gateway/gateway_state.rs
+++ b/dockgate/src/gateway/gateway_state.rs
@@ -12,8 +12,8 @@
 use crate::stop::StopFlag;
 use arc_swap::ArcSwap;
 use dockgate_core::gateway::{
-    AdmissionRequest, BoxBeat, BoxStanding, BrokenEndpoints, EndpointBook, EndpointChange,
-    EndpointId, EndpointNews, EngineRegistry, EngineVerdict, EraBook, FleetView, LoadShedder,
+    AdmissionRequest, AdmissionVerdict, BoxBeat, BoxStanding, BrokenEndpoints, EndpointBook,
+    EndpointChange, EndpointId, EndpointNews, EngineRegistry, EraBook, FleetView, LoadShedder,
     LoopLag, PrefixHistory, RetryBudget, RouteConfig, RouteTable, RunKey, ShareTally, ShareTracker,
     StoreDuty, StoreProbe, StoreRevision, SuspectBook, WakeGate, WatchCheck,
 };
@@ -74,7 +74,7 @@
     /// Which part of its requests this box takes.
     pub(super) shed: LoadShedder,
     /// Seeks that wait for a verdict, by the same counter.
-    pub(super) seeks: HashMap<u32, oneshot::Sender<EngineVerdict>>,
+    pub(super) seeks: HashMap<u32, oneshot::Sender<AdmissionVerdict>>,
     /// Whether this box follows the store by itself.
     pub(super) store: StoreDuty,
     /// Whether the store hears it.
--- a/dockgate/src/gateway/peer_net.rs
+++ b/dockgate/src/gateway/peer_net.rs
@@ -11,7 +11,7 @@
 use super::quarantine;
 use crate::clock::now_ms;
 use crate::metrics::METRICS;
-use dockgate_core::gateway::{AdmissionRequest, EndpointId, EngineVerdict, RunKey};
+use dockgate_core::gateway::{AdmissionRequest, AdmissionVerdict, EndpointId, RunKey};
 use dockgate_proto::{GatewayDatagram, GatewayMessage};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -76,7 +76,7 @@
             let waiting = state.with(|beliefs| beliefs.seeks.remove(&run));
             let taken = waiting.is_some_and(|waiting| waiting.send(verdict).is_ok());
             // Too late: the prompt has gone elsewhere by now.
-            if !taken && matches!(verdict, EngineVerdict::Granted(_)) {
+            if !taken && matches!(verdict, AdmissionVerdict::Granted(_)) {
                 send_datagram(state, from, GatewayMessage::Ended { run, endpoint });
             }
         }
--- a/dockgate/src/gateway/run_guard.rs
+++ b/dockgate/src/gateway/run_guard.rs
@@ -45,7 +45,7 @@
         };
         state.with(|beliefs| {
             beliefs.endpoints.note_sent(endpoint, now_ms());
-            beliefs.reads.note(endpoint, owner, &run.ask.parts);
+            beliefs.reads.record(endpoint, owner, &run.ask.parts);
             beliefs.runs.insert(number, run);
         });
         Self {
