--- a/dockgate-core/src/gateway/admission_rule.rs
+++ b/dockgate-core/src/gateway/admission_rule.rs
@@ -131,8 +131,8 @@
 
     /// Declines a prompt of a workspace beyond its share without a request to the engine's owner.
     ///
-    /// Returns the minimum time to the first event in milliseconds, or `None` if the owner of the
-    /// engine has to decide. Saves a datagram to the owner for each refused prompt of a flood.
+    /// Returns the minimum time to the first event in milliseconds, or `None` if the engine's
+    /// owner has to decide. This saves a datagram for each refused prompt of a flood.
     pub fn local_decline_ms(
         &self,
         load: &EngineLoad,
