--- a/dockgate-core/src/gateway.rs
+++ b/dockgate-core/src/gateway.rs
@@ -11,35 +11,35 @@
 //!     model: "m".to_owned(),
 //!     input: 1_210,
 //!     output: 60,
-//!     most_output: 80,
+//!     max_output: 80,
 //!     parts: vec![PromptPart { id: 7, tokens: 800 }, PromptPart { id: 9, tokens: 410 }],
 //! };
 //! assert_eq!(prompt.shared_tokens(), 800);
 //! ```
 
-mod admission;
-mod answer_rule;
+mod admission_rule;
+mod answer_verdict;
 mod box_heartbeat;
 mod decaying_usage;
 mod domain_reachability;
 mod endpoint_health;
 mod endpoint_notice;
 mod endpoint_registry;
-mod engine_book;
 mod engine_load;
+mod engine_registry;
 mod era_tracker;
 mod event_splitter;
 mod fair_usage;
 mod fleet_view;
-mod home_order;
 mod interruption_tracker;
 mod load_shedder;
 mod loop_lag;
 mod notice_registry;
+mod prefill_model;
 mod prefix_cache;
+mod prefix_history;
 mod prompt_shape;
-mod read_log;
-mod read_model;
+mod rendezvous;
 mod request_fingerprint;
 mod resume_gate;
 mod retry_budget;
@@ -56,8 +56,8 @@
 mod suspect_registry;
 mod watch_check;
 
-pub use admission::{AdmissionRule, EngineVerdict};
-pub use answer_rule::{AnswerOwner, AnswerSigns, AnswerVerdict};
+pub use admission_rule::{AdmissionRule, AdmissionVerdict};
+pub use answer_verdict::{AnswerAttributes, AnswerOwner, AnswerVerdict};
 pub use box_heartbeat::{
     BoxHeartbeat, BoxReport, BoxStatus, BoxSummary, DigestScope, DomainKey, FleetDigest, StateKind,
 };
@@ -69,20 +69,20 @@
     EndpointChange, EndpointEntry, EndpointRegistry, EndpointUpdate, ExpiryChanges, MergeOutcome,
     ReadyEndpoint, RemovedEndpoint, ReportedEndpoint, ServiceAvailability, UnconfirmedRecord,
 };
-pub use engine_book::{AskTimes, EngineAsk, EngineBook, RunKey};
 pub use engine_load::{EngineLoad, EngineRun};
+pub use engine_registry::{AdmissionRequest, EngineRegistry, LatencyLimits, RunKey};
 pub use era_tracker::{EraChange, EraTracker};
 pub use event_splitter::{EventSplitter, SplitEvent};
 pub use fleet_view::{BoxChange, FleetView, StateSource};
-pub use home_order::{best_homes, home_subject, name_hash, owner_of_endpoint};
 pub use interruption_tracker::{InterruptionStatus, InterruptionTracker};
 pub use load_shedder::LoadShedder;
 pub use loop_lag::{LagChange, LoopLag};
 pub use notice_registry::{NoticeRegistry, NoticeUpdate};
+pub use prefill_model::{PrefillModel, PrefillSample, PrefillSpeed, PrefillWork};
 pub use prefix_cache::PrefixCache;
+pub use prefix_history::{PrefixHistory, PrefixReport};
 pub use prompt_shape::{PromptPart, PromptShape};
-pub use read_log::{DueReads, ReadLog};
-pub use read_model::{PromptWork, ReadModel, ReadSample, ReadSpeed};
+pub use rendezvous::{best_homes, name_hash, owner_of_endpoint, placement_key};
 pub use request_fingerprint::{FingerprintInput, InvalidFingerprint, RequestFingerprint};
 pub use resume_gate::ResumeGate;
 pub use retry_budget::{RetryBudget, RetryRule};
--- a/dockgate-core/src/gateway/endpoint_notice.rs
+++ b/dockgate-core/src/gateway/endpoint_notice.rs
@@ -5,10 +5,10 @@
 //! recent information about it.
 //!
 //! ```
-//! use dockgate_core::gateway::{AnswerOwner, AnswerSigns, EndpointNotice};
+//! use dockgate_core::gateway::{AnswerOwner, AnswerAttributes, EndpointNotice};
 //!
 //! let notice = EndpointNotice { is_leaving: true, ..EndpointNotice::default() };
-//! let signs = AnswerSigns {
+//! let signs = AnswerAttributes {
 //!     status: 200,
 //!     owner: AnswerOwner::Own,
 //!     has_proof: true,
@@ -18,7 +18,7 @@
 //! assert!(notice.trusted(&signs).is_leaving);
 //! ```
 
-use super::answer_rule::{AnswerOwner, AnswerSigns};
+use super::answer_verdict::{AnswerAttributes, AnswerOwner};
 use std::time::Duration;
 
 /// The status of an answer from an endpoint that the request was not meant for.
@@ -47,7 +47,7 @@
     /// endpoint. An answer without a request id may come from any process at that address, and a
     /// misdirected request was answered by another endpoint. Only a refusal can request a backoff.
     #[must_use]
-    pub const fn trusted(self, signs: &AnswerSigns) -> Self {
+    pub const fn trusted(self, signs: &AnswerAttributes) -> Self {
         match (signs.owner, signs.status) {
             (AnswerOwner::Unnamed, _) | (_, MISDIRECTED) => Self {
                 is_leaving: false,
--- a/dockgate-core/src/gateway/fleet_view.rs
+++ b/dockgate-core/src/gateway/fleet_view.rs
@@ -10,7 +10,7 @@
 mod peer_box;
 
 use super::box_heartbeat::{BoxHeartbeat, BoxStatus, DomainKey, StateKind};
-use super::home_order::{owner_of_endpoint, pair_score};
+use super::rendezvous::{owner_of_endpoint, pair_score};
 use super::route_table::EndpointId;
 use super::store_follower::StoreWatchers;
 use super::store_revision::StoreRevision;
--- a/dockgate-core/src/gateway/fleet_view/fleet_tests.rs
+++ b/dockgate-core/src/gateway/fleet_view/fleet_tests.rs
@@ -42,7 +42,7 @@
 
 impl SeededRandom {
     pub(super) fn draw(&mut self, below: u64) -> u64 {
-        self.0 = super::super::home_order::name_hash(&self.0.to_string());
+        self.0 = super::super::rendezvous::name_hash(&self.0.to_string());
         self.0 % below
     }
 }
--- /dev/null
+++ b/dockgate-core/src/gateway/rendezvous.rs
@@ -0,0 +1,70 @@
+//! Rendezvous hashing: the home endpoints of a placement key, and the box that owns an endpoint.
+//!
+//! Boxes with the same view agree without communication. Adding or removing an endpoint or a box
+//! moves only the keys or endpoints assigned to it.
+
+use super::route_table::EndpointId;
+use crate::ids::BoxKey;
+use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
+
+/// Hashes a name to a key that is the same on every box.
+pub fn name_hash(name: &str) -> u64 {
+    xxh3_64(name.as_bytes())
+}
+
+/// Returns the placement key of a request that has tried a number of endpoints.
+///
+/// The first two attempts use the key that the request shares with others, later ones the request's
+/// `own` key. Requests with the same homes would otherwise follow a request that crashes endpoints
+/// from one endpoint to the next, and would be suspected along with it.
+pub const fn placement_key(shared: u64, own: u64, tried: usize) -> u64 {
+    /// The first retry keeps the shared key, as its homes have the shared prompt parts cached.
+    const SHARED_ATTEMPTS: usize = 2;
+    match tried < SHARED_ATTEMPTS {
+        true => shared,
+        false => own,
+    }
+}
+
+fn score(item: u64, holder: u64) -> u64 {
+    xxh3_64_with_seed(&item.to_le_bytes(), holder)
+}
+
+/// Selects up to `count` homes of a placement key among the accepted endpoints, best first.
+///
+/// Makes one pass without sorting; `accepts` is called only for endpoints that would be selected.
+pub fn best_homes(
+    key: u64,
+    endpoints: impl Iterator<Item = EndpointId>,
+    count: usize,
+    accepts: impl Fn(EndpointId) -> bool,
+) -> Vec<EndpointId> {
+    let mut best: Vec<(u64, EndpointId)> = Vec::new();
+    for endpoint in endpoints {
+        let scored = (score(key, endpoint.0), endpoint);
+        let is_better = best.len() < count || best.last().is_some_and(|last| scored > *last);
+        if count == 0 || !is_better || !accepts(endpoint) {
+            continue;
+        }
+        let place = best.partition_point(|kept| *kept > scored);
+        best.insert(place, scored);
+        best.truncate(count);
+    }
+    best.into_iter().map(|(_, endpoint)| endpoint).collect()
+}
+
+/// Scores a pair of boxes, so that each box ranks the others in an order of its own.
+pub fn pair_score(one: BoxKey, other: BoxKey) -> u64 {
+    score(u64::from(one.0), u64::from(other.0))
+}
+
+/// Selects the box among `boxes` that owns an endpoint, or `None` if there are no boxes.
+pub fn owner_of_endpoint(
+    endpoint: EndpointId,
+    boxes: impl Iterator<Item = BoxKey>,
+) -> Option<BoxKey> {
+    boxes.max_by_key(|candidate| (score(endpoint.0, u64::from(candidate.0)), *candidate))
+}
+
+#[cfg(test)]
+mod tests;
--- a/dockgate-core/src/gateway/suspect_registry/verdict_tests.rs
+++ b/dockgate-core/src/gateway/suspect_registry/verdict_tests.rs
@@ -6,7 +6,7 @@
 //! requests of one kind share.
 
 use super::SuspectRegistry;
-use crate::gateway::{EndpointId, RequestFingerprint, best_homes, home_subject};
+use crate::gateway::{EndpointId, RequestFingerprint, best_homes, placement_key};
 use std::collections::{BTreeMap, BTreeSet};
 use yare::parameterized;
 
@@ -120,7 +120,7 @@
             .iter()
             .filter(|(_, (_, from_ms))| *from_ms <= now_ms);
         let available = available.map(|(at, _)| EndpointId(*at));
-        let subject = home_subject(
+        let subject = placement_key(
             run.kind,
             100 + u64::from(run.number),
             run.sends as usize % 3,
--- a/dockgate-proto/src/gateway.rs
+++ b/dockgate-proto/src/gateway.rs
@@ -5,8 +5,8 @@
 //! nothing more is reported about them.
 
 use dockgate_core::gateway::{
-    BoxHeartbeat, EndpointId, EndpointUpdate, EngineAsk, EngineVerdict, FleetDigest, PromptPart,
-    ReadSpeed, RouteConfig, StoreRevision, SuspectReport, UsageRow,
+    AdmissionRequest, AdmissionVerdict, BoxHeartbeat, EndpointId, EndpointUpdate, FleetDigest,
+    PrefillSpeed, PromptPart, RouteConfig, StoreRevision, SuspectReport, UsageRow,
 };
 use dockgate_core::{BoxKey, Incarnation};
 use serde::{Deserialize, Serialize};
@@ -73,7 +73,7 @@
         /// The endpoint.
         endpoint: EndpointId,
         /// The prompt.
-        request: EngineAsk,
+        request: AdmissionRequest,
     },
     /// Owner to entry: the answer to a slot request.
     Verdict {
@@ -82,12 +82,12 @@
         /// The endpoint.
         endpoint: EndpointId,
         /// The answer.
-        verdict: EngineVerdict,
+        verdict: AdmissionVerdict,
         /// The time that the engine needs to read its queued prompts, this one included, in
         /// milliseconds.
         backlog_ms: u32,
         /// The reading speed of the engine.
-        speed: ReadSpeed,
+        speed: PrefillSpeed,
     },
     /// Entry to owner: a prompt was sent to the endpoint without a grant of this owner.
     Placed {
@@ -96,7 +96,7 @@
         /// The endpoint.
         endpoint: EndpointId,
         /// The prompt.
-        request: EngineAsk,
+        request: AdmissionRequest,
         /// Whether its first event has arrived.
         started: bool,
     },
--- a/dockgate/src/gateway/engine_seek/pending_seek/tests.rs
+++ b/dockgate/src/gateway/engine_seek/pending_seek/tests.rs
@@ -2,7 +2,7 @@
 use crate::clock::now_ms;
 use crate::gateway::gateway_state::tests::state_with_seed;
 use dockgate_core::Incarnation;
-use dockgate_core::gateway::{AskTimes, BoxHeartbeat, PromptShape};
+use dockgate_core::gateway::{BoxHeartbeat, LatencyLimits, PromptShape};
 use dockgate_proto::GatewayDatagram;
 use std::net::SocketAddr;
 use tokio::net::UdpSocket;
@@ -26,20 +26,20 @@
     (state, BoxKey::from_name("a2"))
 }
 
-fn ask() -> EngineAsk {
+fn ask() -> AdmissionRequest {
     let prompt = PromptShape {
         model: String::new(),
         input: 500,
         output: 20,
-        most_output: 20,
+        max_output: 20,
         parts: Vec::new(),
     };
-    let times = AskTimes {
+    let times = LatencyLimits {
         objective_ms: 300,
-        shortest_ms: 300,
+        shortest_objective_ms: 300,
         budget_ms: 15_000,
     };
-    EngineAsk::new(1, &prompt, times)
+    AdmissionRequest::new(1, &prompt, times)
 }
 
 /// Lists what has come, by kind.
@@ -63,13 +63,13 @@
 /// On a box that is short of processor callers leave while the verdict is there and their tasks have not run
 /// yet; the engine was then believed to work on the prompt until the caller's time was over, 15 s.
 #[parameterized(
-    granted_and_taken = { EngineVerdict::Granted(40), SeekEnd::Taken, &["seek"] },
-    granted_to_nobody = { EngineVerdict::Granted(40), SeekEnd::CallerLeaves, &["seek", "ended"] },
-    declined_to_nobody = { EngineVerdict::Declined(900), SeekEnd::CallerLeaves, &["seek"] },
+    granted_and_taken = { AdmissionVerdict::Granted(40), SeekEnd::Taken, &["seek"] },
+    granted_to_nobody = { AdmissionVerdict::Granted(40), SeekEnd::CallerLeaves, &["seek", "ended"] },
+    declined_to_nobody = { AdmissionVerdict::Declined(900), SeekEnd::CallerLeaves, &["seek"] },
 )]
 #[test_macro(tokio::test)]
 async fn a_place_that_nobody_takes_is_given_back(
-    verdict: EngineVerdict,
+    verdict: AdmissionVerdict,
     end: SeekEnd,
     told: &[&str],
 ) {
--- a/dockgate/src/gateway/gateway_state.rs
+++ b/dockgate/src/gateway/gateway_state.rs
@@ -12,10 +12,11 @@
 use crate::stop::StopFlag;
 use arc_swap::ArcSwap;
 use dockgate_core::gateway::{
-    BoxHeartbeat, BoxStatus, EndpointChange, EndpointId, EndpointRegistry, EndpointUpdate,
-    EngineAsk, EngineBook, EngineVerdict, EraTracker, FleetView, InterruptionTracker, LoadShedder,
-    LoopLag, ReadLog, ResumeGate, RetryBudget, RouteConfig, RouteTable, RunKey, ShareTally,
-    ShareTracker, StoreFollower, StoreProbe, StoreRevision, SuspectRegistry, WatchCheck,
+    AdmissionRequest, AdmissionVerdict, BoxHeartbeat, BoxStatus, EndpointChange, EndpointId,
+    EndpointRegistry, EndpointUpdate, EngineRegistry, EraTracker, FleetView, InterruptionTracker,
+    LoadShedder, LoopLag, PrefixHistory, ResumeGate, RetryBudget, RouteConfig, RouteTable, RunKey,
+    ShareTally, ShareTracker, StoreFollower, StoreProbe, StoreRevision, SuspectRegistry,
+    WatchCheck,
 };
 use dockgate_core::{BoxKey, Incarnation};
 use dockgate_platform::PlatformClient;
@@ -38,7 +39,7 @@
     /// The box that was told of it.
     pub(super) owner: BoxKey,
     /// The prompt.
-    pub(super) ask: EngineAsk,
+    pub(super) ask: AdmissionRequest,
     /// Whether its first event was seen.
     pub(super) started: bool,
 }
@@ -48,7 +49,7 @@
     /// The endpoints.
     pub(super) endpoints: EndpointRegistry,
     /// What the engines are busy with.
-    pub(super) engines: EngineBook,
+    pub(super) engines: EngineRegistry,
     /// What the workspaces asked for and were given.
     pub(super) shares: ShareTracker,
     /// What became of their prompts here, for the log.
@@ -68,13 +69,13 @@
     /// The requests under which endpoints have ended.
     pub(super) suspects: SuspectRegistry,
     /// What this box had read at engines lately.
-    pub(super) reads: ReadLog,
+    pub(super) reads: PrefixHistory,
     /// Whether this box keeps up with its work.
     pub(super) lag: LoopLag,
     /// Which part of its requests this box takes.
     pub(super) shed: LoadShedder,
     /// Seeks that wait for a verdict, by the same counter.
-    pub(super) seeks: HashMap<u32, oneshot::Sender<EngineVerdict>>,
+    pub(super) seeks: HashMap<u32, oneshot::Sender<AdmissionVerdict>>,
     /// Whether this box follows the store by itself.
     pub(super) store: StoreFollower,
     /// Whether the store hears it.
@@ -127,7 +128,7 @@
             .status(BoxStatus::new(settings.processor));
         let beliefs = GatewayBeliefs {
             endpoints: EndpointRegistry::default(),
-            engines: EngineBook::default(),
+            engines: EngineRegistry::default(),
             shares: ShareTracker::new(settings.share_window.as_millis() as u64),
             tally: ShareTally::default(),
             retries: RetryBudget::new(settings.retry_rule()),
@@ -137,7 +138,7 @@
             runs: HashMap::new(),
             broken: InterruptionTracker::default(),
             suspects: SuspectRegistry::default(),
-            reads: ReadLog::default(),
+            reads: PrefixHistory::default(),
             lag: LoopLag::default(),
             shed: LoadShedder::default(),
             seeks: HashMap::new(),
--- a/dockgate/src/gateway/membership.rs
+++ b/dockgate/src/gateway/membership.rs
@@ -15,8 +15,8 @@
 use super::workspace_report::{REPORT_INTERVAL_MS, log_shares};
 use crate::clock::now_ms;
 use dockgate_core::gateway::{
-    BoxChange, BoxHeartbeat, DigestScope, DomainKey, DueReads, EndpointId, FleetDigest, FleetView,
-    ShareHeader, ShareScope, UsageRow,
+    BoxChange, BoxHeartbeat, DigestScope, DomainKey, EndpointId, FleetDigest, FleetView,
+    PrefixReport, ShareHeader, ShareScope, UsageRow,
 };
 use dockgate_core::{BoxKey, Incarnation};
 use dockgate_proto::GatewayMessage;
@@ -242,10 +242,10 @@
                 due.push((owner, placed(*number, run.endpoint, &run.ask, run.started)));
             }
         }
-        (due, reads.take_due(owner_of, is_due))
+        (due, reads.take_reports(owner_of, is_due))
     });
     let reads = reads.into_iter().map(|due| {
-        let DueReads {
+        let PrefixReport {
             owner,
             endpoint,
             parts,
--- a/dockgate/src/gateway/run_guard.rs
+++ b/dockgate/src/gateway/run_guard.rs
@@ -4,7 +4,7 @@
 use super::gateway_state::{GatewayState, PlacedRun};
 use crate::clock::now_ms;
 use dockgate_core::BoxKey;
-use dockgate_core::gateway::{EndpointId, EndpointOutcome, EngineAsk};
+use dockgate_core::gateway::{AdmissionRequest, EndpointId, EndpointOutcome};
 use dockgate_proto::GatewayMessage;
 use std::sync::Arc;
 
@@ -35,7 +35,7 @@
         endpoint: EndpointId,
         number: u32,
         owner: BoxKey,
-        ask: EngineAsk,
+        ask: AdmissionRequest,
     ) -> Self {
         let run = PlacedRun {
             endpoint,
@@ -45,7 +45,7 @@
         };
         state.with(|beliefs| {
             beliefs.endpoints.note_sent(endpoint, now_ms());
-            beliefs.reads.note(endpoint, owner, &run.ask.parts);
+            beliefs.reads.record(endpoint, owner, &run.ask.parts);
             beliefs.runs.insert(number, run);
         });
         Self {
