--- a/dockgate/src/gateway.rs
+++ b/dockgate/src/gateway.rs
@@ -1,20 +1,20 @@
 //! The daemon as a gateway: routes requests by host and path to the endpoints of services.
 //!
 //! One thread serves everything, since a box has a part of one core. [`GatewayState`] holds what
-//! the box believes; the tasks around it do the I/O: callers in `front`, endpoints in `upstream`,
+//! the box believes; the tasks around it do the I/O: callers in `caller_listener`, endpoints in `upstream`,
 //! the platform's store in `follow`, other boxes in `membership`, `peer_net` and
 //! `peer_state`.
 
 mod call;
 mod call_body;
+mod caller_listener;
 mod datagrams;
 mod domain_watch;
 mod end_check;
-mod engine_seek;
+mod engine_placement;
 mod event_stream;
 mod events;
 mod follow;
-mod front;
 mod gateway_gauges;
 mod gateway_metrics;
 mod gateway_runtime;
@@ -48,9 +48,9 @@
 use crate::error::DaemonError;
 use crate::logging::drain_lines;
 use crate::stop::wait_for_signal;
+use caller_listener::CallerListener;
 use dockgate_core::gateway::StateKind;
 use events::{GatewayEvent, log_gateway};
-use front::CallerFront;
 use gateway_state::GatewayState;
 use kept_task::keep_task;
 use std::path::Path;
@@ -109,12 +109,12 @@
         path.to_owned(),
         reloads,
     ));
-    let front = Arc::new(CallerFront::new(state.clone()));
-    let accepting = tokio::spawn(front.clone().accept(callers));
-    tokio::spawn(front.clone().sweep());
+    let listener = Arc::new(CallerListener::new(state.clone()));
+    let accepting = tokio::spawn(listener.clone().accept(callers));
+    tokio::spawn(listener.clone().sweep());
 
     wait_for_signal().await;
-    drain(&state, &front).await;
+    drain(&state, &listener).await;
     accepting.abort();
     Ok(())
 }
@@ -161,19 +161,21 @@
 }
 
 /// Stops in order: not ready at once, goes on answering, and ends when nothing is open any more.
-async fn drain(state: &GatewayState, front: &CallerFront) {
-    log_gateway(&GatewayEvent::Stopping { open: front.open() });
+async fn drain(state: &GatewayState, listener: &CallerListener) {
+    log_gateway(&GatewayEvent::Stopping {
+        open: listener.open(),
+    });
     let grace = state.settings().stop_grace.saturating_sub(END_MARGIN);
     state.begin_stop(grace);
-    front.begin_stop();
+    listener.begin_stop();
     membership::send_beat(state);
     let ended = timeout(grace, async {
-        while front.busy() > 0 || (front.open() > 0 && !front.is_quiet(QUIET_BEFORE_END)) {
+        while listener.busy() > 0 || (listener.open() > 0 && !listener.is_quiet(QUIET_BEFORE_END)) {
             tokio::time::sleep(DRAIN_POLL).await;
         }
     })
     .await;
-    let cut = front.busy();
+    let cut = listener.busy();
     log_gateway(&GatewayEvent::Stopped {
         in_time: ended.is_ok(),
         cut,
--- a/dockgate/src/gateway/call.rs
+++ b/dockgate/src/gateway/call.rs
@@ -1,11 +1,11 @@
 //! One request of a caller, from its head to its answer.
 
-mod admitted;
+mod admitted_call;
+mod attempt_failure;
+mod call_placement;
 mod call_progress;
-mod placing;
-mod quarantined;
-mod send_loss;
-mod sending;
+mod quarantine_check;
+mod send_attempts;
 
 use super::call_body::CallBody;
 use super::events::{AskedEngine, GatewayEvent, log_gateway};
@@ -13,8 +13,8 @@
 use super::gateway_state::GatewayState;
 use super::refusal::{RefusalReason, refusal_response};
 use crate::shared_stream::PeerPresence;
-use admitted::admit;
-pub(super) use admitted::{AdmittedCall, CallTries};
+use admitted_call::admit;
+pub(super) use admitted_call::{AdmittedCall, CallAttempts};
 use http::{Request, Response};
 use hyper::body::Incoming;
 use std::sync::Arc;
@@ -35,7 +35,7 @@
 
 impl CallRefusal {
     /// Refuses a request that may come back after a time.
-    pub(super) const fn come_back(reason: RefusalReason, after: Duration) -> Self {
+    pub(super) const fn with_retry(reason: RefusalReason, after: Duration) -> Self {
         Self {
             reason,
             retry_after: Some(after),
@@ -71,38 +71,38 @@
                 Err(refusal) if refusal.reason == RefusalReason::CallerLeft => {
                     refusal_response(&call.head.id, refusal.reason, None)
                 }
-                Err(refusal) => refuse(&call, &refusal),
+                Err(refusal) => refuse_call(&call, &refusal),
             }
         }
-        Err(turned_away) => {
-            let reason = turned_away.refusal.reason;
+        Err(rejected) => {
+            let reason = rejected.refusal.reason;
             GATEWAY_METRICS.note_outcome("", reason.as_str());
             log_gateway(&GatewayEvent::Refused {
-                request: &turned_away.id,
-                route: &turned_away.route,
-                workspace: &turned_away.workspace,
+                request: &rejected.id,
+                route: &rejected.route,
+                workspace: &rejected.workspace,
                 tokens: None,
                 status: reason.status().as_u16(),
                 reason: reason.as_str(),
                 ran: reason.outcome().as_str(),
                 waited_ms: 0,
-                retry_after_ms: millis(turned_away.refusal.retry_after),
+                retry_after_ms: to_millis(rejected.refusal.retry_after),
                 asked: &[],
                 share: None,
-                config: turned_away.config,
-                config_age_ms: turned_away.config_age_ms,
-                endpoints_age_ms: turned_away.endpoints_age_ms,
+                config: rejected.config,
+                config_age_ms: rejected.config_age_ms,
+                endpoints_age_ms: rejected.endpoints_age_ms,
             });
-            refusal_response(&turned_away.id, reason, turned_away.refusal.retry_after)
+            refusal_response(&rejected.id, reason, rejected.refusal.retry_after)
         }
     }
 }
 
-fn millis(time: Option<Duration>) -> Option<u64> {
+fn to_millis(time: Option<Duration>) -> Option<u64> {
     time.map(|time| time.as_millis() as u64)
 }
 
-fn refuse(call: &AdmittedCall, refusal: &CallRefusal) -> Response<CallBody> {
+fn refuse_call(call: &AdmittedCall, refusal: &CallRefusal) -> Response<CallBody> {
     let reason = refusal.reason;
     call.progress.end();
     GATEWAY_METRICS.note_outcome(&call.service().name, reason.as_str());
@@ -115,7 +115,7 @@
         reason: reason.as_str(),
         ran: reason.outcome().as_str(),
         waited_ms: call.age().as_millis() as u64,
-        retry_after_ms: millis(refusal.retry_after),
+        retry_after_ms: to_millis(refusal.retry_after),
         asked: &refusal.asked,
         share: refusal.share,
         config: call.config_version(),
--- a/dockgate/src/gateway/call/admitted.rs
+++ b/dockgate/src/gateway/call/admitted_call.rs
@@ -7,7 +7,7 @@
 use super::super::waking::until_fresh;
 use super::CallRefusal;
 use super::call_progress::CallProgress;
-use super::quarantined::{keep_from_endpoints, print_of};
+use super::quarantine_check::{check_quarantine, fingerprint_of};
 use crate::clock::{ClockInstant, now_ms, timeout};
 use crate::shared_stream::PeerPresence;
 use bytes::Bytes;
@@ -26,16 +26,16 @@
 
 /// When a box without a configuration, without endpoints or short of processor is worth another
 /// try: by then callers may be sent to another one.
-const COME_BACK_SOON: Duration = Duration::from_millis(400);
+const RETRY_SOON: Duration = Duration::from_millis(400);
 
 /// How long a request waits for a box that was suspended to know the present. A bound, above that of the gate.
-const MOST_UNFRESH: Duration = Duration::from_millis(1_500);
+const MAX_RESUME_WAIT: Duration = Duration::from_millis(1_500);
 
 /// When a request that meets a box about to end should come back: at once, to another box.
-const COME_BACK_ELSEWHERE: Duration = Duration::from_millis(20);
+const RETRY_ELSEWHERE: Duration = Duration::from_millis(20);
 
 /// A request that is turned away before anything is decided.
-pub(super) struct TurnedAway {
+pub(super) struct RejectedRequest {
     /// Its id, as far as it has one.
     pub(super) id: String,
     /// Its route, as far as that was found.
@@ -54,7 +54,7 @@
 
 /// What was tried for a request.
 #[derive(Debug, Clone, Default)]
-pub(in super::super) struct CallTries {
+pub(in super::super) struct CallAttempts {
     /// How many endpoints it was sent to.
     pub(in super::super) sent: u32,
     /// The endpoints that were tried.
@@ -126,7 +126,7 @@
     }
 
     /// Returns how much of its time is left.
-    pub(in super::super) fn left(&self) -> Duration {
+    pub(in super::super) fn time_left(&self) -> Duration {
         self.deadline.left()
     }
 
@@ -136,7 +136,7 @@
     }
 
     /// Returns what an engine is asked to do, where the request has a prompt.
-    pub(in super::super) fn engine_ask(&self) -> Option<EngineAsk> {
+    pub(in super::super) fn admission_request(&self) -> Option<EngineAsk> {
         let prompt = self.head.prompt.as_ref()?;
         let shortest = self.table.tightest_objective(self.service);
         let objective = self.objective_left();
@@ -144,7 +144,7 @@
         let times = AskTimes {
             objective_ms: as_ms(objective),
             shortest_ms: as_ms(shortest.unwrap_or(objective)),
-            budget_ms: as_ms(self.left()),
+            budget_ms: as_ms(self.time_left()),
         };
         let workspace = name_hash(self.workspace_name());
         Some(EngineAsk::new(workspace, prompt, times))
@@ -179,14 +179,14 @@
     state: Arc<GatewayState>,
     request: Request<Incoming>,
     caller: PeerPresence,
-) -> Result<AdmittedCall, TurnedAway> {
+) -> Result<AdmittedCall, RejectedRequest> {
     let arrived = ClockInstant::now();
-    until_fresh(&state, arrived + MOST_UNFRESH).await;
+    until_fresh(&state, arrived + MAX_RESUME_WAIT).await;
     let (parts, body) = request.into_parts();
     let table = state.table();
     let config = table.config().version;
     let (config_age_ms, endpoints_age_ms) = (state.config_age_ms(), state.endpoints_age_ms());
-    let turned_away = |id: &str, refusal: CallRefusal| TurnedAway {
+    let rejected = |id: &str, refusal: CallRefusal| RejectedRequest {
         id: id.to_owned(),
         route: String::new(),
         workspace: String::new(),
@@ -196,12 +196,12 @@
         endpoints_age_ms,
     };
     let head = decode_call(&parts.headers)
-        .map_err(|problem| turned_away("", RefusalReason::BadHead(problem).into()))?;
+        .map_err(|problem| rejected("", RefusalReason::BadHead(problem).into()))?;
     let found = find_route(&state, &table, &head, &parts.uri)
-        .map_err(|refusal| turned_away(&head.id, refusal))?;
+        .map_err(|refusal| rejected(&head.id, refusal))?;
     let body = read_body(body, &parts, &table.config().limits)
         .await
-        .map_err(|reason| turned_away(&head.id, reason.into()))?;
+        .map_err(|reason| rejected(&head.id, reason.into()))?;
     let FoundRoute {
         route,
         service,
@@ -211,25 +211,25 @@
     let route_spec = table.route(route);
     let objective_ms = route_spec.objective.as_millis() as u64;
     let name = workspace_name(&table, workspace);
-    let found_away = |refusal: CallRefusal| TurnedAway {
+    let rejected_on_route = |refusal: CallRefusal| RejectedRequest {
         route: route_spec.name.clone(),
         workspace: name.to_owned(),
-        ..turned_away(&head.id, refusal)
+        ..rejected(&head.id, refusal)
     };
     let uri = path_and_query(&parts.uri);
-    let print = || print_of(name, &parts.method, &head.host, &uri, &body);
-    keep_from_endpoints(&state, print)
+    let fingerprint = || fingerprint_of(name, &parts.method, &head.host, &uri, &body);
+    check_quarantine(&state, fingerprint)
         .await
-        .map_err(found_away)?;
+        .map_err(rejected_on_route)?;
     if state.with(|beliefs| beliefs.lag.is_too_late_for(objective_ms)) {
-        let refusal = CallRefusal::come_back(RefusalReason::Overloaded, COME_BACK_SOON);
-        return Err(found_away(refusal));
+        let refusal = CallRefusal::with_retry(RefusalReason::Overloaded, RETRY_SOON);
+        return Err(rejected_on_route(refusal));
     }
     let engine = table.service(service).engine;
     let prompt = head.prompt.as_ref().filter(|_| engine.is_some());
     let units = prompt.map_or(0, PromptShape::units);
     state.with(|beliefs| beliefs.tally.record_request(name_hash(name), name, units));
-    shed(&state, name_hash(name), units).map_err(found_away)?;
+    shed(&state, name_hash(name), units).map_err(rejected_on_route)?;
     let timeout = route_spec.timeout;
     let budget = head.budget.unwrap_or(timeout).min(timeout);
     state.with(|beliefs| {
@@ -278,7 +278,7 @@
             false => RefusalReason::Overloaded,
         };
         let after = shed.retry_after(rand::random());
-        Err(CallRefusal::come_back(reason, after))
+        Err(CallRefusal::with_retry(reason, after))
     })
 }
 
@@ -305,7 +305,7 @@
     head: &CallHead,
     uri: &Uri,
 ) -> Result<FoundRoute, CallRefusal> {
-    let soon = |reason| CallRefusal::come_back(reason, COME_BACK_SOON);
+    let soon = |reason| CallRefusal::with_retry(reason, RETRY_SOON);
     if table.config().version == 0 {
         return Err(soon(RefusalReason::NoConfiguration));
     }
@@ -322,10 +322,10 @@
         .service_for(&head.id)
         .and_then(|name| table.find_service(name));
     let service = service.ok_or_else(|| soon(RefusalReason::NoEndpoint))?;
-    if !state.can_finish(longest_time(route, head)) {
-        return Err(CallRefusal::come_back(
+    if !state.can_finish(max_duration(route, head)) {
+        return Err(CallRefusal::with_retry(
             RefusalReason::Stopping,
-            COME_BACK_ELSEWHERE,
+            RETRY_ELSEWHERE,
         ));
     }
     Ok(FoundRoute {
@@ -339,13 +339,13 @@
 ///
 /// One without a prompt may take all of its time: an endpoint that does not answer is waited for as long.
 /// A prompt's time is longer than any stop, so that it is taken at its objective and its events.
-fn longest_time(route: &RouteSpec, head: &CallHead) -> Duration {
+fn max_duration(route: &RouteSpec, head: &CallHead) -> Duration {
     let budget = head.budget.unwrap_or(route.timeout).min(route.timeout);
     let Some(prompt) = &head.prompt else {
         return budget;
     };
-    let made = Duration::from_millis(PromptShape::most_output_ms(prompt));
-    (route.objective + made).min(budget)
+    let generation = Duration::from_millis(PromptShape::most_output_ms(prompt));
+    (route.objective + generation).min(budget)
 }
 
 async fn read_body(
@@ -353,15 +353,15 @@
     parts: &Parts,
     limits: &GatewayLimits,
 ) -> Result<Bytes, RefusalReason> {
-    let most = limits.body_bytes;
+    let limit = limits.body_bytes;
     let declared = body.size_hint().lower();
-    if declared > most as u64 {
+    if declared > limit as u64 {
         return Err(RefusalReason::BodyTooLarge);
     }
     if body.is_end_stream() || parts.method == Method::HEAD {
         return Ok(Bytes::new());
     }
-    let read = Limited::new(body, most).collect();
+    let read = Limited::new(body, limit).collect();
     let read = timeout(limits.idle_timeout, read).await;
     match read {
         Ok(Ok(body)) => Ok(body.to_bytes()),
--- a/dockgate/src/gateway/call/placing.rs
+++ b/dockgate/src/gateway/call/call_placement.rs
@@ -1,11 +1,11 @@
 //! Where a request goes next: an endpoint of a plain service, or an engine for a prompt.
 
-use super::super::engine_seek::{EngineWish, NoPlace, find_engine};
+use super::super::engine_placement::{EngineQuery, EngineRefusal, find_engine};
 use super::super::refusal::RefusalReason;
 use super::super::run_guard::RunGuard;
 use super::super::upstream::{ConnectionLimits, EndpointTarget};
 use super::super::waking::until_fresh;
-use super::{AdmittedCall, CallRefusal, CallTries};
+use super::{AdmittedCall, CallAttempts, CallRefusal};
 use crate::clock::now_ms;
 use dockgate_core::gateway::{
     EndpointEntry, EngineAsk, PromptShape, RetryCause, ServiceAvailability, ShareLevel,
@@ -15,11 +15,11 @@
 
 /// What an endpoint of another failure domain counts more than one of the own, in parts of its
 /// slots: a local one that is a third full is as good as an idle one elsewhere.
-const FAR_HANDICAP: f64 = 0.35;
+const REMOTE_DOMAIN_PENALTY: f64 = 0.35;
 /// What an endpoint that fails often counts more, in parts of its slots.
-const DOUBT_HANDICAP: f64 = 3.0;
+const UNRELIABLE_PENALTY: f64 = 3.0;
 /// When a request that found no endpoint is worth another try.
-const COME_BACK: Duration = Duration::from_millis(300);
+const RETRY_UNKNOWN_SERVICE: Duration = Duration::from_millis(300);
 
 /// A prompt that says nothing of itself.
 static EMPTY_PROMPT: PromptShape = PromptShape {
@@ -31,7 +31,7 @@
 };
 
 /// Where a request goes next.
-pub(super) struct CallPlace {
+pub(super) struct CallPlacement {
     pub(super) target: EndpointTarget,
     pub(super) guard: RunGuard,
     pub(super) expected_ms: Option<u32>,
@@ -44,41 +44,44 @@
     /// # Errors
     ///
     /// Returns what to tell the caller where there is none.
-    pub(super) async fn find_place(
+    pub(super) async fn find_placement(
         &self,
-        tries: &CallTries,
+        attempts: &CallAttempts,
         resumed: bool,
-    ) -> Result<CallPlace, CallRefusal> {
+    ) -> Result<CallPlacement, CallRefusal> {
         until_fresh(&self.state, self.deadline()).await;
-        match (self.service().engine, self.engine_ask()) {
-            (Some(_), Some(ask)) => {
+        match (self.service().engine, self.admission_request()) {
+            (Some(_), Some(request)) => {
                 let prompt = self.head.prompt.as_ref().unwrap_or(&EMPTY_PROMPT);
                 let units = prompt.units();
-                let wish = EngineWish {
+                let query = EngineQuery {
                     service: self.service(),
                     prompt,
                     own_subject: name_hash(&self.head.id),
-                    tried: &tries.endpoints,
+                    tried: &attempts.endpoints,
                     resumed,
-                    level: self.share_level(ask.workspace, units),
+                    level: self.share_level(request.workspace, units),
                 };
-                let ask = ask.level(wish.level);
-                let found = find_engine(&self.state, wish, &ask).await;
-                let found = found.map_err(|none| self.refuse_prompt(none, &ask, units))?;
+                let request = request.level(query.level);
+                let found = find_engine(&self.state, query, &request).await;
+                let found =
+                    found.map_err(|refusal| self.refuse_prompt(refusal, &request, units))?;
                 self.state.with(|beliefs| {
                     let shares = &mut beliefs.shares;
-                    shares.record_admission(ask.workspace, units, ask.level, now_ms());
+                    shares.record_admission(request.workspace, units, request.level, now_ms());
                     let outcome = ShareOutcome::Admitted;
-                    beliefs.tally.record_outcome(ask.workspace, outcome, units);
+                    beliefs
+                        .tally
+                        .record_outcome(request.workspace, outcome, units);
                 });
-                Ok(CallPlace {
+                Ok(CallPlacement {
                     target: found.target,
                     guard: found.guard,
                     expected_ms: Some(found.expected_ms),
                     decided_by: found.decided_by,
                 })
             }
-            _ => self.find_plain(tries),
+            _ => self.place_plain(attempts),
         }
     }
 
@@ -87,14 +90,19 @@
             .with(|beliefs| beliefs.shares.level(workspace, units, now_ms()))
     }
 
-    fn refuse_prompt(&self, none: NoPlace, ask: &EngineAsk, units: u64) -> CallRefusal {
-        let Some(first_ms) = none.first_event_ms() else {
-            return self.refuse_unserved();
+    fn refuse_prompt(
+        &self,
+        refusal: EngineRefusal,
+        request: &EngineAsk,
+        units: u64,
+    ) -> CallRefusal {
+        let Some(first_ms) = refusal.first_event_ms() else {
+            return self.refuse_unavailable();
         };
         let EngineAsk {
             workspace, level, ..
-        } = *ask;
-        let cause = match none.asked.is_empty() {
+        } = *request;
+        let cause = match refusal.asked.is_empty() {
             true => RetryCause::Share,
             false => RetryCause::Backlog(Duration::from_millis(u64::from(first_ms))),
         };
@@ -106,77 +114,77 @@
             .with(|beliefs| beliefs.tally.record_outcome(workspace, outcome, units));
         CallRefusal {
             reason,
-            retry_after: Some(retry_delay(cause, self.left(), rand::random())),
-            asked: none.asked,
+            retry_after: Some(retry_delay(cause, self.time_left(), rand::random())),
+            asked: refusal.asked,
             share: Some(level.share_ratio()),
         }
     }
 
     /// Refuses a request for which no endpoint takes work.
-    fn refuse_unserved(&self) -> CallRefusal {
-        let outlook = self.outlook();
-        let reason = match outlook {
+    fn refuse_unavailable(&self) -> CallRefusal {
+        let availability = self.availability();
+        let reason = match availability {
             ServiceAvailability::BackingOff(_) => RefusalReason::EndpointsRest,
             ServiceAvailability::Unknown | ServiceAvailability::Leaving => {
                 RefusalReason::NoEndpoint
             }
         };
-        CallRefusal::come_back(reason, self.return_time(outlook))
+        CallRefusal::with_retry(reason, self.retry_time(availability))
     }
 
     /// Tells when an endpoint of the service may take work, where none does now.
-    pub(super) fn outlook(&self) -> ServiceAvailability {
+    pub(super) fn availability(&self) -> ServiceAvailability {
         let service = &self.service().name;
         self.state
             .with(|beliefs| beliefs.endpoints.availability(service, now_ms()))
     }
 
     /// Returns when a request that found no endpoint should come back.
-    pub(super) fn return_time(&self, outlook: ServiceAvailability) -> Duration {
-        let cause = match outlook {
-            ServiceAvailability::Unknown => return COME_BACK,
+    pub(super) fn retry_time(&self, availability: ServiceAvailability) -> Duration {
+        let cause = match availability {
+            ServiceAvailability::Unknown => return RETRY_UNKNOWN_SERVICE,
             ServiceAvailability::Leaving => RetryCause::Replacement,
             ServiceAvailability::BackingOff(first) => RetryCause::Backoff(first),
         };
-        retry_delay(cause, self.left(), rand::random())
+        retry_delay(cause, self.time_left(), rand::random())
     }
 
     /// Picks the endpoint of a plain service with the smallest part of its slots taken.
-    fn find_plain(&self, tries: &CallTries) -> Result<CallPlace, CallRefusal> {
+    fn place_plain(&self, attempts: &CallAttempts) -> Result<CallPlacement, CallRefusal> {
         let now = now_ms();
         let own_domain = &self.state.settings().domain;
         let load = |entry: &EndpointEntry| {
-            let held = f64::from(entry.in_flight) / f64::from(entry.record.slots.max(1));
-            let far = if entry.record.domain == *own_domain {
+            let used = f64::from(entry.in_flight) / f64::from(entry.record.slots.max(1));
+            let remote_penalty = if entry.record.domain == *own_domain {
                 0.0
             } else {
-                FAR_HANDICAP
+                REMOTE_DOMAIN_PENALTY
             };
-            let doubt = if entry.health.is_unreliable(now) {
-                DOUBT_HANDICAP
+            let unreliable_penalty = if entry.health.is_unreliable(now) {
+                UNRELIABLE_PENALTY
             } else {
                 0.0
             };
-            held + far + doubt
+            used + remote_penalty + unreliable_penalty
         };
         let name = &self.service().name;
         let target = self.state.with(|beliefs| {
-            let fresh = |id| !tries.endpoints.contains(&id);
-            let open = beliefs
+            let untried = |id| !attempts.endpoints.contains(&id);
+            let eligible = beliefs
                 .endpoints
                 .eligible(name, now)
-                .filter(|(id, _)| fresh(*id));
-            let best = open.min_by(|(_, a), (_, b)| load(a).total_cmp(&load(b)));
+                .filter(|(id, _)| untried(*id));
+            let best = eligible.min_by(|(_, a), (_, b)| load(a).total_cmp(&load(b)));
             let notices = beliefs.endpoints.notices();
             // Where all rest after failures, one of them is still better than none; not so where they ask for it.
-            let resting = || {
+            let backing_off = || {
                 let ready = beliefs
                     .endpoints
                     .ready_entries(name)
-                    .filter(|(id, _)| fresh(*id) && notices.may_send(*id, now));
+                    .filter(|(id, _)| untried(*id) && notices.may_send(*id, now));
                 ready.min_by(|(_, a), (_, b)| load(a).total_cmp(&load(b)))
             };
-            let (id, entry) = best.or_else(resting)?;
+            let (id, entry) = best.or_else(backing_off)?;
             let boxes = beliefs.fleet.live_count(now);
             Some(EndpointTarget {
                 id,
@@ -189,9 +197,9 @@
                 ),
             })
         });
-        let target = target.ok_or_else(|| self.refuse_unserved())?;
+        let target = target.ok_or_else(|| self.refuse_unavailable())?;
         let guard = RunGuard::plain(&self.state, target.id);
-        Ok(CallPlace {
+        Ok(CallPlacement {
             target,
             guard,
             expected_ms: None,
--- a/dockgate/src/gateway/call/quarantined.rs
+++ b/dockgate/src/gateway/call/quarantine_check.rs
@@ -12,14 +12,14 @@
     /// Returns what it has in common with all its sends, also those of other ids.
     ///
     /// It is worked out when it is asked for: most requests never need it.
-    pub(in super::super) fn print(&self) -> RequestFingerprint {
+    pub(in super::super) fn fingerprint(&self) -> RequestFingerprint {
         let (workspace, host) = (self.workspace_name(), &self.head.host);
-        print_of(workspace, &self.method, host, &self.uri, &self.body)
+        fingerprint_of(workspace, &self.method, host, &self.uri, &self.body)
     }
 }
 
 /// Returns what a request has in common with all its sends, also those of other ids.
-pub(super) fn print_of(
+pub(super) fn fingerprint_of(
     workspace: &str,
     method: &Method,
     host: &str,
@@ -41,17 +41,17 @@
 /// # Errors
 ///
 /// Returns the refusal.
-pub(super) async fn keep_from_endpoints(
+pub(super) async fn check_quarantine(
     state: &GatewayState,
-    print: impl FnOnce() -> RequestFingerprint,
+    fingerprint: impl FnOnce() -> RequestFingerprint,
 ) -> Result<(), CallRefusal> {
-    let Some((print, quarantine)) = quarantine::find(state, print) else {
+    let Some((fingerprint, quarantine)) = quarantine::find(state, fingerprint) else {
         return Ok(());
     };
     let now = now_ms();
-    if quarantine.is_trial_due(now) && quarantine_store::take_trial(state, print).await {
+    if quarantine.is_trial_due(now) && quarantine_store::take_trial(state, fingerprint).await {
         return Ok(());
     }
     let after = quarantine.retry_after(now);
-    Err(CallRefusal::come_back(RefusalReason::EndsEndpoints, after))
+    Err(CallRefusal::with_retry(RefusalReason::EndsEndpoints, after))
 }
--- a/dockgate/src/gateway/call/sending.rs
+++ b/dockgate/src/gateway/call/send_attempts.rs
@@ -5,13 +5,13 @@
 use super::super::event_stream::{EventStream, StreamSource};
 use super::super::events::{GatewayEvent, is_sampled, log_gateway};
 use super::super::gateway_metrics::GATEWAY_METRICS;
-use super::super::notices::{hear, send_condition, tell_owner};
+use super::super::notices::{receive_notice, report_leaving, send_condition};
 use super::super::quarantine;
 use super::super::refusal::RefusalReason;
-use super::super::upstream::{EndpointTarget, SendFailure, UsedConnection, send};
-use super::placing::CallPlace;
-use super::send_loss::{LifeSign, SendLoss};
-use super::{AdmittedCall, CallRefusal, CallTries};
+use super::super::upstream::{EndpointTarget, PooledConnection, SendFailure, send};
+use super::attempt_failure::{AttemptFailure, EndpointSuspicion};
+use super::call_placement::CallPlacement;
+use super::{AdmittedCall, CallAttempts, CallRefusal};
 use crate::clock::{ClockInstant, now_ms, timeout_at};
 use crate::metrics::METRICS;
 use bytes::Bytes;
@@ -25,11 +25,11 @@
 use std::time::Duration;
 
 /// How many endpoints may be tried that could not be reached, on top of those it was sent to.
-const MOST_UNREACHED: usize = 4;
+const MAX_UNREACHED: usize = 4;
 /// How many times its objective a repeatable request waits for an answer to begin, beside what was
 /// expected, before it is tried elsewhere: an endpoint that is silent for so long is lost, overloaded,
 /// or behind a connection that says nothing any more. A bound.
-const ANSWER_PATIENCE: f64 = 1.4;
+const ANSWER_TIMEOUT_FACTOR: f64 = 1.4;
 
 impl AdmittedCall {
     /// Serves the request.
@@ -38,54 +38,54 @@
     ///
     /// Returns what to tell the caller where no endpoint's answer can be passed on.
     pub(super) async fn run(self: Arc<Self>) -> Result<Response<CallBody>, CallRefusal> {
-        let mut tries = CallTries::default();
+        let mut attempts = CallAttempts::default();
         loop {
-            let place =
-                self.find_place(&tries, false)
-                    .await
-                    .map_err(|refusal| match tries.sent {
-                        0 => refusal,
-                        _ => self.report(&tries, AttemptState::Queued, false),
-                    })?;
-            tries.endpoints.push(place.target.id);
-            let mut loss = match self.clone().send_once(place, &mut tries).await {
+            let placement = self
+                .find_placement(&attempts, false)
+                .await
+                .map_err(|refusal| match attempts.sent {
+                    0 => refusal,
+                    _ => self.report(&attempts, AttemptState::Queued, false),
+                })?;
+            attempts.endpoints.push(placement.target.id);
+            let mut failure = match self.clone().send_once(placement, &mut attempts).await {
                 Ok(response) => return Ok(response),
-                Err(loss) => loss,
+                Err(failure) => failure,
             };
-            tries.trail.note(loss.state);
+            attempts.trail.note(failure.state);
             if self.caller.has_left() {
                 return Err(RefusalReason::CallerLeft.into());
             }
-            let verdict = self.after_loss(&tries, loss.state);
+            let verdict = self.after_failure(&attempts, failure.state);
             if verdict == RetryVerdict::Retry {
                 continue;
             }
-            return match loss.answer.take() {
+            return match failure.answer.take() {
                 Some(answer) => {
                     self.progress.end();
                     Ok(*answer)
                 }
-                None => Err(self.report(&tries, loss.state, loss.timed_out)),
+                None => Err(self.report(&attempts, failure.state, failure.timed_out)),
             };
         }
     }
 
     /// Decides whether the request is sent to another endpoint after a loss.
-    pub(in super::super) fn after_loss(
+    pub(in super::super) fn after_failure(
         &self,
-        tries: &CallTries,
+        attempts: &CallAttempts,
         state: AttemptState,
     ) -> RetryVerdict {
         let repeatable = self.route().may_repeat();
         if state == AttemptState::Bound {
             // Nothing was sent, so this costs no one anything but time.
-            let unreached = tries.endpoints.len() - tries.sent as usize;
-            let left = unreached < MOST_UNREACHED && !self.left().is_zero();
+            let unreached = attempts.endpoints.len() - attempts.sent as usize;
+            let left = unreached < MAX_UNREACHED && !self.time_left().is_zero();
             return state.after_loss(repeatable, left);
         }
-        let allowed = tries.sent < self.route().attempts
-            && !self.left().is_zero()
-            && quarantine::find(&self.state, || self.print()).is_none();
+        let allowed = attempts.sent < self.route().attempts
+            && !self.time_left().is_zero()
+            && quarantine::find(&self.state, || self.fingerprint()).is_none();
         // The fleet's budget is asked last, so that it is not spent in vain.
         let wanted = state.after_loss(repeatable, allowed) == RetryVerdict::Retry;
         let service = &self.service().name;
@@ -100,8 +100,8 @@
     }
 
     /// Returns what is said of a request whose last attempt ended in `state`.
-    fn report(&self, tries: &CallTries, state: AttemptState, timed_out: bool) -> CallRefusal {
-        let outcome = tries.trail.outcome(state, self.route().may_repeat());
+    fn report(&self, attempts: &CallAttempts, state: AttemptState, timed_out: bool) -> CallRefusal {
+        let outcome = attempts.trail.outcome(state, self.route().may_repeat());
         let reason = match (outcome, state) {
             (Outcome::NotRun, AttemptState::Refused | AttemptState::Queued) => {
                 RefusalReason::EndpointsFull
@@ -111,8 +111,8 @@
             _ if timed_out => RefusalReason::TimedOut,
             _ => RefusalReason::Lost,
         };
-        let is_unrun = outcome == Outcome::NotRun;
-        let retry_after = is_unrun.then(|| self.return_time(self.outlook()));
+        let not_run = outcome == Outcome::NotRun;
+        let retry_after = not_run.then(|| self.retry_time(self.availability()));
         CallRefusal {
             retry_after,
             ..reason.into()
@@ -121,14 +121,14 @@
 
     /// Returns how long the next send waits for an answer to begin: what may not be tried elsewhere
     /// after it waits for all of its time.
-    fn patience(&self, expected_ms: Option<u32>, tries: &CallTries) -> Duration {
-        let is_last = tries.sent + 1 >= self.route().attempts;
+    fn answer_timeout(&self, expected_ms: Option<u32>, attempts: &CallAttempts) -> Duration {
+        let is_last = attempts.sent + 1 >= self.route().attempts;
         if is_last || !self.route().may_repeat() {
-            return self.left();
+            return self.time_left();
         }
         let expected = Duration::from_millis(u64::from(expected_ms.unwrap_or(0)));
-        let patience = self.route().objective.mul_f64(ANSWER_PATIENCE) + expected;
-        patience.min(self.left())
+        let timeout = self.route().objective.mul_f64(ANSWER_TIMEOUT_FACTOR) + expected;
+        timeout.min(self.time_left())
     }
 
     /// Makes the request for an endpoint.
@@ -140,7 +140,7 @@
         let workspace = Some(self.workspace_name()).filter(|name| !name.is_empty());
         let head = SendHead {
             endpoint: &target.name,
-            budget: self.left(),
+            budget: self.time_left(),
             workspace,
             last_event: last_event.or(self.head.last_event),
         };
@@ -154,33 +154,34 @@
     /// Sends the request to one endpoint, and takes its answer in.
     async fn send_once(
         self: Arc<Self>,
-        place: CallPlace,
-        tries: &mut CallTries,
-    ) -> Result<Response<CallBody>, SendLoss> {
-        let target = place.target.clone();
-        let attempt = tries.sent + 1;
+        placement: CallPlacement,
+        attempts: &mut CallAttempts,
+    ) -> Result<Response<CallBody>, AttemptFailure> {
+        let target = placement.target.clone();
+        let attempt = attempts.sent + 1;
         let decided = GATEWAY_METRICS
             .decision
             .with_label_values(&[&self.service().name]);
         decided.observe(self.age().as_secs_f64());
-        let expected_ms = place.expected_ms;
+        let expected_ms = placement.expected_ms;
         if self.is_sampled() || attempt > 1 {
-            self.log_sent(&place, attempt);
+            self.log_sent(&placement, attempt);
         }
         let result = match self.route().form {
-            AnswerForm::Stream { .. } => self.clone().send_stream(place, tries).await,
-            AnswerForm::Whole => self.send_whole(place, tries).await,
+            AnswerForm::Stream { .. } => self.clone().send_stream(placement, attempts).await,
+            AnswerForm::Whole => self.send_whole(placement, attempts).await,
         };
-        result.inspect_err(|loss| {
-            self.note_loss(&target, loss);
-            let ran = loss.state.outcome(self.route().may_repeat());
+        result.inspect_err(|failure| {
+            self.note_failure(&target, failure);
+            let ran = failure.state.outcome(self.route().may_repeat());
             log_gateway(&GatewayEvent::SendFailed {
                 request: &self.head.id,
-                print: (loss.life == LifeSign::BrokeOff).then(|| self.print().to_string()),
+                print: (failure.suspicion == EndpointSuspicion::MayHaveEnded)
+                    .then(|| self.fingerprint().to_string()),
                 endpoint: &target.name,
                 attempt,
                 ran: ran.as_str(),
-                problem: &loss.problem,
+                problem: &failure.problem,
                 expected_ms,
                 took_ms: self.age().as_millis() as u64,
             });
@@ -188,11 +189,11 @@
     }
 
     /// Takes from a loss what it says of the life of the endpoint.
-    fn note_loss(&self, target: &EndpointTarget, loss: &SendLoss) {
-        match loss.life {
-            LifeSign::BrokeOff => note_break(&self.state, target, self.print()),
-            LifeSign::Gone => note_gone(&self.state, target),
-            LifeSign::None => {}
+    fn note_failure(&self, target: &EndpointTarget, failure: &AttemptFailure) {
+        match failure.suspicion {
+            EndpointSuspicion::MayHaveEnded => note_break(&self.state, target, self.fingerprint()),
+            EndpointSuspicion::Gone => note_gone(&self.state, target),
+            EndpointSuspicion::None => {}
         }
     }
 
@@ -201,7 +202,7 @@
         is_sampled(&self.head.id)
     }
 
-    fn log_sent(&self, place: &CallPlace, attempt: u32) {
+    fn log_sent(&self, placement: &CallPlacement, attempt: u32) {
         let revision = self
             .state
             .with(|beliefs| beliefs.endpoints.revision().number);
@@ -210,10 +211,10 @@
             route: &self.route().name,
             workspace: self.workspace_name(),
             tokens: self.prompt_tokens(),
-            endpoint: &place.target.name,
+            endpoint: &placement.target.name,
             attempt,
-            expected_ms: place.expected_ms,
-            decided_by: &place.decided_by,
+            expected_ms: placement.expected_ms,
+            decided_by: &placement.decided_by,
             config: self.config_version(),
             config_age_ms: self.state.config_age_ms(),
             revision,
@@ -224,64 +225,67 @@
     /// Sends a request; what comes back is judged by its head.
     async fn exchange(
         &self,
-        place: &CallPlace,
-        tries: &mut CallTries,
+        placement: &CallPlacement,
+        attempts: &mut CallAttempts,
         last_event: Option<u64>,
-    ) -> Result<JudgedAnswer, SendLoss> {
-        let request = self.request_for(&place.target, last_event);
+    ) -> Result<JudgedAnswer, AttemptFailure> {
+        let request = self.request_for(&placement.target, last_event);
         self.progress.note_send();
-        let condition = send_condition(&self.state, &place.target, &self.caller);
-        let sent = send(&self.state.pools, &place.target, request, &condition);
+        let condition = send_condition(&self.state, &placement.target, &self.caller);
+        let sent = send(&self.state.pools, &placement.target, request, &condition);
         // The attempt counts from here on, so that the patience is that of this send.
-        let begins_until = ClockInstant::now() + self.patience(place.expected_ms, tries);
+        let begins_until =
+            ClockInstant::now() + self.answer_timeout(placement.expected_ms, attempts);
         let sent = timeout_at(begins_until, sent).await;
         let sent = sent.map_err(|_| {
-            tries.sent += 1;
-            SendLoss::broken("timed out", self.left().is_zero())
+            attempts.sent += 1;
+            AttemptFailure::broken_off("timed out", self.time_left().is_zero())
         })?;
         let (response, connection) = sent.map_err(|failure| match failure {
-            SendFailure::Refused(problem) => SendLoss::gone(AttemptState::Bound, problem),
+            SendFailure::Refused(problem) => AttemptFailure::gone(AttemptState::Bound, problem),
             SendFailure::Unreachable(problem) => {
-                SendLoss::new(AttemptState::Bound, EndpointOutcome::Unreachable, problem)
+                AttemptFailure::new(AttemptState::Bound, EndpointOutcome::Unreachable, problem)
             }
-            SendFailure::Silent(problem) => {
-                SendLoss::new(AttemptState::Bound, EndpointOutcome::Silent, problem)
+            SendFailure::ConnectTimeout(problem) => {
+                AttemptFailure::new(AttemptState::Bound, EndpointOutcome::Silent, problem)
             }
-            SendFailure::NoConnection => SendLoss::new(
+            SendFailure::NoConnection => AttemptFailure::new(
                 AttemptState::Bound,
                 EndpointOutcome::Full,
                 "no connection is free",
             ),
-            SendFailure::Withheld(reason) => SendLoss::unsaid(
+            SendFailure::Withheld(reason) => AttemptFailure::without_outcome(
                 AttemptState::Bound,
                 format!("withheld: {}", reason.as_str()),
             ),
             SendFailure::Lost(problem) => {
-                tries.sent += 1;
-                SendLoss::broken(problem, false)
+                attempts.sent += 1;
+                AttemptFailure::broken_off(problem, false)
             }
         })?;
-        tries.sent += 1;
+        attempts.sent += 1;
         let head = decode_answer(response.status(), response.headers(), &self.head.id);
         let notice = head.notice.trusted(&head.signs);
-        hear(&self.state, &place.target, &self.head.id, notice);
+        receive_notice(&self.state, &placement.target, &self.head.id, notice);
         if notice.is_leaving && self.service().engine.is_some() {
-            tell_owner(&self.state, &place.target);
+            report_leaving(&self.state, &placement.target);
         }
         let verdict = head.signs.judge();
         match verdict {
             AnswerVerdict::NotRun => {
                 let problem = format!("not run: {}", response.status());
                 let is_other = response.status() == StatusCode::MISDIRECTED_REQUEST;
-                settle(response.into_body(), connection, &head).await;
+                drain_body(response.into_body(), connection, &head).await;
                 Err(match is_other {
-                    true => SendLoss::gone(AttemptState::Refused, problem),
-                    false => SendLoss::new(AttemptState::Refused, EndpointOutcome::Full, problem),
+                    true => AttemptFailure::gone(AttemptState::Refused, problem),
+                    false => {
+                        AttemptFailure::new(AttemptState::Refused, EndpointOutcome::Full, problem)
+                    }
                 })
             }
             AnswerVerdict::Unusable => {
                 let problem = format!("unusable answer: {:?}", head.signs);
-                Err(SendLoss::new(
+                Err(AttemptFailure::new(
                     AttemptState::Sent,
                     EndpointOutcome::Failed,
                     problem,
@@ -303,21 +307,21 @@
 
     async fn send_whole(
         &self,
-        place: CallPlace,
-        tries: &mut CallTries,
-    ) -> Result<Response<CallBody>, SendLoss> {
-        let answer = self.exchange(&place, tries, None).await;
-        let answer = answer.inspect_err(|loss| place.guard.note_loss(loss.sign))?;
-        self.take_whole(place, answer, tries).await
+        placement: CallPlacement,
+        attempts: &mut CallAttempts,
+    ) -> Result<Response<CallBody>, AttemptFailure> {
+        let answer = self.exchange(&placement, attempts, None).await;
+        let answer = answer.inspect_err(|failure| placement.guard.note_failure(failure.outcome))?;
+        self.take_whole(placement, answer, attempts).await
     }
 
     /// Reads a whole answer before any of it is passed on.
     async fn take_whole(
         &self,
-        place: CallPlace,
+        placement: CallPlacement,
         answer: JudgedAnswer,
-        tries: &CallTries,
-    ) -> Result<Response<CallBody>, SendLoss> {
+        attempts: &CallAttempts,
+    ) -> Result<Response<CallBody>, AttemptFailure> {
         let JudgedAnswer {
             parts,
             body,
@@ -327,28 +331,35 @@
             ..
         } = answer;
         let read = timeout_at(self.deadline(), body.collect()).await;
-        let read = read.map_err(|_| SendLoss::broken("timed out in the answer", true));
-        let read =
-            read.and_then(|read| read.map_err(|error| SendLoss::broken(error.to_string(), false)));
+        let read = read.map_err(|_| AttemptFailure::broken_off("timed out in the answer", true));
+        let read = read.and_then(|read| {
+            read.map_err(|error| AttemptFailure::broken_off(error.to_string(), false))
+        });
         let bytes = read
-            .inspect_err(|_| place.guard.note(EndpointOutcome::Failed))?
+            .inspect_err(|_| placement.guard.note(EndpointOutcome::Failed))?
             .to_bytes();
         if !head.closes {
             connection.keep(head.idle);
         }
-        let response = pass_on(parts.status, &parts.headers, whole_body(bytes));
+        let response = forward_answer(parts.status, &parts.headers, whole_body(bytes));
         if verdict == AnswerVerdict::Failed {
             // The endpoint lives: one failed request in seven is usual for some routes.
-            place.guard.note(EndpointOutcome::Answered);
+            placement.guard.note(EndpointOutcome::Answered);
             let problem = format!("status {}", parts.status);
-            let loss = SendLoss::new(AttemptState::Sent, EndpointOutcome::Failed, problem);
-            return Err(SendLoss {
+            let failure = AttemptFailure::new(AttemptState::Sent, EndpointOutcome::Failed, problem);
+            return Err(AttemptFailure {
                 answer: Some(Box::new(response)),
-                ..loss
+                ..failure
             });
         }
-        place.guard.note(EndpointOutcome::Answered);
-        self.log_answered(&place.target.name, parts.status, self.age(), 0, tries);
+        placement.guard.note(EndpointOutcome::Answered);
+        self.log_answered(
+            &placement.target.name,
+            parts.status,
+            self.age(),
+            0,
+            attempts,
+        );
         Ok(response)
     }
 
@@ -359,16 +370,16 @@
         status: StatusCode,
         first: Duration,
         events: u64,
-        tries: &CallTries,
+        attempts: &CallAttempts,
     ) {
         self.progress.end();
         GATEWAY_METRICS.note_outcome(&self.service().name, "answered");
         GATEWAY_METRICS.note_first_event(&self.service().name, first);
         if status.is_success() {
-            quarantine::note_completed(&self.state, || self.print());
+            quarantine::note_completed(&self.state, || self.fingerprint());
         }
         let late = first > self.route().objective;
-        if self.is_sampled() || late || tries.sent > 1 {
+        if self.is_sampled() || late || attempts.sent > 1 {
             log_gateway(&GatewayEvent::Answered {
                 request: &self.head.id,
                 route: &self.route().name,
@@ -377,20 +388,20 @@
                 first_ms: first.as_millis() as u64,
                 took_ms: self.age().as_millis() as u64,
                 events,
-                attempts: tries.sent,
+                attempts: attempts.sent,
             });
         }
     }
 
     async fn send_stream(
         self: Arc<Self>,
-        place: CallPlace,
-        tries: &mut CallTries,
-    ) -> Result<Response<CallBody>, SendLoss> {
-        let answer = self.exchange(&place, tries, None).await;
-        let answer = answer.inspect_err(|loss| place.guard.note_loss(loss.sign))?;
+        placement: CallPlacement,
+        attempts: &mut CallAttempts,
+    ) -> Result<Response<CallBody>, AttemptFailure> {
+        let answer = self.exchange(&placement, attempts, None).await;
+        let answer = answer.inspect_err(|failure| placement.guard.note_failure(failure.outcome))?;
         if !answer.parts.status.is_success() {
-            return self.take_whole(place, answer, tries).await;
+            return self.take_whole(placement, answer, attempts).await;
         }
         let JudgedAnswer {
             parts,
@@ -400,21 +411,28 @@
             begins_until,
             ..
         } = answer;
-        place.guard.note(EndpointOutcome::Answered);
+        placement.guard.note(EndpointOutcome::Answered);
         let source = StreamSource {
-            target: place.target,
+            target: placement.target,
             body,
             connection,
             head,
-            guard: place.guard,
+            guard: placement.guard,
         };
-        let first_patience = begins_until.left();
-        let mut stream = EventStream::new(self.clone(), tries.clone(), source, parts.status);
-        match stream.read_first(first_patience).await {
-            Ok(()) => Ok(pass_on(parts.status, &parts.headers, stream.into_body())),
+        let first_timeout = begins_until.left();
+        let mut stream = EventStream::new(self.clone(), attempts.clone(), source, parts.status);
+        match stream.read_first(first_timeout).await {
+            Ok(()) => Ok(forward_answer(
+                parts.status,
+                &parts.headers,
+                stream.into_body(),
+            )),
             Err(problem) => {
                 stream.note_failed();
-                Err(SendLoss::broken(problem, self.left().is_zero()))
+                Err(AttemptFailure::broken_off(
+                    problem,
+                    self.time_left().is_zero(),
+                ))
             }
         }
     }
@@ -426,18 +444,18 @@
     /// Returns the problem where no endpoint goes on.
     pub(in super::super) async fn resume(
         self: &Arc<Self>,
-        tries: &mut CallTries,
+        attempts: &mut CallAttempts,
         after_event: Option<u64>,
     ) -> Result<StreamSource, String> {
-        let place = self.find_place(tries, true).await;
-        let place = place.map_err(|refusal| refusal.reason.as_str().to_owned())?;
-        tries.endpoints.push(place.target.id);
-        let answer = self.exchange(&place, tries, after_event).await;
-        let answer = answer.inspect_err(|loss| {
-            place.guard.note_loss(loss.sign);
-            self.note_loss(&place.target, loss);
+        let placement = self.find_placement(attempts, true).await;
+        let placement = placement.map_err(|refusal| refusal.reason.as_str().to_owned())?;
+        attempts.endpoints.push(placement.target.id);
+        let answer = self.exchange(&placement, attempts, after_event).await;
+        let answer = answer.inspect_err(|failure| {
+            placement.guard.note_failure(failure.outcome);
+            self.note_failure(&placement.target, failure);
         });
-        let answer = answer.map_err(|loss| loss.problem)?;
+        let answer = answer.map_err(|failure| failure.problem)?;
         if !answer.parts.status.is_success() {
             return Err(format!("status {}", answer.parts.status));
         }
@@ -448,11 +466,11 @@
             ..
         } = answer;
         Ok(StreamSource {
-            target: place.target,
+            target: placement.target,
             body,
             connection,
             head,
-            guard: place.guard,
+            guard: placement.guard,
         })
     }
 }
@@ -461,7 +479,7 @@
 struct JudgedAnswer {
     parts: http::response::Parts,
     body: Incoming,
-    connection: UsedConnection,
+    connection: PooledConnection,
     head: AnswerHead,
     verdict: AnswerVerdict,
     /// Until when the send waits for the first event.
@@ -469,15 +487,15 @@
 }
 
 /// Reads the rest of a short answer, so that its connection can be kept.
-async fn settle(body: Incoming, connection: UsedConnection, head: &AnswerHead) {
-    const MOST_WAIT: Duration = Duration::from_millis(20);
-    let read = tokio::time::timeout(MOST_WAIT, body.collect()).await;
+async fn drain_body(body: Incoming, connection: PooledConnection, head: &AnswerHead) {
+    const MAX_WAIT: Duration = Duration::from_millis(20);
+    let read = tokio::time::timeout(MAX_WAIT, body.collect()).await;
     if matches!(read, Ok(Ok(_))) && !head.closes {
         connection.keep(head.idle);
     }
 }
 
-fn pass_on(status: StatusCode, headers: &HeaderMap, body: CallBody) -> Response<CallBody> {
+fn forward_answer(status: StatusCode, headers: &HeaderMap, body: CallBody) -> Response<CallBody> {
     let mut response = Response::new(body);
     *response.status_mut() = status;
     *response.headers_mut() = encode_answer(headers);
--- a/dockgate/src/gateway/front.rs
+++ b/dockgate/src/gateway/caller_listener.rs
@@ -27,34 +27,34 @@
 const OTHER_DESCRIPTORS: usize = 900;
 /// Above this part of the connections that there may be, answers end their connections: callers that
 /// come seldom must not keep others out.
-const CROWDED_PART: f64 = 0.5;
+const CROWDED_FRACTION: f64 = 0.5;
 /// Above this part, connections that rest are closed, the longest at rest first, down to it.
-const FULL_PART: f64 = 0.95;
+const FULL_FRACTION: f64 = 0.95;
 /// How long to wait when no connection can be accepted.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 /// How often overdue connections are looked for.
-const SWEEP: Duration = Duration::from_millis(500);
+const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
 /// The least buffer that a connection needs, in bytes.
-const LEAST_BUFFER: usize = 8_192;
+const MIN_BUFFER_BYTES: usize = 8_192;
 
 /// The connections of callers.
-pub(super) struct CallerFront {
+pub(super) struct CallerListener {
     state: Arc<GatewayState>,
     connections: Mutex<HashMap<u64, Arc<ConnectionState>>>,
     counter: AtomicU64,
     answered_ms: AtomicU64,
     /// Whether connections take over the options of the listener, once the first one has shown it.
-    inherits: OnceLock<bool>,
+    inherits_options: OnceLock<bool>,
 }
 
-impl CallerFront {
+impl CallerListener {
     pub(super) fn new(state: Arc<GatewayState>) -> Self {
         Self {
             state,
             connections: Mutex::default(),
             counter: AtomicU64::new(0),
             answered_ms: AtomicU64::new(now_ms()),
-            inherits: OnceLock::new(),
+            inherits_options: OnceLock::new(),
         }
     }
 
@@ -89,25 +89,25 @@
     }
 
     /// Returns how many connections there may be.
-    fn most(&self) -> usize {
+    fn max_connections(&self) -> usize {
         let descriptors = self.state.settings().descriptors;
         descriptors.saturating_sub(OTHER_DESCRIPTORS).max(100)
     }
 
     /// Tells whether connections are better ended with their answers.
     fn is_crowded(&self) -> bool {
-        self.open() as f64 > self.most() as f64 * CROWDED_PART
+        self.open() as f64 > self.max_connections() as f64 * CROWDED_FRACTION
     }
 
     /// Accepts connections until the process ends.
     pub(super) async fn accept(self: Arc<Self>, listener: TcpListener) {
         loop {
-            if self.open() >= self.most() {
+            if self.open() >= self.max_connections() {
                 tokio::time::sleep(ACCEPT_PAUSE).await;
                 continue;
             }
             match listener.accept().await {
-                Ok((stream, _)) => self.clone().enter(stream),
+                Ok((stream, _)) => self.clone().spawn_connection(stream),
                 Err(error) => {
                     log::warn!("accept a caller: {error}");
                     tokio::time::sleep(ACCEPT_PAUSE).await;
@@ -116,8 +116,8 @@
         }
     }
 
-    fn enter(self: Arc<Self>, stream: TcpStream) {
-        let is_ready = *self.inherits.get_or_init(|| is_prepared(&stream));
+    fn spawn_connection(self: Arc<Self>, stream: TcpStream) {
+        let is_ready = *self.inherits_options.get_or_init(|| is_prepared(&stream));
         if !is_ready && let Err(error) = prepare(&stream) {
             log::debug!("prepare a caller's connection: {error}");
             return;
@@ -144,11 +144,11 @@
                 let response = serve_call(state, request, caller).await;
                 let ends = stopping.is_stopping() || stopping.is_overloaded() || self.is_crowded();
                 self.answered_ms.store(now_ms(), Ordering::Relaxed);
-                Ok::<_, Infallible>(finish(ends, response, busy))
+                Ok::<_, Infallible>(finish_answer(ends, response, busy))
             }
         });
         let served = Builder::new()
-            .max_buf_size(limits.head_bytes.max(LEAST_BUFFER))
+            .max_buf_size(limits.head_bytes.max(MIN_BUFFER_BYTES))
             .serve_connection(io, service);
         tokio::pin!(served);
         let ended = connection
@@ -160,20 +160,20 @@
     }
 
     /// Closes the connections that have rested longest, where there are nearly too many.
-    fn make_room(&self) {
+    fn close_surplus(&self) {
         let surplus = self
             .open()
-            .saturating_sub((self.most() as f64 * FULL_PART) as usize);
+            .saturating_sub((self.max_connections() as f64 * FULL_FRACTION) as usize);
         if surplus == 0 {
             return;
         }
         let connections = self.locked();
-        let mut resting: Vec<&Arc<ConnectionState>> = connections
+        let mut idle: Vec<&Arc<ConnectionState>> = connections
             .values()
             .filter(|connection| !connection.is_busy())
             .collect();
-        resting.sort_by_key(|connection| connection.used_ms());
-        for connection in resting.into_iter().take(surplus) {
+        idle.sort_by_key(|connection| connection.used_ms());
+        for connection in idle.into_iter().take(surplus) {
             connection.close.notify_one();
         }
     }
@@ -181,7 +181,7 @@
     /// Closes overdue connections until the process ends.
     pub(super) async fn sweep(self: Arc<Self>) {
         loop {
-            tokio::time::sleep(SWEEP).await;
+            tokio::time::sleep(SWEEP_INTERVAL).await;
             let limits = self.state.table().config().limits;
             let (head_ms, idle_ms) = (
                 limits.head_timeout.as_millis() as u64,
@@ -193,7 +193,7 @@
                     connection.close.notify_one();
                 }
             }
-            self.make_room();
+            self.close_surplus();
         }
     }
 }
@@ -215,7 +215,11 @@
 }
 
 /// Says that the connection ends with this answer, where it does.
-fn finish(ends: bool, mut response: Response<CallBody>, busy: BusyGuard) -> Response<BusyBody> {
+fn finish_answer(
+    ends: bool,
+    mut response: Response<CallBody>,
+    busy: BusyGuard,
+) -> Response<BusyBody> {
     if ends {
         let close = HeaderValue::from_static("close");
         response.headers_mut().insert(header::CONNECTION, close);
--- a/dockgate/src/gateway/domain_watch.rs
+++ b/dockgate/src/gateway/domain_watch.rs
@@ -110,7 +110,7 @@
                 continue;
             }
             log_gateway(&GatewayEvent::DomainCut { domain: &domain });
-            state.pools.drop_resting(&endpoints_of(state, &domain));
+            state.pools.close_idle_to(&endpoints_of(state, &domain));
             self.cut_since.insert(domain, now);
         }
     }
--- a/dockgate/src/gateway/engine_seek.rs
+++ b/dockgate/src/gateway/engine_placement.rs
@@ -4,13 +4,13 @@
 //! that engine knows all that is there, so its verdict is worth a round trip of two milliseconds;
 //! where it does not answer in time, the entry decides alone on what it sent there itself.
 
-mod pending_seek;
+mod pending_slot_request;
 
 use super::datagrams::send_to;
 use super::events::AskedEngine;
 use super::gateway_metrics::GATEWAY_METRICS;
 use super::gateway_state::{GatewayBeliefs, GatewayState};
-use super::notices::hear_told;
+use super::notices::receive_reported_leave;
 use super::run_guard::RunGuard;
 use super::upstream::{ConnectionLimits, EndpointTarget};
 use crate::clock::now_ms;
@@ -20,29 +20,29 @@
     ReadSpeed, ReadyEndpoint, RunKey, ServiceSpec, ShareLevel, best_homes, home_subject,
 };
 use dockgate_proto::GatewayMessage;
-use pending_seek::PendingSeek;
+use pending_slot_request::PendingSlotRequest;
 use std::sync::Arc;
 
 /// As how many other boxes, that may all send to an engine whose decider does not answer, count at most:
 /// as many as there are in a small fleet, where it was measured. With all of 295 boxes nearly every
 /// prompt is declined that has to be decided on alone, since each box sends a 295th of what there is.
 /// A bound.
-const MOST_UNSEEN: u32 = 5;
+const MAX_UNCOORDINATED_SENDERS: u32 = 5;
 /// How many homes a prompt with much that others share has. More make the same parts be read at more
 /// places: with two, a sixth fewer shared tokens are read again than with three; with one, 4 in 100
 /// requests more are refused (loaded days of three deployments).
 const SHARED_HOMES: usize = 2;
 /// How many homes in the own failure domain a prompt with little of it has.
-const NEAR_HOMES: usize = 3;
+const LOCAL_HOMES: usize = 3;
 /// How many homes elsewhere such a prompt has behind those, if its workspace is within its share: callers
 /// of a large workspace may all be in one domain while the engines of the others are idle.
-const FAR_HOMES: usize = 1;
+const REMOTE_HOMES: usize = 1;
 /// A prompt with fewer shared tokens than this has its homes in the box's own failure domain:
 /// reading them again takes a few milliseconds, and bytes between domains cost more.
-const NEAR_BELOW_TOKENS: u32 = 1_500;
+const LOCAL_BELOW_TOKENS: u32 = 1_500;
 
 /// A prompt that was admitted.
-pub(super) struct EnginePlace {
+pub(super) struct EnginePlacement {
     /// The engine.
     pub(super) target: EndpointTarget,
     /// Counts the prompt there.
@@ -55,34 +55,34 @@
 
 /// A prompt that no engine takes in time.
 #[derive(Debug, Clone, Default)]
-pub(super) struct NoPlace {
+pub(super) struct EngineRefusal {
     /// The engines that were asked last, in order.
     pub(super) asked: Vec<AskedEngine>,
     /// The least time to a first event at any engine, where none had to be asked.
-    hopeless_ms: Option<u32>,
+    unattainable_ms: Option<u32>,
 }
 
-impl NoPlace {
+impl EngineRefusal {
     /// Returns the shortest predicted time to a first event, where there is any engine.
     pub(super) fn first_event_ms(&self) -> Option<u32> {
         let asked = self.asked.iter().map(|asked| asked.first_event_ms);
-        asked.chain(self.hopeless_ms).min()
+        asked.chain(self.unattainable_ms).min()
     }
 
-    fn note(&mut self, home: &HomeEngine, asked: AskedHome) {
-        let predicted = asked.verdict.first_event_ms();
+    fn note(&mut self, home: &HomeEngine, decision: HomeDecision) {
+        let predicted = decision.verdict.first_event_ms();
         self.asked
             .extend(predicted.map(|first_event_ms| AskedEngine {
                 endpoint: home.target.name.clone(),
                 first_event_ms,
-                decided_by: asked.decided_by,
+                decided_by: decision.decided_by,
             }));
     }
 }
 
 /// What is asked for.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct EngineWish<'a> {
+pub(super) struct EngineQuery<'a> {
     /// The service.
     pub(super) service: &'a ServiceSpec,
     /// The prompt.
@@ -108,49 +108,53 @@
 /// The homes of a prompt with little that others share are in the own domain first, and some of the
 /// others behind them; where the own domain has few engines, others take their place.
 fn pick_homes(
-    wish: &EngineWish,
+    query: &EngineQuery,
     ready: &[ReadyEndpoint],
-    near: DomainKey,
+    local: DomainKey,
     accepts: impl Fn(EndpointId) -> bool,
 ) -> Vec<EndpointId> {
-    let own = wish.own_subject;
-    let subject = wish.prompt.subject().unwrap_or(own);
-    let subject = home_subject(subject, own, wish.tried.len());
-    if wish.prompt.shared_tokens() >= NEAR_BELOW_TOKENS {
+    let own = query.own_subject;
+    let subject = query.prompt.subject().unwrap_or(own);
+    let subject = home_subject(subject, own, query.tried.len());
+    if query.prompt.shared_tokens() >= LOCAL_BELOW_TOKENS {
         let all = ready.iter().map(|ready| ready.id);
         return best_homes(subject, all, SHARED_HOMES, accepts);
     }
-    let of_domain = |is_near: bool| {
+    let of_domain = |is_local: bool| {
         let ready = ready.iter();
-        let ready = ready.filter(move |ready| (ready.domain == near) == is_near);
+        let ready = ready.filter(move |ready| (ready.domain == local) == is_local);
         ready.map(|ready| ready.id)
     };
-    let mut homes = best_homes(subject, of_domain(true), NEAR_HOMES, &accepts);
-    let far_homes = if wish.level.is_beyond() { 0 } else { FAR_HOMES };
-    let missing = NEAR_HOMES - homes.len();
+    let mut homes = best_homes(subject, of_domain(true), LOCAL_HOMES, &accepts);
+    let remote_homes = if query.level.is_beyond() {
+        0
+    } else {
+        REMOTE_HOMES
+    };
+    let missing = LOCAL_HOMES - homes.len();
     homes.extend(best_homes(
         subject,
         of_domain(false),
-        missing + far_homes,
+        missing + remote_homes,
         &accepts,
     ));
     homes
 }
 
-fn homes(beliefs: &GatewayBeliefs, wish: &EngineWish) -> Vec<HomeEngine> {
+fn ordered_homes(beliefs: &GatewayBeliefs, query: &EngineQuery) -> Vec<HomeEngine> {
     let now = now_ms();
-    let ready = beliefs.endpoints.ready(&wish.service.name);
-    let near = DomainKey::from_name(&beliefs.fleet.own().domain);
+    let ready = beliefs.endpoints.ready(&query.service.name);
+    let local = DomainKey::from_name(&beliefs.fleet.own().domain);
     let entry = |id: EndpointId| beliefs.endpoints.get(id);
-    let is_open =
-        |id: EndpointId| beliefs.endpoints.is_eligible(id, now) && !wish.tried.contains(&id);
+    let is_eligible =
+        |id: EndpointId| beliefs.endpoints.is_eligible(id, now) && !query.tried.contains(&id);
     let is_usable = |id: EndpointId| {
-        let doubtful = entry(id).is_none_or(|entry| entry.health.is_unreliable(now));
-        is_open(id) && !doubtful
+        let unreliable = entry(id).is_none_or(|entry| entry.health.is_unreliable(now));
+        is_eligible(id) && !unreliable
     };
-    let mut order = pick_homes(wish, ready, near, is_usable);
+    let mut order = pick_homes(query, ready, local, is_usable);
     if order.is_empty() {
-        order = pick_homes(wish, ready, near, is_open);
+        order = pick_homes(query, ready, local, is_eligible);
     }
     let boxes = beliefs.fleet.live_count(now);
     let homes = order.into_iter().filter_map(|id| {
@@ -160,7 +164,7 @@
                 id,
                 name: entry.record.id.clone(),
                 address: entry.record.address,
-                limits: ConnectionLimits::new(wish.service.connections, entry.record.slots, boxes),
+                limits: ConnectionLimits::new(query.service.connections, entry.record.slots, boxes),
             },
             owner: beliefs.fleet.owner(id, &entry.record.domain, now),
         })
@@ -171,73 +175,78 @@
 /// Decides on a seek with what this box believes, and places the prompt if it is admitted.
 ///
 /// `others` says how many boxes send to the engine unseen. Returns none for an unknown engine.
-pub(super) fn decide_here(
+pub(super) fn decide_locally(
     state: &GatewayState,
     endpoint: EndpointId,
     key: RunKey,
-    ask: &EngineAsk,
-    others: u32,
+    request: &EngineAsk,
+    other_senders: u32,
 ) -> Option<EngineVerdict> {
     let now = now_ms();
     let rule = state.settings().admission;
-    let spec = spec_of(state, endpoint)?;
+    let spec = engine_spec(state, endpoint)?;
     state.with(|beliefs| {
         let notices = beliefs.endpoints.notices();
         if notices.is_reported_leaving(endpoint, now) {
             return Some(EngineVerdict::Leaving);
         }
         let load = beliefs.engines.load_mut(endpoint, spec);
-        let verdict = rule.decide(load, ask, others, now);
+        let verdict = rule.decide(load, request, other_senders, now);
         if matches!(verdict, EngineVerdict::Granted(_)) {
-            GATEWAY_METRICS.note_admitted(ask.input, load.work_of(ask).tokens());
-            load.place(key, ask, now);
+            GATEWAY_METRICS.note_admitted(request.input, load.work_of(request).tokens());
+            load.place(key, request, now);
         }
         Some(verdict)
     })
 }
 
 /// Notes a prompt that is at an engine, whoever decided.
-pub(super) fn place_here(state: &GatewayState, endpoint: EndpointId, key: RunKey, ask: &EngineAsk) {
-    if let Some(spec) = spec_of(state, endpoint) {
+pub(super) fn place_locally(
+    state: &GatewayState,
+    endpoint: EndpointId,
+    key: RunKey,
+    request: &EngineAsk,
+) {
+    if let Some(spec) = engine_spec(state, endpoint) {
         state.with(|beliefs| {
             beliefs
                 .engines
                 .load_mut(endpoint, spec)
-                .place(key, ask, now_ms());
+                .place(key, request, now_ms());
         });
     }
 }
 
 /// Makes the message that a prompt is at an engine.
-pub(super) fn placed(
+pub(super) fn placed_message(
     run: u32,
     endpoint: EndpointId,
-    ask: &EngineAsk,
+    request: &EngineAsk,
     started: bool,
 ) -> GatewayMessage {
     GatewayMessage::Placed {
         run,
         endpoint,
-        request: ask.clone(),
+        request: request.clone(),
         started,
     }
 }
 
 /// Notes what an engine is known to have cached.
-pub(super) fn note_cached_here(state: &GatewayState, endpoint: EndpointId, parts: &[PromptPart]) {
-    if let Some(spec) = spec_of(state, endpoint) {
+pub(super) fn record_cached(state: &GatewayState, endpoint: EndpointId, parts: &[PromptPart]) {
+    if let Some(spec) = engine_spec(state, endpoint) {
         state.with(|beliefs| beliefs.engines.load_mut(endpoint, spec).note_cached(parts));
     }
 }
 
 /// Takes in what the box that decides for an engine says of it.
-pub(super) fn hear_engine(
+pub(super) fn receive_engine_report(
     state: &GatewayState,
     endpoint: EndpointId,
     backlog_ms: u32,
     speed: ReadSpeed,
 ) {
-    if let Some(spec) = spec_of(state, endpoint) {
+    if let Some(spec) = engine_spec(state, endpoint) {
         let now = now_ms();
         state.with(|beliefs| {
             let load = beliefs.engines.load_mut(endpoint, spec);
@@ -247,7 +256,7 @@
 }
 
 /// Returns what an engine holds, if it is known.
-fn spec_of(state: &GatewayState, endpoint: EndpointId) -> Option<EngineSpec> {
+fn engine_spec(state: &GatewayState, endpoint: EndpointId) -> Option<EngineSpec> {
     let table = state.table();
     state.with(|beliefs| {
         let entry = beliefs.endpoints.get(endpoint)?;
@@ -257,67 +266,78 @@
 }
 
 /// One home that was asked, and what came of it.
-struct AskedHome {
+struct HomeDecision {
     verdict: EngineVerdict,
     number: u32,
     decided_by: String,
 }
 
 /// Asks for one home: its owner, or this box where the owner does not answer in time.
-async fn ask_home(state: &GatewayState, home: &HomeEngine, ask: &EngineAsk) -> Option<AskedHome> {
+async fn request_placement(
+    state: &GatewayState,
+    home: &HomeEngine,
+    request: &EngineAsk,
+) -> Option<HomeDecision> {
     let number = state.next_run();
     if home.owner == state.me() {
         let decided_by = state.settings().name.clone();
-        return ask_here(state, home, ask, 0, number, decided_by);
+        return decide_home_locally(state, home, request, 0, number, decided_by);
     }
-    if let Some(asked) = decline_here(state, home, ask, number) {
-        return Some(asked);
+    if let Some(decision) = decline_locally(state, home, request, number) {
+        return Some(decision);
     }
-    let seek = PendingSeek::send(state, number, home.target.id, home.owner, ask);
-    if let Some(verdict) = seek.verdict().await {
+    let slot_request = PendingSlotRequest::send(state, number, home.target.id, home.owner, request);
+    if let Some(verdict) = slot_request.verdict().await {
         match verdict {
             EngineVerdict::Granted(_) => {
-                place_here(state, home.target.id, state.own_run(number), ask);
+                place_locally(state, home.target.id, state.own_run(number), request);
             }
-            EngineVerdict::Leaving => hear_told(state, home.target.id),
+            EngineVerdict::Leaving => receive_reported_leave(state, home.target.id),
             EngineVerdict::Declined(_) => {}
         }
         let decided_by = state.with(|beliefs| beliefs.fleet.name(home.owner).to_owned());
-        return Some(AskedHome {
+        return Some(HomeDecision {
             verdict,
             number,
             decided_by,
         });
     }
     GATEWAY_METRICS.missed_verdicts.inc();
-    let others = state.with(|beliefs| beliefs.fleet.live_count(now_ms())) - 1;
-    let others = others.min(MOST_UNSEEN);
-    let asked = ask_here(state, home, ask, others, number, "entry alone".to_owned())?;
-    if is_granted(&asked) {
+    let other_senders = state.with(|beliefs| beliefs.fleet.live_count(now_ms())) - 1;
+    let other_senders = other_senders.min(MAX_UNCOORDINATED_SENDERS);
+    let decision = decide_home_locally(
+        state,
+        home,
+        request,
+        other_senders,
+        number,
+        "entry alone".to_owned(),
+    )?;
+    if is_granted(&decision) {
         send_to(
             state,
             home.owner,
-            placed(number, home.target.id, ask, false),
+            placed_message(number, home.target.id, request, false),
         );
     }
-    Some(asked)
+    Some(decision)
 }
 
 /// Declines for the owner of a home where what this box knows is enough.
-fn decline_here(
+fn decline_locally(
     state: &GatewayState,
     home: &HomeEngine,
-    ask: &EngineAsk,
+    request: &EngineAsk,
     number: u32,
-) -> Option<AskedHome> {
+) -> Option<HomeDecision> {
     let settings = state.settings();
-    let spec = spec_of(state, home.target.id)?;
+    let spec = engine_spec(state, home.target.id)?;
     let first_ms = state.with(|beliefs| {
         let load = beliefs.engines.load_mut(home.target.id, spec);
-        settings.admission.hopeless_ms(load, ask, now_ms())
+        settings.admission.hopeless_ms(load, request, now_ms())
     })?;
     GATEWAY_METRICS.declined_alone.inc();
-    Some(AskedHome {
+    Some(HomeDecision {
         verdict: EngineVerdict::Declined(first_ms as u32),
         number,
         decided_by: settings.name.clone(),
@@ -325,17 +345,17 @@
 }
 
 /// Decides for one home with what this box believes.
-fn ask_here(
+fn decide_home_locally(
     state: &GatewayState,
     home: &HomeEngine,
-    ask: &EngineAsk,
-    others: u32,
+    request: &EngineAsk,
+    other_senders: u32,
     number: u32,
     decided_by: String,
-) -> Option<AskedHome> {
+) -> Option<HomeDecision> {
     let key = state.own_run(number);
-    let verdict = decide_here(state, home.target.id, key, ask, others)?;
-    Some(AskedHome {
+    let verdict = decide_locally(state, home.target.id, key, request, other_senders)?;
+    Some(HomeDecision {
         verdict,
         number,
         decided_by,
@@ -346,86 +366,98 @@
 ///
 /// # Errors
 ///
-/// Returns [`NoPlace`] where no home takes it in time.
+/// Returns [`EngineRefusal`] where no home takes it in time.
 pub(super) async fn find_engine(
     state: &Arc<GatewayState>,
-    wish: EngineWish<'_>,
-    ask: &EngineAsk,
-) -> Result<EnginePlace, NoPlace> {
-    if let Some(first_ms) = hopeless_anywhere_ms(state, &wish, ask) {
-        return Err(NoPlace {
-            hopeless_ms: Some(first_ms),
-            ..NoPlace::default()
+    query: EngineQuery<'_>,
+    request: &EngineAsk,
+) -> Result<EnginePlacement, EngineRefusal> {
+    if let Some(first_ms) = unattainable_ms(state, &query, request) {
+        return Err(EngineRefusal {
+            unattainable_ms: Some(first_ms),
+            ..EngineRefusal::default()
         });
     }
-    let homes = state.with(|beliefs| homes(beliefs, &wish));
-    if let Some(home) = homes.first().filter(|_| wish.resumed) {
-        return Ok(force(state, home, ask));
+    let homes = state.with(|beliefs| ordered_homes(beliefs, &query));
+    if let Some(home) = homes.first().filter(|_| query.resumed) {
+        return Ok(place_unconditionally(state, home, request));
     }
-    let mut none = NoPlace::default();
+    let mut refusal = EngineRefusal::default();
     for home in &homes {
-        match ask_home(state, home, ask).await {
-            Some(asked) if is_granted(&asked) => return Ok(take(state, home, asked, ask)),
-            Some(asked) => none.note(home, asked),
+        match request_placement(state, home, request).await {
+            Some(decision) if is_granted(&decision) => {
+                return Ok(engine_placement(state, home, decision, request));
+            }
+            Some(decision) => refusal.note(home, decision),
             None => {}
         }
     }
-    Err(none)
+    Err(refusal)
 }
 
 /// Returns the least time to a first event, in milliseconds, where that is too late at every engine.
-fn hopeless_anywhere_ms(
+fn unattainable_ms(
     state: &GatewayState,
-    wish: &EngineWish<'_>,
-    ask: &EngineAsk,
+    query: &EngineQuery<'_>,
+    request: &EngineAsk,
 ) -> Option<u32> {
     // Only a flood is worth a look at all engines.
-    let is_open = wish.resumed || !wish.level.is_beyond();
-    let spec = wish.service.engine.filter(|_| !is_open)?;
+    let is_open = query.resumed || !query.level.is_beyond();
+    let spec = query.service.engine.filter(|_| !is_open)?;
     let rule = state.settings().admission;
     let first_ms = state.with(|beliefs| {
         let fastest = beliefs.engines.fastest(spec)?;
-        rule.hopeless_anywhere_ms(&fastest, ask)
+        rule.hopeless_anywhere_ms(&fastest, request)
     })?;
     GATEWAY_METRICS.declined_alone.inc();
     Some(first_ms as u32)
 }
 
 /// Places a prompt whose stream goes on, whatever waits there: most of it is done already.
-fn force(state: &Arc<GatewayState>, home: &HomeEngine, ask: &EngineAsk) -> EnginePlace {
+fn place_unconditionally(
+    state: &Arc<GatewayState>,
+    home: &HomeEngine,
+    request: &EngineAsk,
+) -> EnginePlacement {
     let number = state.next_run();
-    place_here(state, home.target.id, state.own_run(number), ask);
+    place_locally(state, home.target.id, state.own_run(number), request);
     if home.owner != state.me() {
         send_to(
             state,
             home.owner,
-            placed(number, home.target.id, ask, false),
+            placed_message(number, home.target.id, request, false),
         );
     }
-    let asked = AskedHome {
+    let decision = HomeDecision {
         verdict: EngineVerdict::Granted(0),
         number,
         decided_by: "resume".to_owned(),
     };
-    take(state, home, asked, ask)
+    engine_placement(state, home, decision, request)
 }
 
-const fn is_granted(asked: &AskedHome) -> bool {
-    matches!(asked.verdict, EngineVerdict::Granted(_))
+const fn is_granted(decision: &HomeDecision) -> bool {
+    matches!(decision.verdict, EngineVerdict::Granted(_))
 }
 
-fn take(
+fn engine_placement(
     state: &Arc<GatewayState>,
     home: &HomeEngine,
-    asked: AskedHome,
-    ask: &EngineAsk,
-) -> EnginePlace {
+    decision: HomeDecision,
+    request: &EngineAsk,
+) -> EnginePlacement {
     let endpoint = home.target.id;
-    EnginePlace {
+    EnginePlacement {
         target: home.target.clone(),
-        guard: RunGuard::engine(state, endpoint, asked.number, home.owner, ask.clone()),
-        expected_ms: asked.verdict.first_event_ms().unwrap_or_default(),
-        decided_by: asked.decided_by,
+        guard: RunGuard::engine(
+            state,
+            endpoint,
+            decision.number,
+            home.owner,
+            request.clone(),
+        ),
+        expected_ms: decision.verdict.first_event_ms().unwrap_or_default(),
+        decided_by: decision.decided_by,
     }
 }
 
--- a/dockgate/src/gateway/engine_seek/pending_seek.rs
+++ b/dockgate/src/gateway/engine_placement/pending_slot_request.rs
@@ -17,7 +17,7 @@
 /// Whoever decides counts a prompt that it grants at the engine until it is told that the prompt has ended. A
 /// verdict that nobody takes, as the caller left while it was on its way through this box, is given back:
 /// else the engine is believed to work on that prompt for all of its caller's time.
-pub(super) struct PendingSeek<'a> {
+pub(super) struct PendingSlotRequest<'a> {
     state: &'a GatewayState,
     run: u32,
     endpoint: EndpointId,
@@ -25,23 +25,23 @@
     verdict: oneshot::Receiver<EngineVerdict>,
 }
 
-impl<'a> PendingSeek<'a> {
+impl<'a> PendingSlotRequest<'a> {
     /// Asks `owner`, who decides for the engine.
     pub(super) fn send(
         state: &'a GatewayState,
         run: u32,
         endpoint: EndpointId,
         owner: BoxKey,
-        ask: &EngineAsk,
+        request: &EngineAsk,
     ) -> Self {
         let (sender, verdict) = oneshot::channel();
         state.with(|beliefs| beliefs.seeks.insert(run, sender));
-        let seek = GatewayMessage::SlotRequest {
+        let message = GatewayMessage::SlotRequest {
             run,
             endpoint,
-            request: ask.clone(),
+            request: request.clone(),
         };
-        send_to(state, owner, seek);
+        send_to(state, owner, message);
         Self {
             state,
             run,
@@ -58,7 +58,7 @@
     }
 }
 
-impl Drop for PendingSeek<'_> {
+impl Drop for PendingSlotRequest<'_> {
     fn drop(&mut self) {
         self.state.with(|beliefs| beliefs.seeks.remove(&self.run));
         if let Ok(EngineVerdict::Granted(_)) = self.verdict.try_recv() {
--- a/dockgate/src/gateway/engine_seek/pending_seek/tests.rs
+++ b/dockgate/src/gateway/engine_placement/pending_slot_request/tests.rs
@@ -12,21 +12,21 @@
 const ENGINE: EndpointId = EndpointId(3);
 
 /// Makes a box that knows another one, which decides for an engine at `owner`.
-async fn box_beside(owner: SocketAddr) -> (GatewayState, BoxKey) {
+async fn state_beside(owner: SocketAddr) -> (GatewayState, BoxKey) {
     let datagrams = UdpSocket::bind("127.0.0.1:0").await.unwrap();
     // The runtime knows that a socket takes datagrams once it was asked.
     datagrams.writable().await.unwrap();
     let state = state_with_seed(datagrams, owner);
-    let beat = BoxHeartbeat::new("a2", "a", owner);
+    let heartbeat = BoxHeartbeat::new("a2", "a", owner);
     state.with(|beliefs| {
         beliefs
             .fleet
-            .receive_heartbeat(beat, Incarnation(1), now_ms())
+            .receive_heartbeat(heartbeat, Incarnation(1), now_ms())
     });
     (state, BoxKey::from_name("a2"))
 }
 
-fn ask() -> EngineAsk {
+fn admission_request() -> EngineAsk {
     let prompt = PromptShape {
         model: String::new(),
         input: 500,
@@ -43,7 +43,7 @@
 }
 
 /// Lists what has come, by kind.
-fn received(socket: &UdpSocket) -> Vec<&'static str> {
+fn received_kinds(socket: &UdpSocket) -> Vec<&'static str> {
     let mut buffer = [0; 2_000];
     let datagrams = std::iter::from_fn(|| {
         let (length, _) = socket.try_recv_from(&mut buffer).ok()?;
@@ -55,34 +55,30 @@
 
 /// What becomes of a question.
 #[derive(Debug, Clone, Copy)]
-enum SeekEnd {
-    Taken,
+enum RequestEnd {
+    Claimed,
     CallerLeaves,
 }
 
 /// On a box that is short of processor callers leave while the verdict is there and their tasks have not run
 /// yet; the engine was then believed to work on the prompt until the caller's time was over, 15 s.
 #[parameterized(
-    granted_and_taken = { EngineVerdict::Granted(40), SeekEnd::Taken, &["seek"] },
-    granted_to_nobody = { EngineVerdict::Granted(40), SeekEnd::CallerLeaves, &["seek", "ended"] },
-    declined_to_nobody = { EngineVerdict::Declined(900), SeekEnd::CallerLeaves, &["seek"] },
+    granted_and_claimed = { EngineVerdict::Granted(40), RequestEnd::Claimed, &["seek"] },
+    granted_and_dropped = { EngineVerdict::Granted(40), RequestEnd::CallerLeaves, &["seek", "ended"] },
+    declined_and_dropped = { EngineVerdict::Declined(900), RequestEnd::CallerLeaves, &["seek"] },
 )]
 #[test_macro(tokio::test)]
-async fn a_place_that_nobody_takes_is_given_back(
-    verdict: EngineVerdict,
-    end: SeekEnd,
-    told: &[&str],
-) {
+async fn unclaimed_grants_are_released(verdict: EngineVerdict, end: RequestEnd, expected: &[&str]) {
     let socket = UdpSocket::bind("127.0.0.1:0").await.unwrap();
-    let (state, owner) = box_beside(socket.local_addr().unwrap()).await;
-    let seek = PendingSeek::send(&state, RUN, ENGINE, owner, &ask());
-    let waiting = state.with(|beliefs| beliefs.seeks.remove(&RUN)).unwrap();
-    waiting.send(verdict).unwrap();
+    let (state, owner) = state_beside(socket.local_addr().unwrap()).await;
+    let request = PendingSlotRequest::send(&state, RUN, ENGINE, owner, &admission_request());
+    let sender = state.with(|beliefs| beliefs.seeks.remove(&RUN)).unwrap();
+    sender.send(verdict).unwrap();
     match end {
-        SeekEnd::Taken => assert_eq!(seek.verdict().await, Some(verdict)),
-        SeekEnd::CallerLeaves => drop(seek),
+        RequestEnd::Claimed => assert_eq!(request.verdict().await, Some(verdict)),
+        RequestEnd::CallerLeaves => drop(request),
     }
     tokio::time::sleep(Duration::from_millis(20)).await;
     socket.readable().await.unwrap();
-    assert_eq!(received(&socket), told);
+    assert_eq!(received_kinds(&socket), expected);
 }
--- a/dockgate/src/gateway/engine_seek/tests.rs
+++ b/dockgate/src/gateway/engine_placement/tests.rs
@@ -2,14 +2,19 @@
 use yare::parameterized;
 
 #[parameterized(
-    many_near = { &[1, 2, 3, 4, 5], &[9, 8], 0, &[1, 2, 3] },
-    one_far_as_the_last = { &[1, 2, 3, 4], &[9, 8], 1, &[1, 2, 3, 9] },
-    few_near = { &[1], &[9, 8, 7, 6], 0, &[1, 9, 8] },
-    few_near_and_one_far = { &[1, 2], &[9, 8, 7], 1, &[1, 2, 9, 8] },
-    none_near = { &[], &[9, 8, 7, 6], 0, &[9, 8, 7] },
+    many_local = { &[1, 2, 3, 4, 5], &[9, 8], 0, &[1, 2, 3] },
+    one_remote_last = { &[1, 2, 3, 4], &[9, 8], 1, &[1, 2, 3, 9] },
+    few_local = { &[1], &[9, 8, 7, 6], 0, &[1, 9, 8] },
+    few_local_and_one_remote = { &[1, 2], &[9, 8, 7], 1, &[1, 2, 9, 8] },
+    none_local = { &[], &[9, 8, 7, 6], 0, &[9, 8, 7] },
     none_at_all = { &[], &[], 1, &[] },
 )]
-fn homes_of_the_own_domain_go_first(near: &[u64], far: &[u64], far_homes: usize, homes: &[u64]) {
+fn homes_in_the_local_domain_come_first(
+    local: &[u64],
+    remote: &[u64],
+    remote_homes: usize,
+    homes: &[u64],
+) {
     // The order of a subject is by its scores: the parameters name engines by their place in it.
     let service = ServiceSpec {
         name: "x".to_owned(),
@@ -24,13 +29,13 @@
         parts: Vec::new(),
     };
     let beyond = ShareLevel::new(2.0);
-    let wish = EngineWish {
+    let query = EngineQuery {
         service: &service,
         prompt: &prompt,
         own_subject: 7,
         tried: &[],
         resumed: false,
-        level: if far_homes == 0 {
+        level: if remote_homes == 0 {
             beyond
         } else {
             ShareLevel::WITHIN
@@ -39,7 +44,7 @@
     let all = (0..100).map(EndpointId);
     let order = best_homes(7, all, 100, |_| true);
     // Places named from 9 down are those of the far engines, the best one first.
-    let engine_at = |place: &u64| match far.contains(place) {
+    let engine_at = |place: &u64| match remote.contains(place) {
         true => order[(10 - *place) as usize],
         false => order[(*place + 10) as usize],
     };
@@ -50,8 +55,8 @@
         });
         ready.collect()
     };
-    let ready = [of_domain(near, 1), of_domain(far, 2)].concat();
-    let found = pick_homes(&wish, &ready, DomainKey(1), |_| true);
+    let ready = [of_domain(local, 1), of_domain(remote, 2)].concat();
+    let found = pick_homes(&query, &ready, DomainKey(1), |_| true);
     let expected: Vec<EndpointId> = homes.iter().map(engine_at).collect();
     assert_eq!(found, expected);
 }
--- a/dockgate/src/gateway/event_stream.rs
+++ b/dockgate/src/gateway/event_stream.rs
@@ -1,12 +1,12 @@
 //! Passes a stream of events on, and goes on at another endpoint where that is allowed.
 
-use super::call::{AdmittedCall, CallTries};
+use super::call::{AdmittedCall, CallAttempts};
 use super::call_body::{BrokenAnswer, CallBody};
 use super::end_check::note_break;
 use super::events::{GatewayEvent, log_gateway};
 use super::gateway_metrics::GATEWAY_METRICS;
 use super::run_guard::RunGuard;
-use super::upstream::{EndpointTarget, UsedConnection};
+use super::upstream::{EndpointTarget, PooledConnection};
 use crate::clock::{ClockInstant, timeout_at};
 use bytes::{Bytes, BytesMut};
 use dockgate_core::gateway::{EndpointOutcome, EventSplitter};
@@ -22,9 +22,9 @@
 
 /// How many times the pause that is in time a resumable stream may pause before it is continued
 /// elsewhere: by then the answer is late, but its caller is still there.
-const PAUSE_PATIENCE: f64 = 4.5;
+const PAUSE_FACTOR: f64 = 4.5;
 /// The longest such pause: callers leave after two seconds. A bound.
-const MOST_PAUSE: Duration = Duration::from_millis(1_500);
+const MAX_PAUSE: Duration = Duration::from_millis(1_500);
 
 /// Where events come from.
 pub(super) struct StreamSource {
@@ -33,7 +33,7 @@
     /// The rest of its answer.
     pub(super) body: Incoming,
     /// Its connection.
-    pub(super) connection: UsedConnection,
+    pub(super) connection: PooledConnection,
     /// What its head said.
     pub(super) head: AnswerHead,
     /// Counts the request there.
@@ -47,7 +47,7 @@
 }
 
 /// Lets the tasks that are ready go first, without a look at the system.
-async fn let_others_run() {
+async fn yield_to_ready_tasks() {
     let mut has_run = false;
     std::future::poll_fn(|context| {
         if std::mem::replace(&mut has_run, true) {
@@ -62,39 +62,39 @@
 /// A stream on its way to a caller.
 pub(super) struct EventStream {
     call: Arc<AdmittedCall>,
-    tries: CallTries,
+    attempts: CallAttempts,
     source: Option<StreamSource>,
     splitter: EventSplitter,
     /// Whole events that were read and not passed on yet.
     ready: Option<Bytes>,
     /// What came behind them.
-    after: Option<StreamStep>,
+    pending_step: Option<StreamStep>,
     ended: bool,
     last_event: Option<u64>,
     events: u64,
     status: StatusCode,
-    first_after: Duration,
+    first_event_age: Duration,
 }
 
 impl EventStream {
     pub(super) fn new(
         call: Arc<AdmittedCall>,
-        tries: CallTries,
+        attempts: CallAttempts,
         source: StreamSource,
         status: StatusCode,
     ) -> Self {
         Self {
             last_event: call.head.last_event,
             call,
-            tries,
+            attempts,
             source: Some(source),
             splitter: EventSplitter::default(),
             ready: None,
-            after: None,
+            pending_step: None,
             ended: false,
             events: 0,
             status,
-            first_after: Duration::ZERO,
+            first_event_age: Duration::ZERO,
         }
     }
 
@@ -103,12 +103,12 @@
     /// # Errors
     ///
     /// Returns the problem where none come; nothing has been passed on then.
-    pub(super) async fn read_first(&mut self, patience: Duration) -> Result<(), &'static str> {
-        match self.read(patience).await {
+    pub(super) async fn read_first(&mut self, timeout: Duration) -> Result<(), &'static str> {
+        match self.read(timeout).await {
             StreamStep::Events(bytes) => {
                 self.ready = Some(bytes);
                 self.call.progress.note_answer();
-                self.first_after = self.call.age();
+                self.first_event_age = self.call.age();
                 Ok(())
             }
             StreamStep::End => {
@@ -143,15 +143,15 @@
             if self.ended {
                 return self.finish();
             }
-            let step = match self.after.take() {
+            let step = match self.pending_step.take() {
                 Some(step) => step,
-                None => self.read(self.pause_patience()).await,
+                None => self.read(self.pause_timeout()).await,
             };
             match step {
                 StreamStep::Events(bytes) => self.ready = Some(self.read_ready(bytes).await),
                 StreamStep::End => self.ended = true,
                 StreamStep::Lost(problem) => {
-                    if let Err(broken) = self.go_on(problem).await {
+                    if let Err(broken) = self.fail_over(problem).await {
                         self.ended = true;
                         self.source = None;
                         return Some((Err(broken), self));
@@ -166,9 +166,9 @@
         self.call.log_answered(
             &source.target.name,
             self.status,
-            self.first_after,
+            self.first_event_age,
             self.events,
-            &self.tries,
+            &self.attempts,
         );
         if !source.head.closes {
             source.connection.keep(source.head.idle);
@@ -176,16 +176,16 @@
         None
     }
 
-    fn pause_patience(&self) -> Duration {
+    fn pause_timeout(&self) -> Duration {
         match self.call.route().may_repeat() {
-            true => MOST_PAUSE.min(self.call.route().pause.mul_f64(PAUSE_PATIENCE)),
-            false => self.call.left(),
+            true => MAX_PAUSE.min(self.call.route().pause.mul_f64(PAUSE_FACTOR)),
+            false => self.call.time_left(),
         }
     }
 
     /// Reads until whole events are there.
-    async fn read(&mut self, patience: Duration) -> StreamStep {
-        let until = self.call.deadline().min(ClockInstant::now() + patience);
+    async fn read(&mut self, timeout: Duration) -> StreamStep {
+        let until = self.call.deadline().min(ClockInstant::now() + timeout);
         loop {
             let Some(source) = self.source.as_mut() else {
                 return StreamStep::Lost("no endpoint");
@@ -193,11 +193,11 @@
             let Ok(frame) = timeout_at(until, source.body.frame()).await else {
                 return StreamStep::Lost("silent for too long");
             };
-            let Some(step) = self.step_of(frame) else {
+            let Some(step) = self.step_for(frame) else {
                 continue;
             };
             if let (StreamStep::Events(_), Some(source)) = (&step, self.source.as_mut()) {
-                source.guard.start();
+                source.guard.note_first_event();
             }
             return step;
         }
@@ -207,25 +207,28 @@
     /// out together takes one call in place of several.
     async fn read_ready(&mut self, first: Bytes) -> Bytes {
         let mut bytes = BytesMut::from(first);
-        while self.after.is_none() {
+        while self.pending_step.is_none() {
             let Some(source) = self.source.as_mut() else {
                 break;
             };
             // The connection hands over one piece at a time, whenever its task runs.
-            let_others_run().await;
+            yield_to_ready_tasks().await;
             let Some(frame) = source.body.frame().now_or_never() else {
                 break;
             };
-            match self.step_of(frame) {
+            match self.step_for(frame) {
                 Some(StreamStep::Events(more)) => bytes.extend_from_slice(&more),
-                step => self.after = step,
+                step => self.pending_step = step,
             }
         }
         bytes.freeze()
     }
 
     /// Tells what a piece of the answer comes to, or nothing where no event is whole yet.
-    fn step_of(&mut self, frame: Option<Result<Frame<Bytes>, hyper::Error>>) -> Option<StreamStep> {
+    fn step_for(
+        &mut self,
+        frame: Option<Result<Frame<Bytes>, hyper::Error>>,
+    ) -> Option<StreamStep> {
         let data = match frame {
             None if self.splitter.is_inside() => {
                 return Some(StreamStep::Lost("ended inside an event"));
@@ -234,7 +237,7 @@
             Some(Err(_)) => return Some(StreamStep::Lost("broke off")),
             Some(Ok(frame)) => frame.into_data().ok()?,
         };
-        match self.take_in(&data) {
+        match self.split_events(&data) {
             Ok(bytes) if bytes.is_empty() => None,
             Ok(bytes) => Some(StreamStep::Events(bytes)),
             Err(problem) => Some(StreamStep::Lost(problem)),
@@ -242,7 +245,7 @@
     }
 
     /// Cuts bytes into events; drops those that the caller has, and finds gaps.
-    fn take_in(&mut self, data: &[u8]) -> Result<Bytes, &'static str> {
+    fn split_events(&mut self, data: &[u8]) -> Result<Bytes, &'static str> {
         let (bytes, events) = self.splitter.push(data).ok_or("an event is too long")?;
         let mut start = 0;
         for event in &events {
@@ -260,12 +263,12 @@
     }
 
     /// Goes on at another endpoint after the one so far was lost.
-    async fn go_on(&mut self, problem: &'static str) -> Result<(), BrokenAnswer> {
+    async fn fail_over(&mut self, problem: &'static str) -> Result<(), BrokenAnswer> {
         self.note_failed();
         // The first endpoint must have stopped before another one goes on.
         let lost = self.source.take().map(|source| source.target);
         if let Some(target) = &lost {
-            note_break(&self.call.state, target, self.call.print());
+            note_break(&self.call.state, target, self.call.fingerprint());
         }
         self.splitter = EventSplitter::default();
         let reason = match self.resume().await {
@@ -287,7 +290,7 @@
         let name = lost.map(|target| target.name).unwrap_or_default();
         log_gateway(&GatewayEvent::BrokenOff {
             request: &self.call.head.id,
-            print: self.call.print().to_string(),
+            print: self.call.fingerprint().to_string(),
             endpoint: &name,
             events: self.events,
             took_ms: self.call.age().as_millis() as u64,
@@ -302,14 +305,14 @@
                 return Err("its caller has left".to_owned());
             }
             // What was passed on stays valid, so the state is that of a request that was sent.
-            match self.call.after_loss(&self.tries, AttemptState::Sent) {
+            match self.call.after_failure(&self.attempts, AttemptState::Sent) {
                 RetryVerdict::Retry => {}
                 RetryVerdict::Report(_) => return Err("no further attempt is allowed".to_owned()),
             }
             let call = self.call.clone();
-            match call.resume(&mut self.tries, self.last_event).await {
+            match call.resume(&mut self.attempts, self.last_event).await {
                 Ok(source) => return Ok(source),
-                Err(problem) if self.tries.endpoints.len() > 4 => return Err(problem),
+                Err(problem) if self.attempts.endpoints.len() > 4 => return Err(problem),
                 Err(problem) => log::debug!("resume {}: {problem}", call.head.id),
             }
         }
--- a/dockgate/src/gateway/gateway_state.rs
+++ b/dockgate/src/gateway/gateway_state.rs
@@ -38,7 +38,7 @@
     /// The box that was told of it.
     pub(super) owner: BoxKey,
     /// The prompt.
-    pub(super) ask: EngineAsk,
+    pub(super) request: EngineAsk,
     /// Whether its first event was seen.
     pub(super) started: bool,
 }
--- a/dockgate/src/gateway/membership.rs
+++ b/dockgate/src/gateway/membership.rs
@@ -8,7 +8,7 @@
 
 use super::datagrams::{EncodedMessage, encode, send_datagram, send_encoded, send_to};
 use super::end_check;
-use super::engine_seek::placed;
+use super::engine_placement::placed_message;
 use super::events::{GatewayEvent, log_gateway};
 use super::gateway_state::{GatewayBeliefs, GatewayState};
 use super::quarantine;
@@ -239,7 +239,10 @@
             let owner = owner_of(run.endpoint).filter(|owner| is_due(*owner, run.owner));
             if let Some(owner) = owner {
                 run.owner = owner;
-                due.push((owner, placed(*number, run.endpoint, &run.ask, run.started)));
+                due.push((
+                    owner,
+                    placed_message(*number, run.endpoint, &run.request, run.started),
+                ));
             }
         }
         (due, reads.take_due(owner_of, is_due))
--- a/dockgate/src/gateway/notices.rs
+++ b/dockgate/src/gateway/notices.rs
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 
 /// Takes in what the answer to `request` says of its endpoint.
-pub(super) fn hear(
+pub(super) fn receive_notice(
     state: &GatewayState,
     target: &EndpointTarget,
     request: &str,
@@ -22,20 +22,20 @@
         return;
     }
     GATEWAY_METRICS.note_notice(notice);
-    let news = state.with(|beliefs| {
+    let updates = state.with(|beliefs| {
         let draw = rand::random();
         beliefs
             .endpoints
             .receive_notice(target.id, notice, now_ms(), draw)
     });
     let endpoint = &target.name;
-    for news in news {
-        log_gateway(&match news {
+    for update in updates {
+        log_gateway(&match update {
             NoticeUpdate::Leaving => GatewayEvent::EndpointLeaves { endpoint, request },
-            NoticeUpdate::BackoffRequested(rest) => GatewayEvent::EndpointRests {
+            NoticeUpdate::BackoffRequested(backoff) => GatewayEvent::EndpointRests {
                 endpoint,
                 request,
-                for_ms: rest.as_millis() as u64,
+                for_ms: backoff.as_millis() as u64,
             },
         });
     }
@@ -44,7 +44,7 @@
 /// Tells the box that decides for an engine that it leaves, so that those who ask it need not find out by themselves.
 ///
 /// Of hundreds of boxes each sends to one engine every few seconds.
-pub(super) fn tell_owner(state: &GatewayState, target: &EndpointTarget) {
+pub(super) fn report_leaving(state: &GatewayState, target: &EndpointTarget) {
     let owner = state.with(|beliefs| {
         let entry = beliefs.endpoints.get(target.id)?;
         let domain = &entry.record.domain;
@@ -57,7 +57,7 @@
 }
 
 /// Takes in another box's word that an endpoint leaves.
-pub(super) fn hear_told(state: &GatewayState, endpoint: EndpointId) {
+pub(super) fn receive_reported_leave(state: &GatewayState, endpoint: EndpointId) {
     let is_believed =
         state.with(|beliefs| beliefs.endpoints.receive_reported_leave(endpoint, now_ms()));
     GATEWAY_METRICS.note_told(is_believed);
--- a/dockgate/src/gateway/peer_net.rs
+++ b/dockgate/src/gateway/peer_net.rs
@@ -3,11 +3,13 @@
 //! A verdict that does not come in time is replaced by the entry's own.
 
 use super::datagrams::send_datagram;
-use super::engine_seek::{decide_here, hear_engine, note_cached_here, place_here};
+use super::engine_placement::{
+    decide_locally, place_locally, receive_engine_report, record_cached,
+};
 use super::gateway_metrics::GATEWAY_METRICS;
 use super::gateway_state::GatewayState;
 use super::membership::{hear_beat, hear_digest};
-use super::notices::hear_told;
+use super::notices::receive_reported_leave;
 use super::quarantine;
 use crate::clock::now_ms;
 use crate::metrics::METRICS;
@@ -76,7 +78,7 @@
             backlog_ms,
             speed,
         } => {
-            hear_engine(state, endpoint, backlog_ms, speed);
+            receive_engine_report(state, endpoint, backlog_ms, speed);
             let waiting = state.with(|beliefs| beliefs.seeks.remove(&run));
             let taken = waiting.is_some_and(|waiting| waiting.send(verdict).is_ok());
             // Too late: the prompt has gone elsewhere by now.
@@ -91,13 +93,13 @@
             started,
         } => {
             let key = run_of(run);
-            place_here(state, endpoint, key, &request);
+            place_locally(state, endpoint, key, &request);
             if started {
                 state.with(|beliefs| beliefs.engines.start(endpoint, key, now, true));
             }
         }
         GatewayMessage::PartsRead { endpoint, parts } => {
-            note_cached_here(state, endpoint, &parts);
+            record_cached(state, endpoint, &parts);
         }
         GatewayMessage::Started { run, endpoint } => {
             let key = run_of(run);
@@ -107,7 +109,7 @@
             let key = run_of(run);
             state.with(|beliefs| beliefs.engines.end(endpoint, key));
         }
-        GatewayMessage::EndpointLeaving { endpoint } => hear_told(state, endpoint),
+        GatewayMessage::EndpointLeaving { endpoint } => receive_reported_leave(state, endpoint),
         GatewayMessage::Suspects { rows } => quarantine::hear(state, from, &rows),
     }
 }
@@ -120,7 +122,7 @@
     key: RunKey,
     ask: &EngineAsk,
 ) -> Option<GatewayMessage> {
-    let verdict = decide_here(state, endpoint, key, ask, 0)?;
+    let verdict = decide_locally(state, endpoint, key, ask, 0)?;
     state.with(|beliefs| {
         let load = beliefs.engines.get(endpoint)?;
         Some(GatewayMessage::Verdict {
--- a/dockgate/src/gateway/run_guard.rs
+++ b/dockgate/src/gateway/run_guard.rs
@@ -35,17 +35,17 @@
         endpoint: EndpointId,
         number: u32,
         owner: BoxKey,
-        ask: EngineAsk,
+        request: EngineAsk,
     ) -> Self {
         let run = PlacedRun {
             endpoint,
             owner,
-            ask,
+            request,
             started: false,
         };
         state.with(|beliefs| {
             beliefs.endpoints.note_sent(endpoint, now_ms());
-            beliefs.reads.note(endpoint, owner, &run.ask.parts);
+            beliefs.reads.note(endpoint, owner, &run.request.parts);
             beliefs.runs.insert(number, run);
         });
         Self {
@@ -57,21 +57,21 @@
     }
 
     /// Notes what was seen of the endpoint.
-    pub(super) fn note(&self, sign: EndpointOutcome) {
+    pub(super) fn note(&self, outcome: EndpointOutcome) {
         let now = now_ms();
         self.state
-            .with(|beliefs| beliefs.endpoints.note_sign(self.endpoint, sign, now));
+            .with(|beliefs| beliefs.endpoints.note_sign(self.endpoint, outcome, now));
     }
 
     /// Notes what a lost attempt says of the endpoint, if anything.
-    pub(super) fn note_loss(&self, sign: Option<EndpointOutcome>) {
-        if let Some(sign) = sign {
-            self.note(sign);
+    pub(super) fn note_failure(&self, outcome: Option<EndpointOutcome>) {
+        if let Some(outcome) = outcome {
+            self.note(outcome);
         }
     }
 
     /// Notes the first event.
-    pub(super) fn start(&mut self) {
+    pub(super) fn note_first_event(&mut self) {
         if std::mem::replace(&mut self.started, true) {
             return;
         }
@@ -89,7 +89,7 @@
             beliefs.engines.start(self.endpoint, key, now_ms(), decides);
             owner
         });
-        self.tell(
+        self.notify_owner(
             owner,
             GatewayMessage::Started {
                 run: number,
@@ -98,7 +98,7 @@
         );
     }
 
-    fn tell(&self, owner: Option<BoxKey>, message: GatewayMessage) {
+    fn notify_owner(&self, owner: Option<BoxKey>, message: GatewayMessage) {
         if let Some(owner) = owner.filter(|owner| *owner != self.state.me()) {
             send_to(&self.state, owner, message);
         }
@@ -115,7 +115,7 @@
             beliefs.runs.remove(&key.number).map(|run| run.owner)
         });
         if let Some(run) = self.number {
-            self.tell(
+            self.notify_owner(
                 owner,
                 GatewayMessage::Ended {
                     run,
--- a/dockgate/src/gateway/upstream.rs
+++ b/dockgate/src/gateway/upstream.rs
@@ -24,10 +24,10 @@
 /// off says nothing. Callers of plain services wait 100 ms for an answer in time.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 /// How long a connection may rest where the endpoint does not say; below what servers usually allow.
-const REST: Duration = Duration::from_secs(4);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 /// How much sooner than the endpoint a resting connection is given up: a request must not cross the
 /// endpoint's close.
-const REST_MARGIN: Duration = Duration::from_millis(700);
+const IDLE_MARGIN: Duration = Duration::from_millis(700);
 
 /// Where a request is sent.
 #[derive(Debug, Clone)]
@@ -50,7 +50,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct ConnectionLimits {
     /// Up to this many a connection may rest after its answer.
-    resting: usize,
+    idle: usize,
     /// Up to this many a connection may be opened.
     open: usize,
 }
@@ -58,19 +58,20 @@
 impl ConnectionLimits {
     /// The part of what an endpoint takes that boxes divide evenly: the rest is left for slots in
     /// use beyond an even part, and for boxes that are not seen.
-    const EVEN_PART: f64 = 0.8;
+    const SHARED_FRACTION: f64 = 0.8;
     /// How many connections a box may use at least, in slots of the endpoint: as many as it runs
     /// and as many as wait there.
-    const LEAST_SLOTS: usize = 2;
+    const MIN_SLOT_MULTIPLE: usize = 2;
 
     /// Divides what an endpoint with `slots` slots takes among the boxes that live.
-    pub(super) fn new(most: usize, slots: u32, live_boxes: u32) -> Self {
-        let even = most as f64 * Self::EVEN_PART / f64::from(live_boxes.max(2));
-        let resting = (even as usize).max(1);
-        let used = (slots as usize * Self::LEAST_SLOTS).min(most);
+    pub(super) fn new(max_connections: usize, slots: u32, live_boxes: u32) -> Self {
+        let even_share =
+            max_connections as f64 * Self::SHARED_FRACTION / f64::from(live_boxes.max(2));
+        let idle = (even_share as usize).max(1);
+        let min_open = (slots as usize * Self::MIN_SLOT_MULTIPLE).min(max_connections);
         Self {
-            resting,
-            open: resting.max(used),
+            idle,
+            open: idle.max(min_open),
         }
     }
 }
@@ -83,7 +84,7 @@
     /// The endpoint cannot be reached; nothing was sent.
     Unreachable(String),
     /// A connection to the endpoint did not open in time; nothing was sent.
-    Silent(String),
+    ConnectTimeout(String),
     /// This box has as many connections there as it may; nothing was sent.
     NoConnection,
     /// It is not to be sent any more; nothing was sent.
@@ -99,22 +100,22 @@
     abort: StreamAbort,
 }
 
-struct RestingConnection {
+struct IdleConnection {
     connection: OpenConnection,
     until_ms: u64,
 }
 
 #[derive(Default)]
 struct EndpointPool {
-    resting: Vec<RestingConnection>,
+    idle: Vec<IdleConnection>,
     open: usize,
 }
 
 impl EndpointPool {
     /// Closes the connections that rest; they are not open any more.
-    fn close_resting(&mut self) {
-        self.open = self.open.saturating_sub(self.resting.len());
-        self.resting.clear();
+    fn close_idle(&mut self) {
+        self.open = self.open.saturating_sub(self.idle.len());
+        self.idle.clear();
     }
 }
 
@@ -134,26 +135,26 @@
         self.locked().retain(|id, pool| {
             let keep = kept.contains(id);
             if !keep {
-                pool.close_resting();
+                pool.close_idle();
             }
             keep || pool.open > 0
         });
     }
 
     /// Closes the resting connections to some endpoints: what is sent on one whose link is cut is lost.
-    pub(super) fn drop_resting(&self, endpoints: &[EndpointId]) {
+    pub(super) fn close_idle_to(&self, endpoints: &[EndpointId]) {
         let mut pools = self.locked();
         for id in endpoints {
             if let Some(pool) = pools.get_mut(id) {
-                pool.close_resting();
+                pool.close_idle();
             }
         }
     }
 
     /// Closes all resting connections.
-    pub(super) fn drop_all_resting(&self) {
+    pub(super) fn close_all_idle(&self) {
         let mut pools = self.locked();
-        pools.values_mut().for_each(EndpointPool::close_resting);
+        pools.values_mut().for_each(EndpointPool::close_idle);
     }
 
     /// Returns how many connections are open.
@@ -162,14 +163,14 @@
     }
 
     /// Takes the connection that rested last, as it is the least likely to be closed.
-    fn take_resting(&self, id: EndpointId) -> Option<OpenConnection> {
+    fn take_idle(&self, id: EndpointId) -> Option<OpenConnection> {
         let mut pools = self.locked();
         let pool = pools.get_mut(&id)?;
         let now = now_ms();
-        while let Some(resting) = pool.resting.pop() {
-            let sound = resting.until_ms > now && !resting.connection.sender.is_closed();
-            if sound {
-                return Some(resting.connection);
+        while let Some(idle) = pool.idle.pop() {
+            let is_usable = idle.until_ms > now && !idle.connection.sender.is_closed();
+            if is_usable {
+                return Some(idle.connection);
             }
             pool.open -= 1;
         }
@@ -194,10 +195,10 @@
     }
 
     /// Keeps a connection for the next request, or closes it where there are more than may rest.
-    fn rest(&self, target: PoolKey, connection: OpenConnection, until_ms: u64) {
+    fn keep_idle(&self, target: PoolKey, connection: OpenConnection, until_ms: u64) {
         match self.locked().get_mut(&target.id) {
-            Some(pool) if pool.open <= target.resting => {
-                pool.resting.push(RestingConnection {
+            Some(pool) if pool.open <= target.idle => {
+                pool.idle.push(IdleConnection {
                     connection,
                     until_ms,
                 });
@@ -212,20 +213,20 @@
 #[derive(Debug, Clone, Copy)]
 struct PoolKey {
     id: EndpointId,
-    resting: usize,
+    idle: usize,
 }
 
 impl From<&EndpointTarget> for PoolKey {
     fn from(target: &EndpointTarget) -> Self {
         Self {
             id: target.id,
-            resting: target.limits.resting,
+            idle: target.limits.idle,
         }
     }
 }
 
 /// A connection that is in use; closes when it is dropped.
-pub(super) struct UsedConnection {
+pub(super) struct PooledConnection {
     pools: Arc<EndpointPools>,
     pool: PoolKey,
     connection: Option<OpenConnection>,
@@ -233,27 +234,27 @@
     is_answered: bool,
 }
 
-impl UsedConnection {
+impl PooledConnection {
     /// Keeps the connection for the next request, after a whole answer.
     ///
     /// `idle` is how long the endpoint says that it keeps it.
     pub(super) fn keep(mut self, idle: Option<Duration>) {
-        let rest = idle.map_or(REST, |idle| idle.saturating_sub(REST_MARGIN));
+        let keep_alive = idle.map_or(IDLE_TIMEOUT, |idle| idle.saturating_sub(IDLE_MARGIN));
         let connection = self
             .connection
             .take()
-            .filter(|connection| !connection.sender.is_closed() && !rest.is_zero());
+            .filter(|connection| !connection.sender.is_closed() && !keep_alive.is_zero());
         match connection {
             Some(connection) => {
-                let until_ms = now_ms() + rest.as_millis() as u64;
-                self.pools.rest(self.pool, connection, until_ms);
+                let until_ms = now_ms() + keep_alive.as_millis() as u64;
+                self.pools.keep_idle(self.pool, connection, until_ms);
             }
             None => self.pools.release(self.pool.id),
         }
     }
 }
 
-impl Drop for UsedConnection {
+impl Drop for PooledConnection {
     fn drop(&mut self) {
         let Some(connection) = self.connection.take() else {
             return;
@@ -271,7 +272,7 @@
 async fn open(
     pools: &Arc<EndpointPools>,
     target: &EndpointTarget,
-) -> Result<UsedConnection, SendFailure> {
+) -> Result<PooledConnection, SendFailure> {
     if !pools.reserve(target) {
         return Err(SendFailure::NoConnection);
     }
@@ -289,7 +290,7 @@
     let stream = connect(target.address, CONNECT_TIMEOUT)
         .await
         .map_err(|error| match error.kind() {
-            ErrorKind::TimedOut => SendFailure::Silent(error.to_string()),
+            ErrorKind::TimedOut => SendFailure::ConnectTimeout(error.to_string()),
             ErrorKind::ConnectionRefused => SendFailure::Refused(error.to_string()),
             _ => unreachable(error.to_string()),
         })?;
@@ -306,7 +307,7 @@
         }
     });
     reservation.2 = true;
-    Ok(UsedConnection {
+    Ok(PooledConnection {
         pools: pools.clone(),
         pool: target.into(),
         connection: Some(OpenConnection {
@@ -331,16 +332,16 @@
     target: &EndpointTarget,
     request: Request<Full<Bytes>>,
     condition: &SendCondition,
-) -> Result<(Response<Incoming>, UsedConnection), SendFailure> {
+) -> Result<(Response<Incoming>, PooledConnection), SendFailure> {
     let mut request = request;
-    while let Some(connection) = pools.take_resting(target.id) {
-        let resting = UsedConnection {
+    while let Some(connection) = pools.take_idle(target.id) {
+        let idle = PooledConnection {
             pools: pools.clone(),
             pool: target.into(),
             connection: Some(connection),
             is_answered: false,
         };
-        match exchange(resting, request, condition).await {
+        match exchange(idle, request, condition).await {
             Ok(answer) => return Ok(answer),
             Err(ExchangeFailure::NotSent(unsent)) => request = *unsent,
             Err(ExchangeFailure::Withheld(reason)) => return Err(SendFailure::Withheld(reason)),
@@ -367,21 +368,21 @@
 }
 
 async fn exchange(
-    mut used: UsedConnection,
+    mut pooled: PooledConnection,
     request: Request<Full<Bytes>>,
     condition: &SendCondition,
-) -> Result<(Response<Incoming>, UsedConnection), ExchangeFailure> {
-    let Some(connection) = used.connection.as_mut() else {
+) -> Result<(Response<Incoming>, PooledConnection), ExchangeFailure> {
+    let Some(connection) = pooled.connection.as_mut() else {
         return Err(ExchangeFailure::NotSent(Box::new(request)));
     };
     if connection.sender.ready().await.is_err() {
         return Err(ExchangeFailure::NotSent(Box::new(request)));
     }
-    connection.gate.expect(condition);
+    connection.gate.set_condition(condition);
     let mut error = match connection.sender.try_send_request(request).await {
         Ok(response) => {
-            used.is_answered = true;
-            return Ok((response, used));
+            pooled.is_answered = true;
+            return Ok((response, pooled));
         }
         Err(error) => error,
     };
@@ -389,12 +390,12 @@
     Err(match (connection.gate.withheld(), unsent) {
         (Some(reason), _) => ExchangeFailure::Withheld(reason),
         (None, Some(unsent)) => ExchangeFailure::NotSent(Box::new(unsent)),
-        (None, None) => ExchangeFailure::Lost(describe(&error.into_error())),
+        (None, None) => ExchangeFailure::Lost(error_with_cause(&error.into_error())),
     })
 }
 
 /// Writes an error with its causes.
-fn describe(error: &hyper::Error) -> String {
+fn error_with_cause(error: &hyper::Error) -> String {
     let cause = std::error::Error::source(error);
     cause.map_or_else(|| error.to_string(), |cause| format!("{error}: {cause}"))
 }
--- a/dockgate/src/gateway/upstream/endpoint_io.rs
+++ b/dockgate/src/gateway/upstream/endpoint_io.rs
@@ -16,25 +16,25 @@
 #[derive(Clone)]
 pub(in super::super) struct SendCondition {
     caller: PeerPresence,
-    is_wanted: Arc<dyn Fn() -> bool + Send + Sync>,
+    is_accepted: Arc<dyn Fn() -> bool + Send + Sync>,
 }
 
 impl SendCondition {
     /// Sends a request of `caller` if its endpoint still wants it.
     pub(in super::super) fn new(
         caller: &PeerPresence,
-        is_wanted: impl Fn() -> bool + Send + Sync + 'static,
+        is_accepted: impl Fn() -> bool + Send + Sync + 'static,
     ) -> Self {
         Self {
             caller: caller.clone(),
-            is_wanted: Arc::new(is_wanted),
+            is_accepted: Arc::new(is_accepted),
         }
     }
 
     fn withheld(&self) -> Option<WithheldReason> {
         match () {
             () if self.caller.has_left() => Some(WithheldReason::CallerLeft),
-            () if !(self.is_wanted)() => Some(WithheldReason::Unwanted),
+            () if !(self.is_accepted)() => Some(WithheldReason::Unwanted),
             () => None,
         }
     }
@@ -68,7 +68,7 @@
 
 impl SendGate {
     /// Names the condition of the request that is written next.
-    pub(super) fn expect(&self, condition: &SendCondition) {
+    pub(super) fn set_condition(&self, condition: &SendCondition) {
         *locked(&self.condition) = Some(condition.clone());
     }
 
@@ -85,7 +85,7 @@
     /// # Errors
     ///
     /// Returns an error where it does not hold: nothing is written then.
-    fn pass(&self) -> io::Result<()> {
+    fn check(&self) -> io::Result<()> {
         let condition = locked(&self.condition).take();
         let Some(reason) = condition.and_then(|condition| condition.withheld()) else {
             return Ok(());
@@ -131,7 +131,7 @@
         context: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
-        self.gate.pass()?;
+        self.gate.check()?;
         Pin::new(&mut self.stream).poll_write(context, bytes)
     }
 
@@ -140,7 +140,7 @@
         context: &mut Context<'_>,
         slices: &[IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        self.gate.pass()?;
+        self.gate.check()?;
         Pin::new(&mut self.stream).poll_write_vectored(context, slices)
     }
 
--- a/dockgate/src/gateway/upstream/tests.rs
+++ b/dockgate/src/gateway/upstream/tests.rs
@@ -13,32 +13,32 @@
 fn one_box_can_use_all_slots_of_an_endpoint() {
     let limits = ConnectionLimits::new(580, 32, 64);
     assert!(limits.open >= 32, "{limits:?}");
-    assert!(limits.resting <= 9, "{limits:?}");
+    assert!(limits.idle <= 9, "{limits:?}");
 }
 
 proptest! {
     /// What rests everywhere and what all slots use is never more than the endpoint takes.
     #[test]
-    fn all_boxes_together_stay_within_what_an_endpoint_takes(
-        most in 40_usize..2_000,
+    fn all_boxes_together_stay_within_the_connection_limit(
+        max_connections in 40_usize..2_000,
         slots in 1_u32..64,
         boxes in 2_u32..400,
     ) {
-        prop_assume!(slots as usize * 10 <= most * 2 && boxes as usize <= most / 2);
-        let limits = ConnectionLimits::new(most, slots, boxes);
-        let all = limits.resting * boxes as usize + slots as usize;
-        prop_assert!(all <= most, "{limits:?} over {boxes} boxes: {all} of {most}");
-        prop_assert!(limits.resting >= 1 && limits.open >= limits.resting);
-        prop_assert!(limits.open <= most);
+        prop_assume!(slots as usize * 10 <= max_connections * 2 && boxes as usize <= max_connections / 2);
+        let limits = ConnectionLimits::new(max_connections, slots, boxes);
+        let total = limits.idle * boxes as usize + slots as usize;
+        prop_assert!(total <= max_connections, "{limits:?} over {boxes} boxes: {total} of {max_connections}");
+        prop_assert!(limits.idle >= 1 && limits.open >= limits.idle);
+        prop_assert!(limits.open <= max_connections);
     }
 }
 
 /// When the caller of a request leaves.
 #[derive(Debug, Clone, Copy)]
 enum CallerLeaves {
-    BeforeItIsSent,
+    BeforeSend,
     /// Once the task of the endpoint's connection has the request, and before that task runs.
-    BeforeItIsWritten,
+    BeforeWrite,
 }
 
 /// Answers the first request on one connection, and returns what comes behind it.
@@ -50,10 +50,10 @@
     }
     let answer = b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n";
     stream.write_all(answer).await.unwrap();
-    let mut behind = Vec::new();
+    let mut trailing = Vec::new();
     // A connection that is reset has nothing more to tell either.
-    let _ = stream.read_to_end(&mut behind).await;
-    behind
+    let _ = stream.read_to_end(&mut trailing).await;
+    trailing
 }
 
 /// Users saw endpoints get requests long after the callers had left, at a small box. It had read the
@@ -65,11 +65,11 @@
 /// more than 500 ms after their callers had closed their connections, one box 5.8 s after; at the moment
 /// of each of these writes the system knew that the caller had gone.
 #[parameterized(
-    before_it_is_sent = { CallerLeaves::BeforeItIsSent },
-    before_it_is_written = { CallerLeaves::BeforeItIsWritten },
+    before_send = { CallerLeaves::BeforeSend },
+    before_write = { CallerLeaves::BeforeWrite },
 )]
 #[test_macro(tokio::test)]
-async fn nothing_is_written_for_a_caller_who_has_left(leaves: CallerLeaves) {
+async fn nothing_is_written_for_a_caller_that_has_left(leaves: CallerLeaves) {
     const PATIENCE: Duration = Duration::from_millis(500);
     let listener = TcpListener::bind(("127.0.0.1", 0)).await.unwrap();
     let target = EndpointTarget {
@@ -88,7 +88,7 @@
     connection.keep(None);
 
     let mut sending = Box::pin(send(&pools, &target, request(), &condition));
-    if matches!(leaves, CallerLeaves::BeforeItIsWritten) {
+    if matches!(leaves, CallerLeaves::BeforeWrite) {
         assert!(futures::poll!(&mut sending).is_pending());
     }
     drop(caller);
@@ -97,14 +97,14 @@
     let sent = tokio::time::timeout(PATIENCE, &mut sending).await;
     assert!(!matches!(sent, Ok(Ok(_))), "there is no answer");
     drop(sending);
-    let behind = endpoint.await.unwrap();
-    assert_eq!(String::from_utf8_lossy(&behind), "");
+    let trailing = endpoint.await.unwrap();
+    assert_eq!(String::from_utf8_lossy(&trailing), "");
 }
 
 /// Where a request goes is decided on what was heard by then. On a box that is late its first byte stands in the queue
 /// behind the answer that says the endpoint takes nothing more.
 #[tokio::test]
-async fn nothing_is_written_that_its_endpoint_does_not_want_any_more() {
+async fn nothing_is_written_to_an_endpoint_that_stopped_accepting() {
     let listener = TcpListener::bind(("127.0.0.1", 0)).await.unwrap();
     let target = EndpointTarget {
         id: EndpointId::from_name("life-1"),
@@ -114,10 +114,10 @@
     };
     let endpoint = tokio::spawn(answer_first(listener));
     let (_caller, accepted) = pair().await;
-    let wants = Arc::new(AtomicBool::new(true));
-    let is_wanted = wants.clone();
+    let accepts = Arc::new(AtomicBool::new(true));
+    let is_accepted = accepts.clone();
     let condition = SendCondition::new(&accepted.presence(), move || {
-        is_wanted.load(Ordering::Relaxed)
+        is_accepted.load(Ordering::Relaxed)
     });
     let pools = Arc::<EndpointPools>::default();
     let request = || Request::new(Full::new(Bytes::new()));
@@ -127,10 +127,10 @@
 
     let mut sending = Box::pin(send(&pools, &target, request(), &condition));
     assert!(futures::poll!(&mut sending).is_pending());
-    wants.store(false, Ordering::Relaxed);
+    accepts.store(false, Ordering::Relaxed);
     let sent = sending.await;
     let reason = WithheldReason::Unwanted;
     assert!(matches!(sent, Err(SendFailure::Withheld(withheld)) if withheld == reason));
-    let behind = endpoint.await.unwrap();
-    assert_eq!(String::from_utf8_lossy(&behind), "");
+    let trailing = endpoint.await.unwrap();
+    assert_eq!(String::from_utf8_lossy(&trailing), "");
 }
--- a/dockgate/src/gateway/waking.rs
+++ b/dockgate/src/gateway/waking.rs
@@ -29,7 +29,7 @@
     state.forget_reach();
     // Who answers a connection is known once it is made anew: one that rested may be long dead, and what may run
     // once cannot be sent again where it is.
-    state.pools.drop_all_resting();
+    state.pools.close_all_idle();
     send_beat(state);
     state.decide_role();
 }
