--- a/dockgate/src/gateway/call.rs
+++ b/dockgate/src/gateway/call.rs
@@ -1,4 +1,4 @@
-//! One request of a caller, from its head to its answer.
+//! Serves one request of a caller: admission, placement, sending and the answer.
 
 mod admitted_call;
 mod attempt_failure;
@@ -20,21 +20,21 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A request that gets no endpoint's answer.
+/// Why a request is refused without an endpoint's answer.
 #[derive(Debug, Clone)]
 pub(super) struct CallRefusal {
-    /// Why.
+    /// The reason reported to the caller.
     pub(super) reason: RefusalReason,
-    /// When the caller should come back, where that makes sense.
+    /// The delay after which the caller should retry, if a retry makes sense.
     pub(super) retry_after: Option<Duration>,
-    /// The engines that were asked, for prompts.
+    /// The engines that declined, for prompts.
     pub(super) asked: Vec<AskedEngine>,
-    /// How many times its share the workspace has had, for prompts.
+    /// The usage of the workspace as a multiple of its share, for prompts.
     pub(super) share: Option<f64>,
 }
 
 impl CallRefusal {
-    /// Refuses a request that may come back after a time.
+    /// Creates a refusal that asks the caller to retry after a delay.
     pub(super) const fn with_retry(reason: RefusalReason, after: Duration) -> Self {
         Self {
             reason,
@@ -56,7 +56,7 @@
     }
 }
 
-/// Serves a request of `caller`.
+/// Serves a request of `caller` and logs the outcome if it is refused.
 pub(super) async fn serve_call(
     state: Arc<GatewayState>,
     request: Request<Incoming>,
@@ -67,7 +67,7 @@
             let call = Arc::new(call);
             match call.clone().run().await {
                 Ok(response) => response,
-                // Nobody reads it, and the end of the request has a line of its own.
+                // Nobody reads this response; the drop of the call logs that the caller left.
                 Err(refusal) if refusal.reason == RefusalReason::CallerLeft => {
                     refusal_response(&call.head.id, refusal.reason, None)
                 }
--- a/dockgate/src/gateway/call/admitted_call.rs
+++ b/dockgate/src/gateway/call/admitted_call.rs
@@ -1,4 +1,4 @@
-//! Reads a request, and finds its route, workspace and time.
+//! Reads a request and resolves its route, service, workspace and deadline.
 
 use super::super::events::{GatewayEvent, log_gateway};
 use super::super::gateway_metrics::GATEWAY_METRICS;
@@ -24,62 +24,61 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// When a box without a configuration, without endpoints or short of processor is worth another
-/// try: by then callers may be sent to another one.
+/// Retry delay from a box that has no configuration or no endpoints, or is short of processor: by
+/// then the load balancer may send callers to another box.
 const RETRY_SOON: Duration = Duration::from_millis(400);
 
-/// How long a request waits for a box that was suspended to know the present. A bound, above that of the gate.
+/// How long a request waits for the state of a box to be refreshed after a suspension. Longer than
+/// the bound of the resume gate.
 const MAX_RESUME_WAIT: Duration = Duration::from_millis(1_500);
 
-/// When a request that meets a box about to end should come back: at once, to another box.
+/// Retry delay from a box that is about to stop: the caller should use another box at once.
 const RETRY_ELSEWHERE: Duration = Duration::from_millis(20);
 
-/// A request that is turned away before anything is decided.
+/// A request that is rejected before it is placed.
 pub(super) struct RejectedRequest {
-    /// Its id, as far as it has one.
+    /// The request id, or empty if its head could not be decoded.
     pub(super) id: String,
-    /// Its route, as far as that was found.
+    /// The name of its route, or empty if none was found.
     pub(super) route: String,
-    /// Its workspace, as far as that was found.
+    /// The name of its workspace, or empty if none was found.
     pub(super) workspace: String,
-    /// Why.
+    /// The refusal sent to the caller.
     pub(super) refusal: CallRefusal,
-    /// The version of the configuration that decided.
+    /// The version of the configuration in force.
     pub(super) config: u64,
-    /// How old that configuration is here.
+    /// The age of that configuration on this box.
     pub(super) config_age_ms: u64,
-    /// How old the last news of an endpoint is here.
+    /// The age of the last endpoint update on this box.
     pub(super) endpoints_age_ms: u64,
 }
 
-/// What was tried for a request.
+/// The attempts made for a request so far.
 #[derive(Debug, Clone, Default)]
 pub(in super::super) struct CallAttempts {
-    /// How many endpoints it was sent to.
+    /// The number of endpoints the request was sent to.
     pub(in super::super) sent: u32,
-    /// The endpoints that were tried.
+    /// The endpoints that were tried, including those that were not reached.
     pub(in super::super) endpoints: Vec<EndpointId>,
-    /// What may be said of it.
+    /// The states in which the attempts ended.
     pub(in super::super) trail: AttemptTrail,
 }
 
-/// A request with a route, whose body is here.
+/// A request whose body was read and whose route was found.
 pub(in super::super) struct AdmittedCall {
-    /// What the box believes.
+    /// The state of the gateway.
     pub(in super::super) state: Arc<GatewayState>,
-    /// What the caller says.
+    /// The decoded head of the request.
     pub(in super::super) head: CallHead,
-    /// The headers as they came.
+    /// The headers as received.
     pub(in super::super) headers: HeaderMap,
-    /// The method.
     pub(in super::super) method: Method,
-    /// Path and query.
+    /// The path and query.
     pub(in super::super) uri: Uri,
-    /// The body.
     pub(in super::super) body: Bytes,
-    /// Tells whether the caller is still there.
+    /// Whether the caller is still connected.
     pub(in super::super) caller: PeerPresence,
-    /// How far it has come.
+    /// How far the request has progressed.
     pub(in super::super) progress: CallProgress,
     table: Arc<RouteTable>,
     route: RouteKey,
@@ -90,52 +89,49 @@
 }
 
 impl AdmittedCall {
-    /// Returns its route.
     pub(in super::super) fn route(&self) -> &RouteSpec {
         self.table.route(self.route)
     }
 
-    /// Returns the service that it goes to.
     pub(in super::super) fn service(&self) -> &ServiceSpec {
         self.table.service(self.service)
     }
 
-    /// Returns the name of its workspace, or nothing where it has none.
+    /// Returns the name of the workspace, or an empty string if there is none.
     pub(in super::super) fn workspace_name(&self) -> &str {
         workspace_name(&self.table, self.workspace)
     }
 
-    /// Returns how long its prompt is, where it has one.
+    /// Returns the length of the prompt in tokens, if the request has one.
     pub(in super::super) fn prompt_tokens(&self) -> Option<u32> {
         self.head.prompt.as_ref().map(|prompt| prompt.input)
     }
 
-    /// Returns the version of the configuration that routed it.
+    /// Returns the version of the configuration that routed the request.
     pub(in super::super) fn config_version(&self) -> u64 {
         self.table.config().version
     }
 
-    /// Returns how long it has been here.
+    /// Returns the time since the request arrived.
     pub(in super::super) fn age(&self) -> Duration {
         self.arrived.elapsed()
     }
 
-    /// Returns when its time is over.
     pub(in super::super) const fn deadline(&self) -> ClockInstant {
         self.deadline
     }
 
-    /// Returns how much of its time is left.
+    /// Returns the time left until the deadline.
     pub(in super::super) fn time_left(&self) -> Duration {
         self.deadline.left()
     }
 
-    /// Returns how much of its objective is left.
+    /// Returns the time left until the objective of the route is missed.
     pub(in super::super) fn objective_left(&self) -> Duration {
         self.route().objective.saturating_sub(self.age())
     }
 
-    /// Returns what an engine is asked to do, where the request has a prompt.
+    /// Returns the admission request for an engine, if the request has a prompt.
     pub(in super::super) fn admission_request(&self) -> Option<EngineAsk> {
         let prompt = self.head.prompt.as_ref()?;
         let shortest = self.table.tightest_objective(self.service);
@@ -152,7 +148,7 @@
 }
 
 impl Drop for AdmittedCall {
-    /// Notes a request that ends without an answer or a refusal: nobody is there any more to get one.
+    /// Logs a request that ends without an answer or a refusal, since its caller has left.
     fn drop(&mut self) {
         if self.progress.has_ended() {
             return;
@@ -170,11 +166,11 @@
     }
 }
 
-/// Reads a request up to the end of its body.
+/// Reads a request up to the end of its body and decides whether this box serves it.
 ///
 /// # Errors
 ///
-/// Returns why it is turned away; nothing has been sent anywhere then.
+/// Returns the rejection if it does not; nothing has been sent to an endpoint then.
 pub(super) async fn admit(
     state: Arc<GatewayState>,
     request: Request<Incoming>,
@@ -207,7 +203,8 @@
         service,
         workspace,
     } = found;
-    // After the body: an answer that leaves a body unread may be lost with its connection.
+    // These checks follow the body: an answer that leaves a body unread may be lost when the
+    // connection is closed.
     let route_spec = table.route(route);
     let objective_ms = route_spec.objective.as_millis() as u64;
     let name = workspace_name(&table, workspace);
@@ -257,11 +254,13 @@
     })
 }
 
-/// Counts a request of a workspace, with so many service units of prompts.
+/// Counts a request of a workspace and sheds it with the probability that the load requires.
+///
+/// `units` is the size of its prompt in service units.
 ///
 /// # Errors
 ///
-/// Returns a refusal where this box has no processor for it.
+/// Returns a refusal if the request is shed.
 fn shed(state: &GatewayState, workspace: u64, units: u64) -> Result<(), CallRefusal> {
     state.with(|beliefs| {
         let shed = &mut beliefs.shed;
@@ -282,7 +281,7 @@
     })
 }
 
-/// Returns the target of a request without the host that some callers put there.
+/// Returns the target of a request in origin form; some callers send the absolute form.
 fn path_and_query(uri: &Uri) -> Uri {
     let path = uri.path_and_query().map_or("/", |path| path.as_str());
     path.parse().unwrap_or_default()
@@ -294,7 +293,7 @@
     workspace: Option<WorkspaceRef>,
 }
 
-/// Returns the name of a request's workspace, or nothing where it has none.
+/// Returns the name of a workspace, or an empty string if there is none.
 fn workspace_name(table: &RouteTable, workspace: Option<WorkspaceRef>) -> &str {
     workspace.map_or("", |workspace| &table.workspace(workspace).name)
 }
@@ -335,10 +334,10 @@
     })
 }
 
-/// Returns how long a request may take, for a box that is about to end.
+/// Returns how long a request is expected to take at most, for a box that is about to stop.
 ///
-/// One without a prompt may take all of its time: an endpoint that does not answer is waited for as long.
-/// A prompt's time is longer than any stop, so that it is taken at its objective and its events.
+/// A request without a prompt may use its whole budget, since an endpoint may answer that late. The
+/// budget of a prompt exceeds any stop grace, so its objective and generation time count instead.
 fn max_duration(route: &RouteSpec, head: &CallHead) -> Duration {
     let budget = head.budget.unwrap_or(route.timeout).min(route.timeout);
     let Some(prompt) = &head.prompt else {
--- a/dockgate/src/gateway/call/attempt_failure.rs
+++ b/dockgate/src/gateway/call/attempt_failure.rs
@@ -1,39 +1,39 @@
-//! A send to an endpoint that gave no answer which can be passed on.
+//! An attempt to send a request that gave no answer which can be forwarded.
 
 use super::super::call_body::CallBody;
 use dockgate_core::AttemptState;
 use dockgate_core::gateway::EndpointOutcome;
 use http::Response;
 
-/// What a lost send says of the life of the endpoint.
+/// Whether a failed attempt suggests that the endpoint has ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum EndpointSuspicion {
-    /// Nothing.
+    /// It does not.
     None,
-    /// It had the request, and broke off or fell silent: it may have ended.
+    /// The answer broke off or did not come in time.
     MayHaveEnded,
-    /// Nobody listens at its address, or another endpoint does.
+    /// Its address refused the connection, or belongs to another endpoint now.
     Gone,
 }
 
-/// Why a send gave no answer that can be passed on.
+/// Why an attempt gave no answer that can be forwarded.
 pub(super) struct AttemptFailure {
-    /// How far it had come.
+    /// How far the attempt had progressed.
     pub(super) state: AttemptState,
-    /// What it says of the endpoint, if anything.
+    /// The outcome recorded for the endpoint's health, if any.
     pub(super) outcome: Option<EndpointOutcome>,
-    /// What is logged.
+    /// The description for the log.
     pub(super) problem: String,
-    /// What is passed on if it is not repeated.
+    /// The answer to forward if the request is not retried.
     pub(super) answer: Option<Box<Response<CallBody>>>,
-    /// Whether its time was over.
+    /// Whether the deadline of the request had passed.
     pub(super) timed_out: bool,
-    /// What it says of the life of the endpoint.
+    /// Whether the endpoint may have ended.
     pub(super) suspicion: EndpointSuspicion,
 }
 
 impl AttemptFailure {
-    /// Makes a loss that says something of the endpoint.
+    /// Creates a failure that counts as `outcome` for the endpoint.
     pub(super) fn new(
         state: AttemptState,
         outcome: EndpointOutcome,
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Makes a loss that says nothing of the endpoint.
+    /// Creates a failure that does not count for the endpoint.
     pub(super) fn without_outcome(state: AttemptState, problem: impl Into<String>) -> Self {
         Self {
             state,
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Makes the loss of a request that found its endpoint gone, without having been run.
+    /// Creates the failure of a request whose endpoint was gone, so that it did not run.
     pub(super) fn gone(state: AttemptState, problem: impl Into<String>) -> Self {
         Self {
             suspicion: EndpointSuspicion::Gone,
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Makes the loss of an answer that broke off, or that did not come in time.
+    /// Creates the failure of an answer that broke off or did not come in time.
     pub(super) fn broken_off(problem: impl Into<String>, timed_out: bool) -> Self {
         Self {
             timed_out,
--- a/dockgate/src/gateway/call/call_placement.rs
+++ b/dockgate/src/gateway/call/call_placement.rs
@@ -1,4 +1,4 @@
-//! Where a request goes next: an endpoint of a plain service, or an engine for a prompt.
+//! Selects the next target of a request: an endpoint of a plain service, or an engine for a prompt.
 
 use super::super::engine_placement::{EngineQuery, EngineRefusal, find_engine};
 use super::super::refusal::RefusalReason;
@@ -13,15 +13,15 @@
 };
 use std::time::Duration;
 
-/// What an endpoint of another failure domain counts more than one of the own, in parts of its
-/// slots: a local one that is a third full is as good as an idle one elsewhere.
+/// Added to the load of an endpoint in another failure domain, as a fraction of its slots: a local
+/// endpoint that is a third full is as good as an idle one elsewhere.
 const REMOTE_DOMAIN_PENALTY: f64 = 0.35;
-/// What an endpoint that fails often counts more, in parts of its slots.
+/// Added to the load of an endpoint that fails often, as a fraction of its slots.
 const UNRELIABLE_PENALTY: f64 = 3.0;
-/// When a request that found no endpoint is worth another try.
+/// Retry delay if no endpoint of the service is known.
 const RETRY_UNKNOWN_SERVICE: Duration = Duration::from_millis(300);
 
-/// A prompt that says nothing of itself.
+/// A prompt of unknown shape.
 static EMPTY_PROMPT: PromptShape = PromptShape {
     model: String::new(),
     input: 0,
@@ -30,7 +30,7 @@
     parts: Vec::new(),
 };
 
-/// Where a request goes next.
+/// The target of the next attempt of a request.
 pub(super) struct CallPlacement {
     pub(super) target: EndpointTarget,
     pub(super) guard: RunGuard,
@@ -39,11 +39,11 @@
 }
 
 impl AdmittedCall {
-    /// Finds the endpoint that the request goes to next.
+    /// Selects the endpoint for the next attempt.
     ///
     /// # Errors
     ///
-    /// Returns what to tell the caller where there is none.
+    /// Returns the refusal for the caller if no endpoint accepts the request.
     pub(super) async fn find_placement(
         &self,
         attempts: &CallAttempts,
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Refuses a request for which no endpoint takes work.
+    /// Creates the refusal for a request if no endpoint of the service accepts work.
     fn refuse_unavailable(&self) -> CallRefusal {
         let availability = self.availability();
         let reason = match availability {
@@ -132,14 +132,14 @@
         CallRefusal::with_retry(reason, self.retry_time(availability))
     }
 
-    /// Tells when an endpoint of the service may take work, where none does now.
+    /// Returns the availability of the service, i.e. when an endpoint may accept work again.
     pub(super) fn availability(&self) -> ServiceAvailability {
         let service = &self.service().name;
         self.state
             .with(|beliefs| beliefs.endpoints.availability(service, now_ms()))
     }
 
-    /// Returns when a request that found no endpoint should come back.
+    /// Returns the retry delay of a request for which no endpoint was found.
     pub(super) fn retry_time(&self, availability: ServiceAvailability) -> Duration {
         let cause = match availability {
             ServiceAvailability::Unknown => return RETRY_UNKNOWN_SERVICE,
@@ -149,7 +149,7 @@
         retry_delay(cause, self.time_left(), rand::random())
     }
 
-    /// Picks the endpoint of a plain service with the smallest part of its slots taken.
+    /// Selects the endpoint of a plain service that has the smallest fraction of its slots in use.
     fn place_plain(&self, attempts: &CallAttempts) -> Result<CallPlacement, CallRefusal> {
         let now = now_ms();
         let own_domain = &self.state.settings().domain;
@@ -176,7 +176,8 @@
                 .filter(|(id, _)| untried(*id));
             let best = eligible.min_by(|(_, a), (_, b)| load(a).total_cmp(&load(b)));
             let notices = beliefs.endpoints.notices();
-            // Where all rest after failures, one of them is still better than none; not so where they ask for it.
+            // If all endpoints back off after failures, one of them is still tried, unless it
+            // requested the backoff itself.
             let backing_off = || {
                 let ready = beliefs
                     .endpoints
--- a/dockgate/src/gateway/call/call_progress.rs
+++ b/dockgate/src/gateway/call/call_progress.rs
@@ -1,20 +1,20 @@
-//! How far a request has come.
+//! Tracks how far a request has progressed.
 
 use std::sync::atomic::{AtomicBool, AtomicU32, Ordering};
 
-/// Where a request stands that has not ended.
+/// The stage of a request that has not ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum CallStage {
-    /// It has not been sent to any endpoint.
+    /// The request has not been sent to any endpoint.
     Placing,
-    /// An endpoint has it, and no answer has begun.
+    /// The request was sent to an endpoint; no answer has begun.
     Sent,
-    /// Its answer has begun.
+    /// The answer has begun.
     Answering,
 }
 
 impl CallStage {
-    /// Returns the word used in logs.
+    /// Returns the name used in logs.
     pub(super) const fn as_str(self) -> &'static str {
         match self {
             Self::Placing => "placing",
@@ -24,7 +24,7 @@
     }
 }
 
-/// How far a request has come, as noted by those who bring it on.
+/// The progress of a request, updated by the code that sends it and forwards its answer.
 #[derive(Debug, Default)]
 pub(in super::super) struct CallProgress {
     sends: AtomicU32,
@@ -33,32 +33,31 @@
 }
 
 impl CallProgress {
-    /// Notes that it is being sent to an endpoint.
+    /// Counts a send to an endpoint.
     pub(super) fn note_send(&self) {
         self.sends.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Notes that its answer has begun.
+    /// Records that the answer has begun.
     pub(in super::super) fn note_answer(&self) {
         self.is_answering.store(true, Ordering::Relaxed);
     }
 
-    /// Notes that it is answered, refused or broken off.
+    /// Records that the request was answered, refused or broken off.
     pub(in super::super) fn end(&self) {
         self.has_ended.store(true, Ordering::Relaxed);
     }
 
-    /// Tells whether it is answered, refused or broken off.
+    /// Returns whether the request was answered, refused or broken off.
     pub(super) fn has_ended(&self) -> bool {
         self.has_ended.load(Ordering::Relaxed)
     }
 
-    /// Returns how many times it was sent to an endpoint.
+    /// Returns the number of sends to endpoints.
     pub(super) fn sends(&self) -> u32 {
         self.sends.load(Ordering::Relaxed)
     }
 
-    /// Returns where it stands.
     pub(super) fn stage(&self) -> CallStage {
         match (self.is_answering.load(Ordering::Relaxed), self.sends()) {
             (true, _) => CallStage::Answering,
--- a/dockgate/src/gateway/call/quarantine_check.rs
+++ b/dockgate/src/gateway/call/quarantine_check.rs
@@ -1,4 +1,4 @@
-//! What a request is recognised by, and what becomes of one under which endpoints end.
+//! Computes the fingerprint of a request, and refuses requests that are quarantined.
 
 use super::super::gateway_state::GatewayState;
 use super::super::refusal::RefusalReason;
@@ -9,16 +9,16 @@
 use http::{Method, Uri};
 
 impl AdmittedCall {
-    /// Returns what it has in common with all its sends, also those of other ids.
+    /// Returns the fingerprint, which does not depend on the request id.
     ///
-    /// It is worked out when it is asked for: most requests never need it.
+    /// It is computed on demand, since most requests never need it.
     pub(in super::super) fn fingerprint(&self) -> RequestFingerprint {
         let (workspace, host) = (self.workspace_name(), &self.head.host);
         fingerprint_of(workspace, &self.method, host, &self.uri, &self.body)
     }
 }
 
-/// Returns what a request has in common with all its sends, also those of other ids.
+/// Returns the fingerprint of a request, which does not depend on its id.
 pub(super) fn fingerprint_of(
     workspace: &str,
     method: &Method,
@@ -35,12 +35,11 @@
     })
 }
 
-/// Refuses a request under which endpoints end, but for a trial: nobody is charged for it, and its caller is
-/// told at once that it did not run, and when the next trial may be.
+/// Checks whether a request may be sent: one that is quarantined may be sent only as a trial.
 ///
 /// # Errors
 ///
-/// Returns the refusal.
+/// Returns a refusal with the time of the next trial if the request is quarantined.
 pub(super) async fn check_quarantine(
     state: &GatewayState,
     fingerprint: impl FnOnce() -> RequestFingerprint,
--- a/dockgate/src/gateway/call/send_attempts.rs
+++ b/dockgate/src/gateway/call/send_attempts.rs
@@ -1,4 +1,4 @@
-//! Sends a request to endpoints until one answers, or nothing more may be tried.
+//! Sends a request to endpoints until one answers or no further attempt is allowed.
 
 use super::super::call_body::{CallBody, whole_body};
 use super::super::end_check::{note_break, note_gone};
@@ -24,19 +24,18 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How many endpoints may be tried that could not be reached, on top of those it was sent to.
+/// How many unreachable endpoints may be tried, in addition to those the request was sent to.
 const MAX_UNREACHED: usize = 4;
-/// How many times its objective a repeatable request waits for an answer to begin, beside what was
-/// expected, before it is tried elsewhere: an endpoint that is silent for so long is lost, overloaded,
-/// or behind a connection that says nothing any more. A bound.
+/// How long a repeatable request waits for an answer to begin before it is retried elsewhere, in
+/// multiples of its objective and in addition to the expected time.
 const ANSWER_TIMEOUT_FACTOR: f64 = 1.4;
 
 impl AdmittedCall {
-    /// Serves the request.
+    /// Sends the request until an answer can be forwarded.
     ///
     /// # Errors
     ///
-    /// Returns what to tell the caller where no endpoint's answer can be passed on.
+    /// Returns the refusal for the caller if no endpoint's answer can be forwarded.
     pub(super) async fn run(self: Arc<Self>) -> Result<Response<CallBody>, CallRefusal> {
         let mut attempts = CallAttempts::default();
         loop {
@@ -70,7 +69,7 @@
         }
     }
 
-    /// Decides whether the request is sent to another endpoint after a loss.
+    /// Decides whether the request is sent to another endpoint after a failed attempt.
     pub(in super::super) fn after_failure(
         &self,
         attempts: &CallAttempts,
@@ -78,7 +77,7 @@
     ) -> RetryVerdict {
         let repeatable = self.route().may_repeat();
         if state == AttemptState::Bound {
-            // Nothing was sent, so this costs no one anything but time.
+            // Nothing was sent, so the retry budget is not charged.
             let unreached = attempts.endpoints.len() - attempts.sent as usize;
             let left = unreached < MAX_UNREACHED && !self.time_left().is_zero();
             return state.after_loss(repeatable, left);
@@ -86,7 +85,7 @@
         let allowed = attempts.sent < self.route().attempts
             && !self.time_left().is_zero()
             && quarantine::find(&self.state, || self.fingerprint()).is_none();
-        // The fleet's budget is asked last, so that it is not spent in vain.
+        // The retry budget is checked last, so that it is charged only for actual retries.
         let wanted = state.after_loss(repeatable, allowed) == RetryVerdict::Retry;
         let service = &self.service().name;
         let left = wanted
@@ -99,7 +98,7 @@
         state.after_loss(repeatable, left)
     }
 
-    /// Returns what is said of a request whose last attempt ended in `state`.
+    /// Returns the refusal for a request whose last attempt ended in `state`.
     fn report(&self, attempts: &CallAttempts, state: AttemptState, timed_out: bool) -> CallRefusal {
         let outcome = attempts.trail.outcome(state, self.route().may_repeat());
         let reason = match (outcome, state) {
@@ -119,8 +118,8 @@
         }
     }
 
-    /// Returns how long the next send waits for an answer to begin: what may not be tried elsewhere
-    /// after it waits for all of its time.
+    /// Returns how long the next attempt waits for an answer to begin; an attempt that cannot be
+    /// retried waits until the deadline.
     fn answer_timeout(&self, expected_ms: Option<u32>, attempts: &CallAttempts) -> Duration {
         let is_last = attempts.sent + 1 >= self.route().attempts;
         if is_last || !self.route().may_repeat() {
@@ -131,7 +130,7 @@
         timeout.min(self.time_left())
     }
 
-    /// Makes the request for an endpoint.
+    /// Builds the request for an endpoint.
     fn request_for(
         &self,
         target: &EndpointTarget,
@@ -151,7 +150,7 @@
         request
     }
 
-    /// Sends the request to one endpoint, and takes its answer in.
+    /// Sends the request to one endpoint and returns its answer.
     async fn send_once(
         self: Arc<Self>,
         placement: CallPlacement,
@@ -188,7 +187,7 @@
         })
     }
 
-    /// Takes from a loss what it says of the life of the endpoint.
+    /// Reports an endpoint that may have ended, as suspected after a failed attempt.
     fn note_failure(&self, target: &EndpointTarget, failure: &AttemptFailure) {
         match failure.suspicion {
             EndpointSuspicion::MayHaveEnded => note_break(&self.state, target, self.fingerprint()),
@@ -197,7 +196,7 @@
         }
     }
 
-    /// Tells whether the lines of this request are kept although it went well: one in so many.
+    /// Returns whether this request is sampled: logged even if it succeeds.
     pub(in super::super) fn is_sampled(&self) -> bool {
         is_sampled(&self.head.id)
     }
@@ -222,7 +221,7 @@
         });
     }
 
-    /// Sends a request; what comes back is judged by its head.
+    /// Sends the request and judges the answer by its head.
     async fn exchange(
         &self,
         placement: &CallPlacement,
@@ -233,7 +232,7 @@
         self.progress.note_send();
         let condition = send_condition(&self.state, &placement.target, &self.caller);
         let sent = send(&self.state.pools, &placement.target, request, &condition);
-        // The attempt counts from here on, so that the patience is that of this send.
+        // Computed before `sent` is incremented, so that the timeout is that of this attempt.
         let begins_until =
             ClockInstant::now() + self.answer_timeout(placement.expected_ms, attempts);
         let sent = timeout_at(begins_until, sent).await;
@@ -315,7 +314,7 @@
         self.take_whole(placement, answer, attempts).await
     }
 
-    /// Reads a whole answer before any of it is passed on.
+    /// Reads the whole answer before any of it is forwarded.
     async fn take_whole(
         &self,
         placement: CallPlacement,
@@ -343,7 +342,7 @@
         }
         let response = forward_answer(parts.status, &parts.headers, whole_body(bytes));
         if verdict == AnswerVerdict::Failed {
-            // The endpoint lives: one failed request in seven is usual for some routes.
+            // An error status is common on some routes and does not mean that the endpoint failed.
             placement.guard.note(EndpointOutcome::Answered);
             let problem = format!("status {}", parts.status);
             let failure = AttemptFailure::new(AttemptState::Sent, EndpointOutcome::Failed, problem);
@@ -363,7 +362,7 @@
         Ok(response)
     }
 
-    /// Notes that the request was answered.
+    /// Records that the request was answered.
     pub(in super::super) fn log_answered(
         &self,
         endpoint: &str,
@@ -437,11 +436,11 @@
         }
     }
 
-    /// Goes on with a stream at another endpoint after an event.
+    /// Resumes a stream at another endpoint after the event `after_event`.
     ///
     /// # Errors
     ///
-    /// Returns the problem where no endpoint goes on.
+    /// Returns the problem if no endpoint resumes it.
     pub(in super::super) async fn resume(
         self: &Arc<Self>,
         attempts: &mut CallAttempts,
@@ -482,11 +481,11 @@
     connection: PooledConnection,
     head: AnswerHead,
     verdict: AnswerVerdict,
-    /// Until when the send waits for the first event.
+    /// The time until which the attempt waits for the first event.
     begins_until: ClockInstant,
 }
 
-/// Reads the rest of a short answer, so that its connection can be kept.
+/// Reads the rest of a short answer, so that its connection can be reused.
 async fn drain_body(body: Incoming, connection: PooledConnection, head: &AnswerHead) {
     const MAX_WAIT: Duration = Duration::from_millis(20);
     let read = tokio::time::timeout(MAX_WAIT, body.collect()).await;
--- a/dockgate/src/gateway/call_body.rs
+++ b/dockgate/src/gateway/call_body.rs
@@ -7,10 +7,10 @@
 use std::convert::Infallible;
 
 quick_error! {
-    /// Why an answer stops in the middle: the connection is cut, so that it looks incomplete.
+    /// Why an answer is incomplete: the connection to the caller is closed without its end.
     #[derive(Debug)]
     pub enum BrokenAnswer {
-        /// The endpoint was lost, and no other may go on.
+        /// The endpoint was lost and no other endpoint may resume the answer.
         Lost(endpoint: String, problem: &'static str) {
             display("endpoint {}: read events: {}", endpoint, problem)
         }
@@ -20,7 +20,7 @@
 /// The body of an answer.
 pub(super) type CallBody = UnsyncBoxBody<Bytes, BrokenAnswer>;
 
-/// Makes a body of bytes.
+/// Creates a body of known bytes.
 pub(super) fn whole_body(bytes: impl Into<Bytes>) -> CallBody {
     Full::new(bytes.into())
         .map_err(|never: Infallible| match never {})
--- a/dockgate/src/gateway/caller_listener.rs
+++ b/dockgate/src/gateway/caller_listener.rs
@@ -1,4 +1,4 @@
-//! Callers' connections: accepted within the descriptors that there are, and closed in order.
+//! Accepts and serves the connections of callers, within the limit on file descriptors.
 
 use super::call::serve_call;
 use super::call_body::CallBody;
@@ -22,28 +22,30 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 
-/// Descriptors kept for everything but callers: files, listeners, connections to endpoints, the
-/// store and other boxes.
+/// File descriptors reserved for everything but callers: files, listeners, and connections to
+/// endpoints, the store and other boxes.
 const OTHER_DESCRIPTORS: usize = 900;
-/// Above this part of the connections that there may be, answers end their connections: callers that
-/// come seldom must not keep others out.
+/// The fraction of the connection limit above which connections are closed after each answer, so
+/// that idle callers do not keep others out.
 const CROWDED_FRACTION: f64 = 0.5;
-/// Above this part, connections that rest are closed, the longest at rest first, down to it.
+/// The fraction of the connection limit down to which idle connections are closed, the longest idle
+/// first.
 const FULL_FRACTION: f64 = 0.95;
-/// How long to wait when no connection can be accepted.
+/// The delay before the next accept if no connection can be accepted.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// How often overdue connections are looked for.
+/// The interval between checks for overdue connections.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
-/// The least buffer that a connection needs, in bytes.
+/// The minimum buffer size of a connection.
 const MIN_BUFFER_BYTES: usize = 8_192;
 
-/// The connections of callers.
+/// Accepts the connections of callers and keeps track of them.
 pub(super) struct CallerListener {
     state: Arc<GatewayState>,
     connections: Mutex<HashMap<u64, Arc<ConnectionState>>>,
     counter: AtomicU64,
     answered_ms: AtomicU64,
-    /// Whether connections take over the options of the listener, once the first one has shown it.
+    /// Whether accepted connections inherit the socket options of the listener; determined from the
+    /// first one.
     inherits_options: OnceLock<bool>,
 }
 
@@ -64,12 +66,12 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Returns how many connections are open.
+    /// Returns the number of open connections.
     pub(super) fn open(&self) -> usize {
         self.locked().len()
     }
 
-    /// Returns on how many connections a request is being answered.
+    /// Returns the number of connections on which a request is in progress.
     pub(super) fn busy(&self) -> usize {
         self.locked()
             .values()
@@ -77,24 +79,24 @@
             .count()
     }
 
-    /// Begins the orderly stop: callers that have rested until now may be about to send.
+    /// Begins an orderly stop, and restarts the quiet period: idle callers may be about to send.
     pub(super) fn begin_stop(&self) {
         self.answered_ms.store(now_ms(), Ordering::Relaxed);
     }
 
-    /// Tells whether no answer has ended, and no stop begun, for a while.
+    /// Returns whether no answer has ended and no stop has begun within `since`.
     pub(super) fn is_quiet(&self, since: Duration) -> bool {
         let answered = self.answered_ms.load(Ordering::Relaxed);
         now_ms().saturating_sub(answered) > since.as_millis() as u64
     }
 
-    /// Returns how many connections there may be.
+    /// Returns the connection limit.
     fn max_connections(&self) -> usize {
         let descriptors = self.state.settings().descriptors;
         descriptors.saturating_sub(OTHER_DESCRIPTORS).max(100)
     }
 
-    /// Tells whether connections are better ended with their answers.
+    /// Returns whether connections should be closed after each answer.
     fn is_crowded(&self) -> bool {
         self.open() as f64 > self.max_connections() as f64 * CROWDED_FRACTION
     }
@@ -109,7 +111,7 @@
             match listener.accept().await {
                 Ok((stream, _)) => self.clone().spawn_connection(stream),
                 Err(error) => {
-                    log::warn!("accept a caller: {error}");
+                    log::warn!("could not accept a connection: {error}");
                     tokio::time::sleep(ACCEPT_PAUSE).await;
                 }
             }
@@ -119,7 +121,7 @@
     fn spawn_connection(self: Arc<Self>, stream: TcpStream) {
         let is_ready = *self.inherits_options.get_or_init(|| is_prepared(&stream));
         if !is_ready && let Err(error) = prepare(&stream) {
-            log::debug!("prepare a caller's connection: {error}");
+            log::debug!("could not set the options of a caller's connection: {error}");
             return;
         }
         let number = self.counter.fetch_add(1, Ordering::Relaxed);
@@ -155,11 +157,11 @@
             .serve_until_closed(served.as_mut(), &caller)
             .await;
         if let Some(Err(error)) = ended {
-            log::debug!("caller's connection: {error}");
+            log::debug!("connection of a caller failed: {error}");
         }
     }
 
-    /// Closes the connections that have rested longest, where there are nearly too many.
+    /// Closes the connections that have been idle longest if the limit is nearly reached.
     fn close_surplus(&self) {
         let surplus = self
             .open()
@@ -198,7 +200,7 @@
     }
 }
 
-/// Counts a request on its connection until its answer is whole.
+/// Marks a connection as busy until the answer is complete.
 struct BusyGuard(Arc<ConnectionState>);
 
 impl BusyGuard {
@@ -214,7 +216,7 @@
     }
 }
 
-/// Says that the connection ends with this answer, where it does.
+/// Adds a `Connection: close` header if the connection ends with this answer.
 fn finish_answer(
     ends: bool,
     mut response: Response<CallBody>,
@@ -227,7 +229,7 @@
     response.map(|body| BusyBody { body, _busy: busy })
 }
 
-/// A body that keeps its connection busy until it is whole.
+/// A body that keeps its connection marked as busy until it is dropped.
 struct BusyBody {
     body: CallBody,
     _busy: BusyGuard,
--- a/dockgate/src/gateway/engine_placement.rs
+++ b/dockgate/src/gateway/engine_placement.rs
@@ -1,8 +1,9 @@
-//! Finds an engine for a prompt: asks the boxes that decide for its homes.
+//! Places a prompt on an engine, with the consent of the box that owns the engine.
 //!
-//! A prompt goes to the engine that is likely to keep its shared parts. The box that decides for
-//! that engine knows all that is there, so its verdict is worth a round trip of two milliseconds;
-//! where it does not answer in time, the entry decides alone on what it sent there itself.
+//! The homes of a prompt are the engines that are likely to have its shared parts in their cache.
+//! Each engine has an owner among the boxes, which knows all prompts on it and decides on
+//! admission. If the owner does not answer in time, the box that received the prompt decides by
+//! itself, from the prompts that it has placed there.
 
 mod pending_slot_request;
 
@@ -23,47 +24,43 @@
 use pending_slot_request::PendingSlotRequest;
 use std::sync::Arc;
 
-/// As how many other boxes, that may all send to an engine whose decider does not answer, count at most:
-/// as many as there are in a small fleet, where it was measured. With all of 295 boxes nearly every
-/// prompt is declined that has to be decided on alone, since each box sends a 295th of what there is.
-/// A bound.
+/// The maximum number of other boxes assumed to send to an engine whose owner does not answer. If
+/// all boxes of a large fleet were counted, nearly every prompt would be declined.
 const MAX_UNCOORDINATED_SENDERS: u32 = 5;
-/// How many homes a prompt with much that others share has. More make the same parts be read at more
-/// places: with two, a sixth fewer shared tokens are read again than with three; with one, 4 in 100
-/// requests more are refused (loaded days of three deployments).
+/// The number of homes of a prompt with many shared tokens. With more homes, the same parts are
+/// computed on more engines; with fewer, more requests are refused.
 const SHARED_HOMES: usize = 2;
-/// How many homes in the own failure domain a prompt with little of it has.
+/// The number of homes in the local failure domain of a prompt with few shared tokens.
 const LOCAL_HOMES: usize = 3;
-/// How many homes elsewhere such a prompt has behind those, if its workspace is within its share: callers
-/// of a large workspace may all be in one domain while the engines of the others are idle.
+/// The number of additional homes in other failure domains, if the workspace is within its share:
+/// its callers may all be in one domain while the engines of the others are idle.
 const REMOTE_HOMES: usize = 1;
-/// A prompt with fewer shared tokens than this has its homes in the box's own failure domain:
-/// reading them again takes a few milliseconds, and bytes between domains cost more.
+/// Prompts with fewer shared tokens than this have their homes in the local failure domain:
+/// computing the tokens again costs less than traffic between domains.
 const LOCAL_BELOW_TOKENS: u32 = 1_500;
 
-/// A prompt that was admitted.
+/// The placement of a prompt that an engine admitted.
 pub(super) struct EnginePlacement {
-    /// The engine.
     pub(super) target: EndpointTarget,
-    /// Counts the prompt there.
+    /// Counts the prompt on the engine until it is dropped.
     pub(super) guard: RunGuard,
-    /// After how many milliseconds the first event is expected.
+    /// The predicted time to the first event, in milliseconds.
     pub(super) expected_ms: u32,
-    /// Who decided.
+    /// The name of the box that decided, or the rule that did.
     pub(super) decided_by: String,
 }
 
-/// A prompt that no engine takes in time.
+/// The refusal of a prompt that no engine can serve in time.
 #[derive(Debug, Clone, Default)]
 pub(super) struct EngineRefusal {
-    /// The engines that were asked last, in order.
+    /// The engines that declined, in order.
     pub(super) asked: Vec<AskedEngine>,
-    /// The least time to a first event at any engine, where none had to be asked.
+    /// The shortest time to a first event at any engine, if it was too late without a request.
     unattainable_ms: Option<u32>,
 }
 
 impl EngineRefusal {
-    /// Returns the shortest predicted time to a first event, where there is any engine.
+    /// Returns the shortest predicted time to a first event, or `None` if there is no engine.
     pub(super) fn first_event_ms(&self) -> Option<u32> {
         let asked = self.asked.iter().map(|asked| asked.first_event_ms);
         asked.chain(self.unattainable_ms).min()
@@ -80,20 +77,18 @@
     }
 }
 
-/// What is asked for.
+/// The prompt for which an engine is sought.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct EngineQuery<'a> {
-    /// The service.
     pub(super) service: &'a ServiceSpec,
-    /// The prompt.
     pub(super) prompt: &'a PromptShape,
-    /// What names the subject of this request alone.
+    /// The subject of this request alone, for prompts without shared parts.
     pub(super) own_subject: u64,
-    /// Engines that were tried already.
+    /// The engines that were tried already.
     pub(super) tried: &'a [EndpointId],
-    /// Whether its stream goes on after an endpoint was lost.
+    /// Whether the stream is resumed after an endpoint was lost.
     pub(super) resumed: bool,
-    /// How its workspace stands.
+    /// The usage of the workspace relative to its share.
     pub(super) level: ShareLevel,
 }
 
@@ -103,10 +98,10 @@
     owner: BoxKey,
 }
 
-/// Picks the homes of a prompt, best first: `near` tells of the own failure domain.
+/// Selects the homes of a prompt, best first; `local` is the failure domain of this box.
 ///
-/// The homes of a prompt with little that others share are in the own domain first, and some of the
-/// others behind them; where the own domain has few engines, others take their place.
+/// A prompt with few shared tokens has local homes first and some remote ones after them. If the
+/// local domain has too few engines, remote ones take their place.
 fn pick_homes(
     query: &EngineQuery,
     ready: &[ReadyEndpoint],
@@ -172,9 +167,10 @@
     homes.collect()
 }
 
-/// Decides on a seek with what this box believes, and places the prompt if it is admitted.
+/// Decides on an admission request with the state of this box, and places the prompt if admitted.
 ///
-/// `others` says how many boxes send to the engine unseen. Returns none for an unknown engine.
+/// `other_senders` is the number of boxes that may send to the engine unknown to this one. Returns
+/// `None` if the engine is unknown.
 pub(super) fn decide_locally(
     state: &GatewayState,
     endpoint: EndpointId,
@@ -200,7 +196,7 @@
     })
 }
 
-/// Notes a prompt that is at an engine, whoever decided.
+/// Records a prompt on an engine, whichever box decided.
 pub(super) fn place_locally(
     state: &GatewayState,
     endpoint: EndpointId,
@@ -217,7 +213,7 @@
     }
 }
 
-/// Makes the message that a prompt is at an engine.
+/// Creates the message that reports a prompt on an engine to its owner.
 pub(super) fn placed_message(
     run: u32,
     endpoint: EndpointId,
@@ -232,14 +228,14 @@
     }
 }
 
-/// Notes what an engine is known to have cached.
+/// Records the parts that an engine has in its cache.
 pub(super) fn record_cached(state: &GatewayState, endpoint: EndpointId, parts: &[PromptPart]) {
     if let Some(spec) = engine_spec(state, endpoint) {
         state.with(|beliefs| beliefs.engines.load_mut(endpoint, spec).note_cached(parts));
     }
 }
 
-/// Takes in what the box that decides for an engine says of it.
+/// Applies a report from the owner of an engine on its backlog and read speed.
 pub(super) fn receive_engine_report(
     state: &GatewayState,
     endpoint: EndpointId,
@@ -255,7 +251,7 @@
     }
 }
 
-/// Returns what an engine holds, if it is known.
+/// Returns the specification of an engine, if it is known.
 fn engine_spec(state: &GatewayState, endpoint: EndpointId) -> Option<EngineSpec> {
     let table = state.table();
     state.with(|beliefs| {
@@ -265,14 +261,14 @@
     })
 }
 
-/// One home that was asked, and what came of it.
+/// The verdict on a prompt for one home.
 struct HomeDecision {
     verdict: EngineVerdict,
     number: u32,
     decided_by: String,
 }
 
-/// Asks for one home: its owner, or this box where the owner does not answer in time.
+/// Requests admission to one home from its owner; decides locally if the owner does not answer.
 async fn request_placement(
     state: &GatewayState,
     home: &HomeEngine,
@@ -323,7 +319,7 @@
     Some(decision)
 }
 
-/// Declines for the owner of a home where what this box knows is enough.
+/// Declines on behalf of the owner if the state of this box shows that the engine is too late.
 fn decline_locally(
     state: &GatewayState,
     home: &HomeEngine,
@@ -344,7 +340,7 @@
     })
 }
 
-/// Decides for one home with what this box believes.
+/// Decides for one home with the state of this box.
 fn decide_home_locally(
     state: &GatewayState,
     home: &HomeEngine,
@@ -366,7 +362,7 @@
 ///
 /// # Errors
 ///
-/// Returns [`EngineRefusal`] where no home takes it in time.
+/// Returns an [`EngineRefusal`] if no home can serve it in time.
 pub(super) async fn find_engine(
     state: &Arc<GatewayState>,
     query: EngineQuery<'_>,
@@ -395,13 +391,13 @@
     Err(refusal)
 }
 
-/// Returns the least time to a first event, in milliseconds, where that is too late at every engine.
+/// Returns the shortest time to a first event in milliseconds, if it is too late at every engine.
 fn unattainable_ms(
     state: &GatewayState,
     query: &EngineQuery<'_>,
     request: &EngineAsk,
 ) -> Option<u32> {
-    // Only a flood is worth a look at all engines.
+    // The fastest engine is checked only for a workspace beyond its share.
     let is_open = query.resumed || !query.level.is_beyond();
     let spec = query.service.engine.filter(|_| !is_open)?;
     let rule = state.settings().admission;
@@ -413,7 +409,7 @@
     Some(first_ms as u32)
 }
 
-/// Places a prompt whose stream goes on, whatever waits there: most of it is done already.
+/// Places a prompt whose stream is resumed, regardless of the backlog of the engine.
 fn place_unconditionally(
     state: &Arc<GatewayState>,
     home: &HomeEngine,
--- a/dockgate/src/gateway/engine_placement/pending_slot_request.rs
+++ b/dockgate/src/gateway/engine_placement/pending_slot_request.rs
@@ -1,4 +1,4 @@
-//! A question to the box that decides for an engine, until its verdict is taken.
+//! A slot request to the owner of an engine that awaits its verdict.
 
 use super::super::datagrams::send_to;
 use super::super::gateway_state::GatewayState;
@@ -8,15 +8,15 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// How long a verdict may take: a round trip is about two milliseconds, but a box whose share of the
-/// processor is spent gets nothing for the rest of a tenth of a second.
+/// How long to wait for a verdict. Much longer than a round trip, since the owner may be throttled
+/// by its processor quota.
 const VERDICT_TIMEOUT: Duration = Duration::from_millis(60);
 
-/// A question that waits for its verdict.
+/// A slot request that awaits its verdict.
 ///
-/// Whoever decides counts a prompt that it grants at the engine until it is told that the prompt has ended. A
-/// verdict that nobody takes, as the caller left while it was on its way through this box, is given back:
-/// else the engine is believed to work on that prompt for all of its caller's time.
+/// The owner counts a granted prompt on the engine until it is reported as ended. If the caller
+/// leaves before the verdict is used, a grant is released on drop; otherwise the owner would count
+/// the prompt until its deadline.
 pub(super) struct PendingSlotRequest<'a> {
     state: &'a GatewayState,
     run: u32,
@@ -26,7 +26,7 @@
 }
 
 impl<'a> PendingSlotRequest<'a> {
-    /// Asks `owner`, who decides for the engine.
+    /// Sends a slot request for `endpoint` to its owner.
     pub(super) fn send(
         state: &'a GatewayState,
         run: u32,
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Waits for the verdict; returns none where it does not come in time.
+    /// Waits for the verdict; returns `None` if it does not arrive in time.
     pub(super) async fn verdict(mut self) -> Option<EngineVerdict> {
         let verdict = tokio::time::timeout(VERDICT_TIMEOUT, &mut self.verdict).await;
         verdict.ok()?.ok()
--- a/dockgate/src/gateway/engine_placement/pending_slot_request/tests.rs
+++ b/dockgate/src/gateway/engine_placement/pending_slot_request/tests.rs
@@ -11,10 +11,10 @@
 const RUN: u32 = 7;
 const ENGINE: EndpointId = EndpointId(3);
 
-/// Makes a box that knows another one, which decides for an engine at `owner`.
+/// Creates the state of a box that knows one other box, at `owner`, which owns the engine.
 async fn state_beside(owner: SocketAddr) -> (GatewayState, BoxKey) {
     let datagrams = UdpSocket::bind("127.0.0.1:0").await.unwrap();
-    // The runtime knows that a socket takes datagrams once it was asked.
+    // Registers the socket as writable, so that `try_send` succeeds.
     datagrams.writable().await.unwrap();
     let state = state_with_seed(datagrams, owner);
     let heartbeat = BoxHeartbeat::new("a2", "a", owner);
@@ -42,7 +42,7 @@
     EngineAsk::new(1, &prompt, times)
 }
 
-/// Lists what has come, by kind.
+/// Returns the kinds of the messages received so far.
 fn received_kinds(socket: &UdpSocket) -> Vec<&'static str> {
     let mut buffer = [0; 2_000];
     let datagrams = std::iter::from_fn(|| {
@@ -53,15 +53,15 @@
     datagrams.collect()
 }
 
-/// What becomes of a question.
+/// How a slot request ends.
 #[derive(Debug, Clone, Copy)]
 enum RequestEnd {
     Claimed,
     CallerLeaves,
 }
 
-/// On a box that is short of processor callers leave while the verdict is there and their tasks have not run
-/// yet; the engine was then believed to work on the prompt until the caller's time was over, 15 s.
+/// A caller may leave after the verdict has arrived and before its task runs. Unless the grant is
+/// then released, the owner counts the prompt until the deadline.
 #[parameterized(
     granted_and_claimed = { EngineVerdict::Granted(40), RequestEnd::Claimed, &["seek"] },
     granted_and_dropped = { EngineVerdict::Granted(40), RequestEnd::CallerLeaves, &["seek", "ended"] },
--- a/dockgate/src/gateway/engine_placement/tests.rs
+++ b/dockgate/src/gateway/engine_placement/tests.rs
@@ -15,7 +15,7 @@
     remote_homes: usize,
     homes: &[u64],
 ) {
-    // The order of a subject is by its scores: the parameters name engines by their place in it.
+    // The parameters are ranks in the order of the subject, not endpoint ids.
     let service = ServiceSpec {
         name: "x".to_owned(),
         connections: 100,
@@ -43,14 +43,14 @@
     };
     let all = (0..100).map(EndpointId);
     let order = best_homes(7, all, 100, |_| true);
-    // Places named from 9 down are those of the far engines, the best one first.
-    let engine_at = |place: &u64| match remote.contains(place) {
-        true => order[(10 - *place) as usize],
-        false => order[(*place + 10) as usize],
+    // Ranks of remote engines count down from 9, the best one first.
+    let engine_at = |rank: &u64| match remote.contains(rank) {
+        true => order[(10 - *rank) as usize],
+        false => order[(*rank + 10) as usize],
     };
-    let of_domain = |places: &[u64], domain: u32| -> Vec<ReadyEndpoint> {
-        let ready = places.iter().map(|place| ReadyEndpoint {
-            id: engine_at(place),
+    let of_domain = |ranks: &[u64], domain: u32| -> Vec<ReadyEndpoint> {
+        let ready = ranks.iter().map(|rank| ReadyEndpoint {
+            id: engine_at(rank),
             domain: DomainKey(domain),
         });
         ready.collect()
--- a/dockgate/src/gateway/event_stream.rs
+++ b/dockgate/src/gateway/event_stream.rs
@@ -1,4 +1,4 @@
-//! Passes a stream of events on, and goes on at another endpoint where that is allowed.
+//! Forwards a stream of events, and resumes it at another endpoint where that is allowed.
 
 use super::call::{AdmittedCall, CallAttempts};
 use super::call_body::{BrokenAnswer, CallBody};
@@ -20,23 +20,21 @@
 use std::task::Poll;
 use std::time::Duration;
 
-/// How many times the pause that is in time a resumable stream may pause before it is continued
-/// elsewhere: by then the answer is late, but its caller is still there.
+/// How long a resumable stream may pause before it is resumed elsewhere, in multiples of the pause
+/// that the route allows.
 const PAUSE_FACTOR: f64 = 4.5;
-/// The longest such pause: callers leave after two seconds. A bound.
+/// The upper bound of such a pause, shorter than the timeouts of callers.
 const MAX_PAUSE: Duration = Duration::from_millis(1_500);
 
-/// Where events come from.
+/// The endpoint and connection that a stream is read from.
 pub(super) struct StreamSource {
-    /// The endpoint.
     pub(super) target: EndpointTarget,
-    /// The rest of its answer.
+    /// The body of the answer.
     pub(super) body: Incoming,
-    /// Its connection.
     pub(super) connection: PooledConnection,
-    /// What its head said.
+    /// The decoded head of the answer.
     pub(super) head: AnswerHead,
-    /// Counts the request there.
+    /// Counts the request at the endpoint.
     pub(super) guard: RunGuard,
 }
 
@@ -46,7 +44,7 @@
     Lost(&'static str),
 }
 
-/// Lets the tasks that are ready go first, without a look at the system.
+/// Yields once to the tasks that are ready, without polling the I/O driver.
 async fn yield_to_ready_tasks() {
     let mut has_run = false;
     std::future::poll_fn(|context| {
@@ -59,15 +57,15 @@
     .await;
 }
 
-/// A stream on its way to a caller.
+/// A stream of events that is forwarded to a caller.
 pub(super) struct EventStream {
     call: Arc<AdmittedCall>,
     attempts: CallAttempts,
     source: Option<StreamSource>,
     splitter: EventSplitter,
-    /// Whole events that were read and not passed on yet.
+    /// Complete events that were read and not forwarded yet.
     ready: Option<Bytes>,
-    /// What came behind them.
+    /// The step that follows them, if it was read already.
     pending_step: Option<StreamStep>,
     ended: bool,
     last_event: Option<u64>,
@@ -98,11 +96,11 @@
         }
     }
 
-    /// Waits for the first events.
+    /// Reads the first events.
     ///
     /// # Errors
     ///
-    /// Returns the problem where none come; nothing has been passed on then.
+    /// Returns the problem if none arrive; nothing has been forwarded then.
     pub(super) async fn read_first(&mut self, timeout: Duration) -> Result<(), &'static str> {
         match self.read(timeout).await {
             StreamStep::Events(bytes) => {
@@ -119,14 +117,14 @@
         }
     }
 
-    /// Notes that the endpoint failed.
+    /// Records that the endpoint failed.
     pub(super) fn note_failed(&self) {
         if let Some(source) = &self.source {
             source.guard.note(EndpointOutcome::Failed);
         }
     }
 
-    /// Makes the body of the answer.
+    /// Converts the stream into the body of the answer.
     pub(super) fn into_body(self) -> CallBody {
         let frames = stream::unfold(self, |stream| async move {
             let (frame, stream) = stream.next().await?;
@@ -183,7 +181,7 @@
         }
     }
 
-    /// Reads until whole events are there.
+    /// Reads until at least one event is complete.
     async fn read(&mut self, timeout: Duration) -> StreamStep {
         let until = self.call.deadline().min(ClockInstant::now() + timeout);
         loop {
@@ -203,15 +201,15 @@
         }
     }
 
-    /// Adds the whole events that have arrived already, and notes what follows where that has: what goes
-    /// out together takes one call in place of several.
+    /// Appends the complete events that have arrived already, so that they are written with one
+    /// system call. A step that follows them is kept in `pending_step`.
     async fn read_ready(&mut self, first: Bytes) -> Bytes {
         let mut bytes = BytesMut::from(first);
         while self.pending_step.is_none() {
             let Some(source) = self.source.as_mut() else {
                 break;
             };
-            // The connection hands over one piece at a time, whenever its task runs.
+            // The task of the connection delivers one frame each time it runs.
             yield_to_ready_tasks().await;
             let Some(frame) = source.body.frame().now_or_never() else {
                 break;
@@ -224,7 +222,7 @@
         bytes.freeze()
     }
 
-    /// Tells what a piece of the answer comes to, or nothing where no event is whole yet.
+    /// Returns the step that a frame leads to, or `None` if no event is complete yet.
     fn step_for(
         &mut self,
         frame: Option<Result<Frame<Bytes>, hyper::Error>>,
@@ -244,7 +242,7 @@
         }
     }
 
-    /// Cuts bytes into events; drops those that the caller has, and finds gaps.
+    /// Splits bytes into events, drops those that the caller has received, and detects gaps.
     fn split_events(&mut self, data: &[u8]) -> Result<Bytes, &'static str> {
         let (bytes, events) = self.splitter.push(data).ok_or("an event is too long")?;
         let mut start = 0;
@@ -262,10 +260,10 @@
         Ok(Bytes::from(bytes).slice(start..))
     }
 
-    /// Goes on at another endpoint after the one so far was lost.
+    /// Resumes the stream at another endpoint after the current one was lost.
     async fn fail_over(&mut self, problem: &'static str) -> Result<(), BrokenAnswer> {
         self.note_failed();
-        // The first endpoint must have stopped before another one goes on.
+        // Dropping the source closes the connection before another endpoint resumes the stream.
         let lost = self.source.take().map(|source| source.target);
         if let Some(target) = &lost {
             note_break(&self.call.state, target, self.call.fingerprint());
@@ -304,7 +302,7 @@
             if self.call.caller.has_left() {
                 return Err("its caller has left".to_owned());
             }
-            // What was passed on stays valid, so the state is that of a request that was sent.
+            // Forwarded events stay valid, so the request counts as sent.
             match self.call.after_failure(&self.attempts, AttemptState::Sent) {
                 RetryVerdict::Retry => {}
                 RetryVerdict::Report(_) => return Err("no further attempt is allowed".to_owned()),
@@ -313,7 +311,7 @@
             match call.resume(&mut self.attempts, self.last_event).await {
                 Ok(source) => return Ok(source),
                 Err(problem) if self.attempts.endpoints.len() > 4 => return Err(problem),
-                Err(problem) => log::debug!("resume {}: {problem}", call.head.id),
+                Err(problem) => log::debug!("could not resume {}: {problem}", call.head.id),
             }
         }
     }
--- a/dockgate/src/gateway/notices.rs
+++ b/dockgate/src/gateway/notices.rs
@@ -1,4 +1,4 @@
-//! Takes in what endpoints say of themselves in their answers, and heeds it until the first byte of a request.
+//! Applies the notices that endpoints announce in their answers, up to the first byte of a request.
 
 use super::datagrams::send_to;
 use super::events::{GatewayEvent, log_gateway};
@@ -11,7 +11,7 @@
 use dockgate_proto::GatewayMessage;
 use std::sync::Arc;
 
-/// Takes in what the answer to `request` says of its endpoint.
+/// Applies the notice in the answer to `request`, and logs what has changed.
 pub(super) fn receive_notice(
     state: &GatewayState,
     target: &EndpointTarget,
@@ -41,9 +41,9 @@
     }
 }
 
-/// Tells the box that decides for an engine that it leaves, so that those who ask it need not find out by themselves.
+/// Reports to the owner of an engine that the engine is leaving.
 ///
-/// Of hundreds of boxes each sends to one engine every few seconds.
+/// The owner then declines for it, so that other boxes need not learn it from their own requests.
 pub(super) fn report_leaving(state: &GatewayState, target: &EndpointTarget) {
     let owner = state.with(|beliefs| {
         let entry = beliefs.endpoints.get(target.id)?;
@@ -56,16 +56,17 @@
     }
 }
 
-/// Takes in another box's word that an endpoint leaves.
+/// Applies a report by another box that an endpoint is leaving.
 pub(super) fn receive_reported_leave(state: &GatewayState, endpoint: EndpointId) {
     let is_believed =
         state.with(|beliefs| beliefs.endpoints.receive_reported_leave(endpoint, now_ms()));
     GATEWAY_METRICS.note_told(is_believed);
 }
 
-/// Makes the condition on which a request of `caller` is sent to an endpoint: that both still want it.
+/// Creates the condition on which a request of `caller` is sent to an endpoint: that the caller is
+/// connected and the endpoint accepts requests.
 ///
-/// Where a request goes is decided on what was heard by then; another answer may come between that and its first byte.
+/// Another answer of the endpoint may arrive between the placement and the first byte.
 pub(super) fn send_condition(
     state: &Arc<GatewayState>,
     target: &EndpointTarget,
--- a/dockgate/src/gateway/run_guard.rs
+++ b/dockgate/src/gateway/run_guard.rs
@@ -1,4 +1,4 @@
-//! One request at one endpoint: counted from the decision until it has left.
+//! Counts a request at an endpoint from its placement to its end.
 
 use super::datagrams::send_to;
 use super::gateway_state::{GatewayState, PlacedRun};
@@ -8,17 +8,17 @@
 use dockgate_proto::GatewayMessage;
 use std::sync::Arc;
 
-/// Counts a request at an endpoint; ends the count when it is dropped.
+/// Counts a request at an endpoint until it is dropped.
 pub(super) struct RunGuard {
     state: Arc<GatewayState>,
     endpoint: EndpointId,
-    /// The counter of the run, where the endpoint is an engine.
+    /// The number of the run, if the endpoint is an engine.
     number: Option<u32>,
     started: bool,
 }
 
 impl RunGuard {
-    /// Counts a request at a plain service's endpoint.
+    /// Counts a request at an endpoint of a plain service.
     pub(super) fn plain(state: &Arc<GatewayState>, endpoint: EndpointId) -> Self {
         state.with(|beliefs| beliefs.endpoints.note_sent(endpoint, now_ms()));
         Self {
@@ -56,21 +56,21 @@
         }
     }
 
-    /// Notes what was seen of the endpoint.
+    /// Records an outcome for the health of the endpoint.
     pub(super) fn note(&self, outcome: EndpointOutcome) {
         let now = now_ms();
         self.state
             .with(|beliefs| beliefs.endpoints.note_sign(self.endpoint, outcome, now));
     }
 
-    /// Notes what a lost attempt says of the endpoint, if anything.
+    /// Records the outcome of a failed attempt, if it counts for the endpoint.
     pub(super) fn note_failure(&self, outcome: Option<EndpointOutcome>) {
         if let Some(outcome) = outcome {
             self.note(outcome);
         }
     }
 
-    /// Notes the first event.
+    /// Records the first event, and reports it to the owner of an engine.
     pub(super) fn note_first_event(&mut self) {
         if std::mem::replace(&mut self.started, true) {
             return;
--- a/dockgate/src/gateway/upstream.rs
+++ b/dockgate/src/gateway/upstream.rs
@@ -1,4 +1,4 @@
-//! Connections to endpoints: kept while they are sound, bounded, and never used for two requests.
+//! Pools of connections to endpoints: bounded, reused while open, one request at a time each.
 
 mod endpoint_io;
 
@@ -20,50 +20,49 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// How long opening a connection may take: links take a millisecond, and an endpoint that is cut
-/// off says nothing. Callers of plain services wait 100 ms for an answer in time.
+/// How long opening a connection may take. Bounds the wait for an endpoint that is cut off, so that
+/// another one can still be tried in time.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// How long a connection may rest where the endpoint does not say; below what servers usually allow.
+/// How long a connection stays idle if the endpoint announces no timeout; shorter than the usual
+/// timeouts of servers.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
-/// How much sooner than the endpoint a resting connection is given up: a request must not cross the
-/// endpoint's close.
+/// How long before the endpoint's idle timeout a connection is closed, so that no request is sent
+/// while the endpoint closes it.
 const IDLE_MARGIN: Duration = Duration::from_millis(700);
 
-/// Where a request is sent.
+/// The endpoint that a request is sent to.
 #[derive(Debug, Clone)]
 pub(super) struct EndpointTarget {
-    /// The endpoint.
     pub(super) id: EndpointId,
-    /// Its lifetime id.
+    /// The id of the endpoint's lifetime.
     pub(super) name: String,
-    /// Where it listens.
     pub(super) address: SocketAddr,
-    /// How many connections this box may have to it.
+    /// The connection limits of this box for the endpoint.
     pub(super) limits: ConnectionLimits,
 }
 
-/// How many connections one box may have to one endpoint.
+/// The number of connections that one box may have to one endpoint.
 ///
-/// All boxes together may not have more than the endpoint takes. Those that rest are divided evenly;
-/// those in use go where the work is: callers of a large workspace may all be at one box, and what
-/// is in use is bounded by the endpoint's slots, whoever sends it.
+/// All boxes together must not exceed the connection limit of the endpoint. Idle connections are
+/// divided evenly among the boxes. Connections in use are not, since the load may be uneven; their
+/// total is bounded by the slots of the endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct ConnectionLimits {
-    /// Up to this many a connection may rest after its answer.
+    /// The number of open connections up to which one is kept idle after its answer.
     idle: usize,
-    /// Up to this many a connection may be opened.
+    /// The maximum number of open connections.
     open: usize,
 }
 
 impl ConnectionLimits {
-    /// The part of what an endpoint takes that boxes divide evenly: the rest is left for slots in
-    /// use beyond an even part, and for boxes that are not seen.
+    /// The fraction of an endpoint's connection limit that is divided evenly among the boxes. The
+    /// remainder is left for uneven load and for boxes that are not known.
     const SHARED_FRACTION: f64 = 0.8;
-    /// How many connections a box may use at least, in slots of the endpoint: as many as it runs
-    /// and as many as wait there.
+    /// The connections that a box may always open, in multiples of the endpoint's slots: one for
+    /// each running request and one for each waiting request.
     const MIN_SLOT_MULTIPLE: usize = 2;
 
-    /// Divides what an endpoint with `slots` slots takes among the boxes that live.
+    /// Divides the connection limit of an endpoint with `slots` slots among the live boxes.
     pub(super) fn new(max_connections: usize, slots: u32, live_boxes: u32) -> Self {
         let even_share =
             max_connections as f64 * Self::SHARED_FRACTION / f64::from(live_boxes.max(2));
@@ -76,24 +75,24 @@
     }
 }
 
-/// Why no head of an answer came.
+/// Why no head of an answer was received.
 #[derive(Debug)]
 pub(super) enum SendFailure {
-    /// Nobody listens at the endpoint's address; nothing was sent.
+    /// The endpoint's address refused the connection; nothing was sent.
     Refused(String),
     /// The endpoint cannot be reached; nothing was sent.
     Unreachable(String),
     /// A connection to the endpoint did not open in time; nothing was sent.
     ConnectTimeout(String),
-    /// This box has as many connections there as it may; nothing was sent.
+    /// The connection limit of this box is reached; nothing was sent.
     NoConnection,
-    /// It is not to be sent any more; nothing was sent.
+    /// The condition for sending no longer holds; nothing was sent.
     Withheld(WithheldReason),
     /// The request may have reached the endpoint.
     Lost(String),
 }
 
-/// A connection: how the library is given a request, and how it is kept from sending one.
+/// An open connection, with the gate that can withhold a request and the handle to reset it.
 struct OpenConnection {
     sender: SendRequest<Full<Bytes>>,
     gate: Arc<SendGate>,
@@ -112,7 +111,7 @@
 }
 
 impl EndpointPool {
-    /// Closes the connections that rest; they are not open any more.
+    /// Closes the idle connections and no longer counts them as open.
     fn close_idle(&mut self) {
         self.open = self.open.saturating_sub(self.idle.len());
         self.idle.clear();
@@ -130,7 +129,7 @@
         self.pools.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Closes the resting connections of endpoints that are gone.
+    /// Closes the idle connections to all endpoints except `kept`.
     pub(super) fn retain(&self, kept: &[EndpointId]) {
         self.locked().retain(|id, pool| {
             let keep = kept.contains(id);
@@ -141,7 +140,7 @@
         });
     }
 
-    /// Closes the resting connections to some endpoints: what is sent on one whose link is cut is lost.
+    /// Closes the idle connections to some endpoints, since requests sent over a cut link are lost.
     pub(super) fn close_idle_to(&self, endpoints: &[EndpointId]) {
         let mut pools = self.locked();
         for id in endpoints {
@@ -151,18 +150,17 @@
         }
     }
 
-    /// Closes all resting connections.
     pub(super) fn close_all_idle(&self) {
         let mut pools = self.locked();
         pools.values_mut().for_each(EndpointPool::close_idle);
     }
 
-    /// Returns how many connections are open.
+    /// Returns the number of open connections, idle or in use.
     pub(super) fn open(&self) -> usize {
         self.locked().values().map(|pool| pool.open).sum()
     }
 
-    /// Takes the connection that rested last, as it is the least likely to be closed.
+    /// Takes the most recently used idle connection, which is the least likely to be closed.
     fn take_idle(&self, id: EndpointId) -> Option<OpenConnection> {
         let mut pools = self.locked();
         let pool = pools.get_mut(&id)?;
@@ -177,7 +175,7 @@
         None
     }
 
-    /// Counts a connection about to be opened; returns false where there are enough.
+    /// Counts a connection that is about to be opened; returns `false` if the limit is reached.
     fn reserve(&self, target: &EndpointTarget) -> bool {
         let mut pools = self.locked();
         let pool = pools.entry(target.id).or_default();
@@ -194,7 +192,7 @@
         }
     }
 
-    /// Keeps a connection for the next request, or closes it where there are more than may rest.
+    /// Keeps a connection for the next request, or closes it if too many are open.
     fn keep_idle(&self, target: PoolKey, connection: OpenConnection, until_ms: u64) {
         match self.locked().get_mut(&target.id) {
             Some(pool) if pool.open <= target.idle => {
@@ -209,7 +207,7 @@
     }
 }
 
-/// Which pool a connection belongs to, and how many may rest there.
+/// The pool that a connection belongs to, with its limit for keeping idle connections.
 #[derive(Debug, Clone, Copy)]
 struct PoolKey {
     id: EndpointId,
@@ -225,19 +223,19 @@
     }
 }
 
-/// A connection that is in use; closes when it is dropped.
+/// A connection in use by one request; closed on drop unless it is kept.
 pub(super) struct PooledConnection {
     pools: Arc<EndpointPools>,
     pool: PoolKey,
     connection: Option<OpenConnection>,
-    /// Whether the endpoint has begun to answer what was sent last.
+    /// Whether the endpoint has begun to answer the last request.
     is_answered: bool,
 }
 
 impl PooledConnection {
-    /// Keeps the connection for the next request, after a whole answer.
+    /// Returns the connection to its pool after a complete answer.
     ///
-    /// `idle` is how long the endpoint says that it keeps it.
+    /// `idle` is the idle timeout that the endpoint announced.
     pub(super) fn keep(mut self, idle: Option<Duration>) {
         let keep_alive = idle.map_or(IDLE_TIMEOUT, |idle| idle.saturating_sub(IDLE_MARGIN));
         let connection = self
@@ -259,9 +257,8 @@
         let Some(connection) = self.connection.take() else {
             return;
         };
-        // A close delivers what the system still holds, seconds later where the endpoint reads late: of a
-        // request of 9,653 bytes that was given up it got all, and none with a reset. Once it answers it
-        // has the whole request, and a close is told again where it is lost on the way.
+        // An orderly close would still deliver the buffered request to an endpoint that reads late;
+        // a reset discards it. Once the endpoint answers, it has the whole request.
         if !self.is_answered {
             connection.abort.reset_on_close();
         }
@@ -276,7 +273,7 @@
     if !pools.reserve(target) {
         return Err(SendFailure::NoConnection);
     }
-    // Gives the reservation back if this future is dropped while it waits.
+    // Releases the reservation if this future fails or is dropped.
     struct Reservation<'a>(&'a EndpointPools, EndpointId, bool);
     impl Drop for Reservation<'_> {
         fn drop(&mut self) {
@@ -303,7 +300,7 @@
         .map_err(|error| unreachable(error.to_string()))?;
     tokio::spawn(async move {
         if let Err(error) = connection.await {
-            log::debug!("connection to an endpoint: {error}");
+            log::debug!("connection to an endpoint failed: {error}");
         }
     });
     reservation.2 = true;
@@ -321,12 +318,12 @@
 
 /// Sends a request if the condition holds when it is written, and waits for the head of the answer.
 ///
-/// A connection that was found closed before the request was put on it is replaced by a new one;
-/// nothing else is tried again here.
+/// A pooled connection that turns out to be closed before the request is sent is replaced by
+/// another one; nothing else is retried here.
 ///
 /// # Errors
 ///
-/// Returns a failure that says whether the request may have reached the endpoint.
+/// Returns a failure that states whether the request may have reached the endpoint.
 pub(super) async fn send(
     pools: &Arc<EndpointPools>,
     target: &EndpointTarget,
@@ -362,7 +359,7 @@
 
 enum ExchangeFailure {
     NotSent(Box<Request<Full<Bytes>>>),
-    /// The condition did not hold any more when the first byte was to be written.
+    /// The condition no longer held when the first byte was to be written.
     Withheld(WithheldReason),
     Lost(String),
 }
@@ -394,7 +391,7 @@
     })
 }
 
-/// Writes an error with its causes.
+/// Formats an error with its cause.
 fn error_with_cause(error: &hyper::Error) -> String {
     let cause = std::error::Error::source(error);
     cause.map_or_else(|| error.to_string(), |cause| format!("{error}: {cause}"))
--- a/dockgate/src/gateway/upstream/endpoint_io.rs
+++ b/dockgate/src/gateway/upstream/endpoint_io.rs
@@ -1,8 +1,9 @@
-//! A connection to an endpoint, which writes no request whose caller has left, or that the endpoint does not want.
+//! A connection to an endpoint that withholds a request if its caller has left, or if the endpoint
+//! no longer accepts requests.
 //!
-//! Between the decision where a request goes and its first byte on the way stands the queue of the one thread.
-//! On a box that is late this is seconds, in which callers leave and endpoints say that they do; the tasks that would
-//! notice may stand behind the one that writes. So it is looked at at the last moment there is.
+//! On an overloaded box, seconds may pass between the choice of an endpoint and the first write.
+//! The tasks that would notice a change may be scheduled after the one that writes, so the
+//! condition is checked directly before the write.
 
 use super::super::gateway_metrics::GATEWAY_METRICS;
 use crate::shared_stream::{PeerPresence, SharedStream};
@@ -12,7 +13,7 @@
 use std::task::{Context, Poll};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// Whether a request is still to be sent.
+/// The condition on which a request may be sent.
 #[derive(Clone)]
 pub(in super::super) struct SendCondition {
     caller: PeerPresence,
@@ -20,7 +21,7 @@
 }
 
 impl SendCondition {
-    /// Sends a request of `caller` if its endpoint still wants it.
+    /// Creates a condition that holds while `caller` is connected and `is_accepted` returns `true`.
     pub(in super::super) fn new(
         caller: &PeerPresence,
         is_accepted: impl Fn() -> bool + Send + Sync + 'static,
@@ -40,17 +41,17 @@
     }
 }
 
-/// Why a request was not written.
+/// Why a request was withheld.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(in super::super) enum WithheldReason {
-    /// Its caller has left.
+    /// The caller has left.
     CallerLeft,
-    /// Its endpoint has said meanwhile that it takes nothing from this box.
+    /// The endpoint announced meanwhile that it accepts no requests from this box.
     Unwanted,
 }
 
 impl WithheldReason {
-    /// Returns the word used in metrics and errors.
+    /// Returns the name used in metrics and errors.
     pub(in super::super) const fn as_str(self) -> &'static str {
         match self {
             Self::CallerLeft => "caller_left",
@@ -59,7 +60,7 @@
     }
 }
 
-/// Whether the request that a connection carries next is still to be sent.
+/// Holds the condition of the next request on a connection, and the reason if it was withheld.
 #[derive(Default)]
 pub(super) struct SendGate {
     condition: Mutex<Option<SendCondition>>,
@@ -67,24 +68,21 @@
 }
 
 impl SendGate {
-    /// Names the condition of the request that is written next.
+    /// Sets the condition of the next request.
     pub(super) fn set_condition(&self, condition: &SendCondition) {
         *locked(&self.condition) = Some(condition.clone());
     }
 
-    /// Tells why a request was not written, where one was not; the connection has ended then.
+    /// Returns why a request was withheld, if one was; the connection has ended then.
     pub(super) fn withheld(&self) -> Option<WithheldReason> {
         *locked(&self.withheld)
     }
 
-    /// Looks at the condition when the first bytes of its request are about to be written.
-    ///
-    /// At a box that is stopped for 800 ms and runs for 4 in turn, endpoints got 99 of 100 requests over 500 ms after
-    /// their callers had left without this look, and none with it; it takes one call of the system a request.
+    /// Checks the condition once, before the first bytes of its request are written.
     ///
     /// # Errors
     ///
-    /// Returns an error where it does not hold: nothing is written then.
+    /// Returns an error if the condition does not hold; nothing is written then.
     fn check(&self) -> io::Result<()> {
         let condition = locked(&self.condition).take();
         let Some(reason) = condition.and_then(|condition| condition.withheld()) else {
@@ -103,7 +101,7 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// A connection to an endpoint.
+/// A connection to an endpoint whose writes pass a [`SendGate`].
 pub(super) struct EndpointIo {
     stream: SharedStream,
     gate: Arc<SendGate>,
--- a/dockgate/src/gateway/upstream/tests.rs
+++ b/dockgate/src/gateway/upstream/tests.rs
@@ -7,8 +7,8 @@
 use tokio::net::TcpListener;
 use yare::parameterized;
 
-/// On a day of 64 boxes an even part of 580 connections was eight, and the one box that had the
-/// callers of a large workspace refused what engines with 32 slots had room for.
+/// If all callers of a workspace are at one box, an even share of the connections is too small for
+/// that box to use the slots of an endpoint.
 #[test]
 fn one_box_can_use_all_slots_of_an_endpoint() {
     let limits = ConnectionLimits::new(580, 32, 64);
@@ -17,7 +17,6 @@
 }
 
 proptest! {
-    /// What rests everywhere and what all slots use is never more than the endpoint takes.
     #[test]
     fn all_boxes_together_stay_within_the_connection_limit(
         max_connections in 40_usize..2_000,
@@ -37,11 +36,11 @@
 #[derive(Debug, Clone, Copy)]
 enum CallerLeaves {
     BeforeSend,
-    /// Once the task of the endpoint's connection has the request, and before that task runs.
+    /// After the request was handed to the connection task, and before that task runs.
     BeforeWrite,
 }
 
-/// Answers the first request on one connection, and returns what comes behind it.
+/// Answers the first request on one connection, and returns the bytes received after it.
 async fn answer_first(listener: TcpListener) -> Vec<u8> {
     let (mut stream, _) = listener.accept().await.unwrap();
     let mut first = Vec::new();
@@ -51,26 +50,20 @@
     let answer = b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n";
     stream.write_all(answer).await.unwrap();
     let mut trailing = Vec::new();
-    // A connection that is reset has nothing more to tell either.
+    // A reset of the connection is expected too.
     let _ = stream.read_to_end(&mut trailing).await;
     trailing
 }
 
-/// Users saw endpoints get requests long after the callers had left, at a small box. It had read the
-/// requests and decided where they go while the callers were there; then they stood in the queue of its
-/// one thread, behind a flood, and the callers left meanwhile. The tasks that wrote the requests stood
-/// before those that would have noticed.
-///
-/// Evidence: of a box that was stopped for 800 ms and ran for 4 in turn, endpoints got 99 of 100 requests
-/// more than 500 ms after their callers had closed their connections, one box 5.8 s after; at the moment
-/// of each of these writes the system knew that the caller had gone.
+/// On an overloaded box, a request may be written long after it was placed. It must not reach the
+/// endpoint if its caller has left meanwhile.
 #[parameterized(
     before_send = { CallerLeaves::BeforeSend },
     before_write = { CallerLeaves::BeforeWrite },
 )]
 #[test_macro(tokio::test)]
 async fn nothing_is_written_for_a_caller_that_has_left(leaves: CallerLeaves) {
-    const PATIENCE: Duration = Duration::from_millis(500);
+    const TIMEOUT: Duration = Duration::from_millis(500);
     let listener = TcpListener::bind(("127.0.0.1", 0)).await.unwrap();
     let target = EndpointTarget {
         id: EndpointId::from_name("life-1"),
@@ -92,17 +85,17 @@
         assert!(futures::poll!(&mut sending).is_pending());
     }
     drop(caller);
-    // No task runs meanwhile, but the system hears of the end.
+    // Blocks the runtime, so that only the kernel learns of the close.
     std::thread::sleep(Duration::from_millis(20));
-    let sent = tokio::time::timeout(PATIENCE, &mut sending).await;
+    let sent = tokio::time::timeout(TIMEOUT, &mut sending).await;
     assert!(!matches!(sent, Ok(Ok(_))), "there is no answer");
     drop(sending);
     let trailing = endpoint.await.unwrap();
     assert_eq!(String::from_utf8_lossy(&trailing), "");
 }
 
-/// Where a request goes is decided on what was heard by then. On a box that is late its first byte stands in the queue
-/// behind the answer that says the endpoint takes nothing more.
+/// An endpoint may announce that it accepts no requests after one was placed there and before its
+/// first byte is written.
 #[tokio::test]
 async fn nothing_is_written_to_an_endpoint_that_stopped_accepting() {
     let listener = TcpListener::bind(("127.0.0.1", 0)).await.unwrap();
