--- a/dockgate/src/gateway.rs
+++ b/dockgate/src/gateway.rs
@@ -1,8 +1,8 @@
 //! The daemon as a gateway: routes requests by host and path to the endpoints of services.
 //!
 //! One thread serves everything, since a box has a part of one core. [`GatewayState`] holds what
-//! the box believes; the tasks around it do the I/O: callers in `caller_listener`, endpoints in `upstream`,
-//! the platform's store in `follow`, other boxes in `membership`, `peer_net` and
+//! the box believes; the tasks around it do the I/O: callers in `caller_listener`, endpoints in
+//! `upstream`, the platform's store in `follow`, other boxes in `membership`, `peer_net` and
 //! `peer_state`.
 
 mod call;
--- a/dockgate/src/gateway/call/admitted_call.rs
+++ b/dockgate/src/gateway/call/admitted_call.rs
@@ -226,7 +226,7 @@
     let prompt = head.prompt.as_ref().filter(|_| engine.is_some());
     let units = prompt.map_or(0, PromptShape::units);
     state.with(|beliefs| beliefs.tally.record_request(name_hash(name), name, units));
-    shed(&state, name_hash(name), units).map_err(rejected_on_route)?;
+    shed_request(&state, name_hash(name), units).map_err(rejected_on_route)?;
     let timeout = route_spec.timeout;
     let budget = head.budget.unwrap_or(timeout).min(timeout);
     state.with(|beliefs| {
@@ -261,22 +261,22 @@
 /// # Errors
 ///
 /// Returns a refusal if the request is shed.
-fn shed(state: &GatewayState, workspace: u64, units: u64) -> Result<(), CallRefusal> {
+fn shed_request(state: &GatewayState, workspace: u64, units: u64) -> Result<(), CallRefusal> {
     state.with(|beliefs| {
-        let shed = &mut beliefs.shed;
-        shed.record_request(workspace);
-        let part = shed.refused_fraction(workspace);
-        if part <= 0.0 || !rand::random_bool(part) {
+        let shedder = &mut beliefs.shed;
+        shedder.record_request(workspace);
+        let fraction = shedder.refused_fraction(workspace);
+        if fraction <= 0.0 || !rand::random_bool(fraction) {
             return Ok(());
         }
-        shed.record_refusal();
+        shedder.record_refusal();
         let outcome = ShareOutcome::NoProcessor;
         beliefs.tally.record_outcome(workspace, outcome, units);
-        let reason = match shed.is_out_of_rotation() {
+        let reason = match shedder.is_out_of_rotation() {
             true => RefusalReason::SentElsewhere,
             false => RefusalReason::Overloaded,
         };
-        let after = shed.retry_after(rand::random());
+        let after = shedder.retry_after(rand::random());
         Err(CallRefusal::with_retry(reason, after))
     })
 }
--- a/dockgate/src/gateway/call/call_progress.rs
+++ b/dockgate/src/gateway/call/call_progress.rs
@@ -34,12 +34,12 @@
 
 impl CallProgress {
     /// Counts a send to an endpoint.
-    pub(super) fn note_send(&self) {
+    pub(super) fn record_send(&self) {
         self.sends.fetch_add(1, Ordering::Relaxed);
     }
 
     /// Records that the answer has begun.
-    pub(in super::super) fn note_answer(&self) {
+    pub(in super::super) fn record_answer(&self) {
         self.is_answering.store(true, Ordering::Relaxed);
     }
 
--- a/dockgate/src/gateway/call/send_attempts.rs
+++ b/dockgate/src/gateway/call/send_attempts.rs
@@ -44,7 +44,7 @@
                 .await
                 .map_err(|refusal| match attempts.sent {
                     0 => refusal,
-                    _ => self.report(&attempts, AttemptState::Queued, false),
+                    _ => self.refusal_after(&attempts, AttemptState::Queued, false),
                 })?;
             attempts.endpoints.push(placement.target.id);
             let mut failure = match self.clone().send_once(placement, &mut attempts).await {
@@ -64,7 +64,7 @@
                     self.progress.end();
                     Ok(*answer)
                 }
-                None => Err(self.report(&attempts, failure.state, failure.timed_out)),
+                None => Err(self.refusal_after(&attempts, failure.state, failure.timed_out)),
             };
         }
     }
@@ -79,8 +79,8 @@
         if state == AttemptState::Bound {
             // Nothing was sent, so the retry budget is not charged.
             let unreached = attempts.endpoints.len() - attempts.sent as usize;
-            let left = unreached < MAX_UNREACHED && !self.time_left().is_zero();
-            return state.after_loss(repeatable, left);
+            let may_retry = unreached < MAX_UNREACHED && !self.time_left().is_zero();
+            return state.after_loss(repeatable, may_retry);
         }
         let allowed = attempts.sent < self.route().attempts
             && !self.time_left().is_zero()
@@ -88,18 +88,23 @@
         // The retry budget is checked last, so that it is charged only for actual retries.
         let wanted = state.after_loss(repeatable, allowed) == RetryVerdict::Retry;
         let service = &self.service().name;
-        let left = wanted
+        let may_retry = wanted
             && self
                 .state
                 .with(|beliefs| beliefs.retries.try_take(service, now_ms()));
-        if left {
+        if may_retry {
             METRICS.retries.inc();
         }
-        state.after_loss(repeatable, left)
+        state.after_loss(repeatable, may_retry)
     }
 
     /// Returns the refusal for a request whose last attempt ended in `state`.
-    fn report(&self, attempts: &CallAttempts, state: AttemptState, timed_out: bool) -> CallRefusal {
+    fn refusal_after(
+        &self,
+        attempts: &CallAttempts,
+        state: AttemptState,
+        timed_out: bool,
+    ) -> CallRefusal {
         let outcome = attempts.trail.outcome(state, self.route().may_repeat());
         let reason = match (outcome, state) {
             (Outcome::NotRun, AttemptState::Refused | AttemptState::Queued) => {
@@ -158,10 +163,10 @@
     ) -> Result<Response<CallBody>, AttemptFailure> {
         let target = placement.target.clone();
         let attempt = attempts.sent + 1;
-        let decided = GATEWAY_METRICS
+        let decision_time = GATEWAY_METRICS
             .decision
             .with_label_values(&[&self.service().name]);
-        decided.observe(self.age().as_secs_f64());
+        decision_time.observe(self.age().as_secs_f64());
         let expected_ms = placement.expected_ms;
         if self.is_sampled() || attempt > 1 {
             self.log_sent(&placement, attempt);
@@ -171,7 +176,7 @@
             AnswerForm::Whole => self.send_whole(placement, attempts).await,
         };
         result.inspect_err(|failure| {
-            self.note_failure(&target, failure);
+            self.report_suspicion(&target, failure);
             let ran = failure.state.outcome(self.route().may_repeat());
             log_gateway(&GatewayEvent::SendFailed {
                 request: &self.head.id,
@@ -188,7 +193,7 @@
     }
 
     /// Reports an endpoint that may have ended, as suspected after a failed attempt.
-    fn note_failure(&self, target: &EndpointTarget, failure: &AttemptFailure) {
+    fn report_suspicion(&self, target: &EndpointTarget, failure: &AttemptFailure) {
         match failure.suspicion {
             EndpointSuspicion::MayHaveEnded => note_break(&self.state, target, self.fingerprint()),
             EndpointSuspicion::Gone => note_gone(&self.state, target),
@@ -229,13 +234,13 @@
         last_event: Option<u64>,
     ) -> Result<JudgedAnswer, AttemptFailure> {
         let request = self.request_for(&placement.target, last_event);
-        self.progress.note_send();
+        self.progress.record_send();
         let condition = send_condition(&self.state, &placement.target, &self.caller);
         let sent = send(&self.state.pools, &placement.target, request, &condition);
         // Computed before `sent` is incremented, so that the timeout is that of this attempt.
-        let begins_until =
+        let answer_deadline =
             ClockInstant::now() + self.answer_timeout(placement.expected_ms, attempts);
-        let sent = timeout_at(begins_until, sent).await;
+        let sent = timeout_at(answer_deadline, sent).await;
         let sent = sent.map_err(|_| {
             attempts.sent += 1;
             AttemptFailure::broken_off("timed out", self.time_left().is_zero())
@@ -273,9 +278,9 @@
         match verdict {
             AnswerVerdict::NotRun => {
                 let problem = format!("not run: {}", response.status());
-                let is_other = response.status() == StatusCode::MISDIRECTED_REQUEST;
+                let is_misdirected = response.status() == StatusCode::MISDIRECTED_REQUEST;
                 drain_body(response.into_body(), connection, &head).await;
-                Err(match is_other {
+                Err(match is_misdirected {
                     true => AttemptFailure::gone(AttemptState::Refused, problem),
                     false => {
                         AttemptFailure::new(AttemptState::Refused, EndpointOutcome::Full, problem)
@@ -298,7 +303,7 @@
                     connection,
                     head,
                     verdict,
-                    begins_until,
+                    answer_deadline,
                 })
             }
         }
@@ -310,12 +315,13 @@
         attempts: &mut CallAttempts,
     ) -> Result<Response<CallBody>, AttemptFailure> {
         let answer = self.exchange(&placement, attempts, None).await;
-        let answer = answer.inspect_err(|failure| placement.guard.note_failure(failure.outcome))?;
-        self.take_whole(placement, answer, attempts).await
+        let answer =
+            answer.inspect_err(|failure| placement.guard.record_failure(failure.outcome))?;
+        self.read_whole(placement, answer, attempts).await
     }
 
     /// Reads the whole answer before any of it is forwarded.
-    async fn take_whole(
+    async fn read_whole(
         &self,
         placement: CallPlacement,
         answer: JudgedAnswer,
@@ -335,7 +341,7 @@
             read.map_err(|error| AttemptFailure::broken_off(error.to_string(), false))
         });
         let bytes = read
-            .inspect_err(|_| placement.guard.note(EndpointOutcome::Failed))?
+            .inspect_err(|_| placement.guard.record(EndpointOutcome::Failed))?
             .to_bytes();
         if !head.closes {
             connection.keep(head.idle);
@@ -343,7 +349,7 @@
         let response = forward_answer(parts.status, &parts.headers, whole_body(bytes));
         if verdict == AnswerVerdict::Failed {
             // An error status is common on some routes and does not mean that the endpoint failed.
-            placement.guard.note(EndpointOutcome::Answered);
+            placement.guard.record(EndpointOutcome::Answered);
             let problem = format!("status {}", parts.status);
             let failure = AttemptFailure::new(AttemptState::Sent, EndpointOutcome::Failed, problem);
             return Err(AttemptFailure {
@@ -351,7 +357,7 @@
                 ..failure
             });
         }
-        placement.guard.note(EndpointOutcome::Answered);
+        placement.guard.record(EndpointOutcome::Answered);
         self.log_answered(
             &placement.target.name,
             parts.status,
@@ -398,19 +404,20 @@
         attempts: &mut CallAttempts,
     ) -> Result<Response<CallBody>, AttemptFailure> {
         let answer = self.exchange(&placement, attempts, None).await;
-        let answer = answer.inspect_err(|failure| placement.guard.note_failure(failure.outcome))?;
+        let answer =
+            answer.inspect_err(|failure| placement.guard.record_failure(failure.outcome))?;
         if !answer.parts.status.is_success() {
-            return self.take_whole(placement, answer, attempts).await;
+            return self.read_whole(placement, answer, attempts).await;
         }
         let JudgedAnswer {
             parts,
             body,
             connection,
             head,
-            begins_until,
+            answer_deadline,
             ..
         } = answer;
-        placement.guard.note(EndpointOutcome::Answered);
+        placement.guard.record(EndpointOutcome::Answered);
         let source = StreamSource {
             target: placement.target,
             body,
@@ -418,7 +425,7 @@
             head,
             guard: placement.guard,
         };
-        let first_timeout = begins_until.left();
+        let first_timeout = answer_deadline.left();
         let mut stream = EventStream::new(self.clone(), attempts.clone(), source, parts.status);
         match stream.read_first(first_timeout).await {
             Ok(()) => Ok(forward_answer(
@@ -427,7 +434,7 @@
                 stream.into_body(),
             )),
             Err(problem) => {
-                stream.note_failed();
+                stream.record_failed();
                 Err(AttemptFailure::broken_off(
                     problem,
                     self.time_left().is_zero(),
@@ -451,8 +458,8 @@
         attempts.endpoints.push(placement.target.id);
         let answer = self.exchange(&placement, attempts, after_event).await;
         let answer = answer.inspect_err(|failure| {
-            placement.guard.note_failure(failure.outcome);
-            self.note_failure(&placement.target, failure);
+            placement.guard.record_failure(failure.outcome);
+            self.report_suspicion(&placement.target, failure);
         });
         let answer = answer.map_err(|failure| failure.problem)?;
         if !answer.parts.status.is_success() {
@@ -482,7 +489,7 @@
     head: AnswerHead,
     verdict: AnswerVerdict,
     /// The time until which the attempt waits for the first event.
-    begins_until: ClockInstant,
+    answer_deadline: ClockInstant,
 }
 
 /// Reads the rest of a short answer, so that its connection can be reused.
--- a/dockgate/src/gateway/caller_listener.rs
+++ b/dockgate/src/gateway/caller_listener.rs
@@ -28,7 +28,7 @@
 /// The fraction of the connection limit above which connections are closed after each answer, so
 /// that idle callers do not keep others out.
 const CROWDED_FRACTION: f64 = 0.5;
-/// The fraction of the connection limit down to which idle connections are closed, the longest idle
+/// The fraction of the connection limit above which idle connections are closed, the longest idle
 /// first.
 const FULL_FRACTION: f64 = 0.95;
 /// The delay before the next accept if no connection can be accepted.
--- a/dockgate/src/gateway/engine_placement.rs
+++ b/dockgate/src/gateway/engine_placement.rs
@@ -55,7 +55,7 @@
 pub(super) struct EngineRefusal {
     /// The engines that declined, in order.
     pub(super) asked: Vec<AskedEngine>,
-    /// The shortest time to a first event at any engine, if it was too late without a request.
+    /// The shortest possible time to a first event, if it is too late at every engine.
     unattainable_ms: Option<u32>,
 }
 
@@ -66,7 +66,7 @@
         asked.chain(self.unattainable_ms).min()
     }
 
-    fn note(&mut self, home: &HomeEngine, decision: HomeDecision) {
+    fn record(&mut self, home: &HomeEngine, decision: HomeDecision) {
         let predicted = decision.verdict.first_event_ms();
         self.asked
             .extend(predicted.map(|first_event_ms| AskedEngine {
@@ -102,7 +102,7 @@
 ///
 /// A prompt with few shared tokens has local homes first and some remote ones after them. If the
 /// local domain has too few engines, remote ones take their place.
-fn pick_homes(
+fn select_homes(
     query: &EngineQuery,
     ready: &[ReadyEndpoint],
     local: DomainKey,
@@ -147,9 +147,9 @@
         let unreliable = entry(id).is_none_or(|entry| entry.health.is_unreliable(now));
         is_eligible(id) && !unreliable
     };
-    let mut order = pick_homes(query, ready, local, is_usable);
+    let mut order = select_homes(query, ready, local, is_usable);
     if order.is_empty() {
-        order = pick_homes(query, ready, local, is_eligible);
+        order = select_homes(query, ready, local, is_eligible);
     }
     let boxes = beliefs.fleet.live_count(now);
     let homes = order.into_iter().filter_map(|id| {
@@ -384,7 +384,7 @@
             Some(decision) if is_granted(&decision) => {
                 return Ok(engine_placement(state, home, decision, request));
             }
-            Some(decision) => refusal.note(home, decision),
+            Some(decision) => refusal.record(home, decision),
             None => {}
         }
     }
@@ -398,8 +398,8 @@
     request: &EngineAsk,
 ) -> Option<u32> {
     // The fastest engine is checked only for a workspace beyond its share.
-    let is_open = query.resumed || !query.level.is_beyond();
-    let spec = query.service.engine.filter(|_| !is_open)?;
+    let is_exempt = query.resumed || !query.level.is_beyond();
+    let spec = query.service.engine.filter(|_| !is_exempt)?;
     let rule = state.settings().admission;
     let first_ms = state.with(|beliefs| {
         let fastest = beliefs.engines.fastest(spec)?;
--- a/dockgate/src/gateway/engine_placement/pending_slot_request/tests.rs
+++ b/dockgate/src/gateway/engine_placement/pending_slot_request/tests.rs
@@ -12,7 +12,7 @@
 const ENGINE: EndpointId = EndpointId(3);
 
 /// Creates the state of a box that knows one other box, at `owner`, which owns the engine.
-async fn state_beside(owner: SocketAddr) -> (GatewayState, BoxKey) {
+async fn state_with_owner(owner: SocketAddr) -> (GatewayState, BoxKey) {
     let datagrams = UdpSocket::bind("127.0.0.1:0").await.unwrap();
     // Registers the socket as writable, so that `try_send` succeeds.
     datagrams.writable().await.unwrap();
@@ -70,7 +70,7 @@
 #[test_macro(tokio::test)]
 async fn unclaimed_grants_are_released(verdict: EngineVerdict, end: RequestEnd, expected: &[&str]) {
     let socket = UdpSocket::bind("127.0.0.1:0").await.unwrap();
-    let (state, owner) = state_beside(socket.local_addr().unwrap()).await;
+    let (state, owner) = state_with_owner(socket.local_addr().unwrap()).await;
     let request = PendingSlotRequest::send(&state, RUN, ENGINE, owner, &admission_request());
     let sender = state.with(|beliefs| beliefs.seeks.remove(&RUN)).unwrap();
     sender.send(verdict).unwrap();
--- a/dockgate/src/gateway/engine_placement/tests.rs
+++ b/dockgate/src/gateway/engine_placement/tests.rs
@@ -56,7 +56,7 @@
         ready.collect()
     };
     let ready = [of_domain(local, 1), of_domain(remote, 2)].concat();
-    let found = pick_homes(&query, &ready, DomainKey(1), |_| true);
+    let found = select_homes(&query, &ready, DomainKey(1), |_| true);
     let expected: Vec<EndpointId> = homes.iter().map(engine_at).collect();
     assert_eq!(found, expected);
 }
--- a/dockgate/src/gateway/event_stream.rs
+++ b/dockgate/src/gateway/event_stream.rs
@@ -105,7 +105,7 @@
         match self.read(timeout).await {
             StreamStep::Events(bytes) => {
                 self.ready = Some(bytes);
-                self.call.progress.note_answer();
+                self.call.progress.record_answer();
                 self.first_event_age = self.call.age();
                 Ok(())
             }
@@ -118,9 +118,9 @@
     }
 
     /// Records that the endpoint failed.
-    pub(super) fn note_failed(&self) {
+    pub(super) fn record_failed(&self) {
         if let Some(source) = &self.source {
-            source.guard.note(EndpointOutcome::Failed);
+            source.guard.record(EndpointOutcome::Failed);
         }
     }
 
@@ -195,7 +195,7 @@
                 continue;
             };
             if let (StreamStep::Events(_), Some(source)) = (&step, self.source.as_mut()) {
-                source.guard.note_first_event();
+                source.guard.record_first_event();
             }
             return step;
         }
@@ -262,7 +262,7 @@
 
     /// Resumes the stream at another endpoint after the current one was lost.
     async fn fail_over(&mut self, problem: &'static str) -> Result<(), BrokenAnswer> {
-        self.note_failed();
+        self.record_failed();
         // Dropping the source closes the connection before another endpoint resumes the stream.
         let lost = self.source.take().map(|source| source.target);
         if let Some(target) = &lost {
--- a/dockgate/src/gateway/run_guard.rs
+++ b/dockgate/src/gateway/run_guard.rs
@@ -57,25 +57,25 @@
     }
 
     /// Records an outcome for the health of the endpoint.
-    pub(super) fn note(&self, outcome: EndpointOutcome) {
+    pub(super) fn record(&self, outcome: EndpointOutcome) {
         let now = now_ms();
         self.state
             .with(|beliefs| beliefs.endpoints.note_sign(self.endpoint, outcome, now));
     }
 
     /// Records the outcome of a failed attempt, if it counts for the endpoint.
-    pub(super) fn note_failure(&self, outcome: Option<EndpointOutcome>) {
+    pub(super) fn record_failure(&self, outcome: Option<EndpointOutcome>) {
         if let Some(outcome) = outcome {
-            self.note(outcome);
+            self.record(outcome);
         }
     }
 
     /// Records the first event, and reports it to the owner of an engine.
-    pub(super) fn note_first_event(&mut self) {
+    pub(super) fn record_first_event(&mut self) {
         if std::mem::replace(&mut self.started, true) {
             return;
         }
-        self.note(EndpointOutcome::Answered);
+        self.record(EndpointOutcome::Answered);
         let Some(number) = self.number else { return };
         let key = self.state.own_run(number);
         let me = self.state.me();
@@ -85,8 +85,10 @@
                 run.started = true;
                 run.owner
             });
-            let decides = owner == Some(me);
-            beliefs.engines.start(self.endpoint, key, now_ms(), decides);
+            let is_owner = owner == Some(me);
+            beliefs
+                .engines
+                .start(self.endpoint, key, now_ms(), is_owner);
             owner
         });
         self.notify_owner(
--- a/dockgate/src/gateway/upstream/tests.rs
+++ b/dockgate/src/gateway/upstream/tests.rs
@@ -17,18 +17,19 @@
 }
 
 proptest! {
+    /// Idle connections of all boxes and used slots together never exceed the endpoint's limit.
     #[test]
     fn all_boxes_together_stay_within_the_connection_limit(
-        max_connections in 40_usize..2_000,
+        max in 40_usize..2_000,
         slots in 1_u32..64,
         boxes in 2_u32..400,
     ) {
-        prop_assume!(slots as usize * 10 <= max_connections * 2 && boxes as usize <= max_connections / 2);
-        let limits = ConnectionLimits::new(max_connections, slots, boxes);
+        prop_assume!(slots as usize * 10 <= max * 2 && boxes as usize <= max / 2);
+        let limits = ConnectionLimits::new(max, slots, boxes);
         let total = limits.idle * boxes as usize + slots as usize;
-        prop_assert!(total <= max_connections, "{limits:?} over {boxes} boxes: {total} of {max_connections}");
+        prop_assert!(total <= max, "{limits:?} over {boxes} boxes: {total} of {max}");
         prop_assert!(limits.idle >= 1 && limits.open >= limits.idle);
-        prop_assert!(limits.open <= max_connections);
+        prop_assert!(limits.open <= max);
     }
 }
 
