--- /dev/null
+++ b/dockgate/src/gateway/call/attempt_failure.rs
@@ -0,0 +1,76 @@
+//! An attempt to send a request that gave no answer which can be forwarded.
+
+use super::super::call_body::CallBody;
+use dockgate_core::AttemptState;
+use dockgate_core::gateway::EndpointOutcome;
+use http::Response;
+
+/// Whether a failed attempt suggests that the endpoint has ended.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) enum EndpointSuspicion {
+    /// It does not.
+    None,
+    /// The answer broke off or did not come in time.
+    MayHaveEnded,
+    /// Its address refused the connection, or belongs to another endpoint now.
+    Gone,
+}
+
+/// Why an attempt gave no answer that can be forwarded.
+pub(super) struct AttemptFailure {
+    /// How far the attempt had progressed.
+    pub(super) state: AttemptState,
+    /// The outcome recorded for the endpoint's health, if any.
+    pub(super) outcome: Option<EndpointOutcome>,
+    /// The description for the log.
+    pub(super) problem: String,
+    /// The answer to forward if the request is not retried.
+    pub(super) answer: Option<Box<Response<CallBody>>>,
+    /// Whether the deadline of the request had passed.
+    pub(super) timed_out: bool,
+    /// Whether the endpoint may have ended.
+    pub(super) suspicion: EndpointSuspicion,
+}
+
+impl AttemptFailure {
+    /// Creates a failure that counts as `outcome` for the endpoint.
+    pub(super) fn new(
+        state: AttemptState,
+        outcome: EndpointOutcome,
+        problem: impl Into<String>,
+    ) -> Self {
+        Self {
+            outcome: Some(outcome),
+            ..Self::without_outcome(state, problem)
+        }
+    }
+
+    /// Creates a failure that does not count for the endpoint.
+    pub(super) fn without_outcome(state: AttemptState, problem: impl Into<String>) -> Self {
+        Self {
+            state,
+            outcome: None,
+            problem: problem.into(),
+            answer: None,
+            timed_out: false,
+            suspicion: EndpointSuspicion::None,
+        }
+    }
+
+    /// Creates the failure of a request whose endpoint was gone, so that it did not run.
+    pub(super) fn gone(state: AttemptState, problem: impl Into<String>) -> Self {
+        Self {
+            suspicion: EndpointSuspicion::Gone,
+            ..Self::new(state, EndpointOutcome::Unreachable, problem)
+        }
+    }
+
+    /// Creates the failure of an answer that broke off or did not come in time.
+    pub(super) fn broken_off(problem: impl Into<String>, timed_out: bool) -> Self {
+        Self {
+            timed_out,
+            suspicion: EndpointSuspicion::MayHaveEnded,
+            ..Self::new(AttemptState::Sent, EndpointOutcome::Failed, problem)
+        }
+    }
+}
--- /dev/null
+++ b/dockgate/src/gateway/call/call_placement.rs
@@ -0,0 +1,210 @@
+//! Selects the next target of a request: an endpoint of a plain service, or an engine for a prompt.
+
+use super::super::engine_placement::{EngineQuery, EngineRefusal, find_engine};
+use super::super::refusal::RefusalReason;
+use super::super::run_guard::RunGuard;
+use super::super::upstream::{ConnectionLimits, EndpointTarget};
+use super::super::waking::until_fresh;
+use super::{AdmittedCall, CallAttempts, CallRefusal};
+use crate::clock::now_ms;
+use dockgate_core::gateway::{
+    AdmissionRequest, EndpointEntry, PromptShape, RetryCause, ServiceAvailability, ShareLevel,
+    ShareOutcome, name_hash, retry_delay,
+};
+use std::time::Duration;
+
+/// Added to the load of an endpoint in another failure domain, as a fraction of its slots: a local
+/// endpoint that is a third full is as good as an idle one elsewhere.
+const REMOTE_DOMAIN_PENALTY: f64 = 0.35;
+/// Added to the load of an endpoint that fails often, as a fraction of its slots.
+const UNRELIABLE_PENALTY: f64 = 3.0;
+/// Retry delay if no endpoint of the service is known.
+const RETRY_UNKNOWN_SERVICE: Duration = Duration::from_millis(300);
+
+/// A prompt of unknown shape.
+static EMPTY_PROMPT: PromptShape = PromptShape {
+    model: String::new(),
+    input: 0,
+    output: 0,
+    max_output: 0,
+    parts: Vec::new(),
+};
+
+/// The target of the next attempt of a request.
+pub(super) struct CallPlacement {
+    pub(super) target: EndpointTarget,
+    pub(super) guard: RunGuard,
+    pub(super) expected_ms: Option<u32>,
+    pub(super) decided_by: String,
+}
+
+impl AdmittedCall {
+    /// Selects the endpoint for the next attempt.
+    ///
+    /// # Errors
+    ///
+    /// Returns the refusal for the caller if no endpoint accepts the request.
+    pub(super) async fn find_placement(
+        &self,
+        attempts: &CallAttempts,
+        resumed: bool,
+    ) -> Result<CallPlacement, CallRefusal> {
+        until_fresh(&self.state, self.deadline()).await;
+        match (self.service().engine, self.admission_request()) {
+            (Some(_), Some(request)) => {
+                let prompt = self.head.prompt.as_ref().unwrap_or(&EMPTY_PROMPT);
+                let units = prompt.units();
+                let query = EngineQuery {
+                    service: self.service(),
+                    prompt,
+                    own_subject: name_hash(&self.head.id),
+                    tried: &attempts.endpoints,
+                    resumed,
+                    level: self.share_level(request.workspace, units),
+                };
+                let request = request.level(query.level);
+                let found = find_engine(&self.state, query, &request).await;
+                let found =
+                    found.map_err(|refusal| self.refuse_prompt(refusal, &request, units))?;
+                self.state.with(|beliefs| {
+                    let shares = &mut beliefs.shares;
+                    shares.record_admission(request.workspace, units, request.level, now_ms());
+                    let outcome = ShareOutcome::Admitted;
+                    beliefs
+                        .tally
+                        .record_outcome(request.workspace, outcome, units);
+                });
+                Ok(CallPlacement {
+                    target: found.target,
+                    guard: found.guard,
+                    expected_ms: Some(found.expected_ms),
+                    decided_by: found.decided_by,
+                })
+            }
+            _ => self.place_plain(attempts),
+        }
+    }
+
+    fn share_level(&self, workspace: u64, units: u64) -> ShareLevel {
+        self.state
+            .with(|beliefs| beliefs.shares.level(workspace, units, now_ms()))
+    }
+
+    fn refuse_prompt(
+        &self,
+        refusal: EngineRefusal,
+        request: &AdmissionRequest,
+        units: u64,
+    ) -> CallRefusal {
+        let Some(first_ms) = refusal.first_event_ms() else {
+            return self.refuse_unavailable();
+        };
+        let AdmissionRequest {
+            workspace, level, ..
+        } = *request;
+        let cause = match refusal.asked.is_empty() {
+            true => RetryCause::Share,
+            false => RetryCause::Backlog(Duration::from_millis(u64::from(first_ms))),
+        };
+        let (reason, outcome) = match level.is_beyond() {
+            true => (RefusalReason::BeyondShare, ShareOutcome::BeyondShare),
+            false => (RefusalReason::WouldBeLate, ShareOutcome::WouldBeLate),
+        };
+        self.state
+            .with(|beliefs| beliefs.tally.record_outcome(workspace, outcome, units));
+        CallRefusal {
+            reason,
+            retry_after: Some(retry_delay(cause, self.time_left(), rand::random())),
+            asked: refusal.asked,
+            share: Some(level.share_ratio()),
+        }
+    }
+
+    /// Creates the refusal for a request if no endpoint of the service accepts work.
+    fn refuse_unavailable(&self) -> CallRefusal {
+        let availability = self.availability();
+        let reason = match availability {
+            ServiceAvailability::BackingOff(_) => RefusalReason::EndpointsRest,
+            ServiceAvailability::Unknown | ServiceAvailability::Leaving => {
+                RefusalReason::NoEndpoint
+            }
+        };
+        CallRefusal::with_retry(reason, self.retry_time(availability))
+    }
+
+    /// Returns the availability of the service, i.e. when an endpoint may accept work again.
+    pub(super) fn availability(&self) -> ServiceAvailability {
+        let service = &self.service().name;
+        self.state
+            .with(|beliefs| beliefs.endpoints.availability(service, now_ms()))
+    }
+
+    /// Returns the retry delay of a request for which no endpoint was found.
+    pub(super) fn retry_time(&self, availability: ServiceAvailability) -> Duration {
+        let cause = match availability {
+            ServiceAvailability::Unknown => return RETRY_UNKNOWN_SERVICE,
+            ServiceAvailability::Leaving => RetryCause::Replacement,
+            ServiceAvailability::BackingOff(first) => RetryCause::Backoff(first),
+        };
+        retry_delay(cause, self.time_left(), rand::random())
+    }
+
+    /// Selects the endpoint of a plain service that has the smallest fraction of its slots in use.
+    fn place_plain(&self, attempts: &CallAttempts) -> Result<CallPlacement, CallRefusal> {
+        let now = now_ms();
+        let own_domain = &self.state.settings().domain;
+        let load = |entry: &EndpointEntry| {
+            let used = f64::from(entry.in_flight) / f64::from(entry.record.slots.max(1));
+            let remote_penalty = if entry.record.domain == *own_domain {
+                0.0
+            } else {
+                REMOTE_DOMAIN_PENALTY
+            };
+            let unreliable_penalty = if entry.health.is_unreliable(now) {
+                UNRELIABLE_PENALTY
+            } else {
+                0.0
+            };
+            used + remote_penalty + unreliable_penalty
+        };
+        let name = &self.service().name;
+        let target = self.state.with(|beliefs| {
+            let untried = |id| !attempts.endpoints.contains(&id);
+            let eligible = beliefs
+                .endpoints
+                .eligible(name, now)
+                .filter(|(id, _)| untried(*id));
+            let best = eligible.min_by(|(_, a), (_, b)| load(a).total_cmp(&load(b)));
+            let notices = beliefs.endpoints.notices();
+            // If all endpoints back off after failures, one of them is still tried, unless it
+            // requested the backoff itself.
+            let backing_off = || {
+                let ready = beliefs
+                    .endpoints
+                    .ready_entries(name)
+                    .filter(|(id, _)| untried(*id) && notices.may_send(*id, now));
+                ready.min_by(|(_, a), (_, b)| load(a).total_cmp(&load(b)))
+            };
+            let (id, entry) = best.or_else(backing_off)?;
+            let boxes = beliefs.fleet.live_count(now);
+            Some(EndpointTarget {
+                id,
+                name: entry.record.id.clone(),
+                address: entry.record.address,
+                limits: ConnectionLimits::new(
+                    self.service().connections,
+                    entry.record.slots,
+                    boxes,
+                ),
+            })
+        });
+        let target = target.ok_or_else(|| self.refuse_unavailable())?;
+        let guard = RunGuard::plain(&self.state, target.id);
+        Ok(CallPlacement {
+            target,
+            guard,
+            expected_ms: None,
+            decided_by: "entry".to_owned(),
+        })
+    }
+}
--- a/dockgate/src/gateway/call/quarantined.rs
+++ b/dockgate/src/gateway/call/quarantine_check.rs
@@ -1,4 +1,4 @@
-//! What a request is recognised by, and what becomes of one under which endpoints end.
+//! Computes the fingerprint of a request, and refuses requests that are quarantined.
 
 use super::super::gateway_state::GatewayState;
 use super::super::refusal::RefusalReason;
@@ -9,17 +9,17 @@
 use http::{Method, Uri};
 
 impl AdmittedCall {
-    /// Returns what it has in common with all its sends, also those of other ids.
+    /// Returns the fingerprint, which does not depend on the request id.
     ///
-    /// It is worked out when it is asked for: most requests never need it.
-    pub(in super::super) fn print(&self) -> RequestFingerprint {
+    /// It is computed on demand, since most requests never need it.
+    pub(in super::super) fn fingerprint(&self) -> RequestFingerprint {
         let (workspace, host) = (self.workspace_name(), &self.head.host);
-        print_of(workspace, &self.method, host, &self.uri, &self.body)
+        fingerprint_of(workspace, &self.method, host, &self.uri, &self.body)
     }
 }
 
-/// Returns what a request has in common with all its sends, also those of other ids.
-pub(super) fn print_of(
+/// Returns the fingerprint of a request, which does not depend on its id.
+pub(super) fn fingerprint_of(
     workspace: &str,
     method: &Method,
     host: &str,
@@ -35,23 +35,22 @@
     })
 }
 
-/// Refuses a request under which endpoints end, but for a trial: nobody is charged for it, and its caller is
-/// told at once that it did not run, and when the next trial may be.
+/// Checks whether a request may be sent: one that is quarantined may be sent only as a trial.
 ///
 /// # Errors
 ///
-/// Returns the refusal.
-pub(super) async fn keep_from_endpoints(
+/// Returns a refusal with the time of the next trial if the request is quarantined.
+pub(super) async fn check_quarantine(
     state: &GatewayState,
-    print: impl FnOnce() -> RequestFingerprint,
+    fingerprint: impl FnOnce() -> RequestFingerprint,
 ) -> Result<(), CallRefusal> {
-    let Some((print, quarantine)) = quarantine::find(state, print) else {
+    let Some((fingerprint, quarantine)) = quarantine::find(state, fingerprint) else {
         return Ok(());
     };
     let now = now_ms();
-    if quarantine.is_trial_due(now) && quarantine_store::take_trial(state, print).await {
+    if quarantine.is_trial_due(now) && quarantine_store::take_trial(state, fingerprint).await {
         return Ok(());
     }
     let after = quarantine.retry_after(now);
-    Err(CallRefusal::come_back(RefusalReason::EndsEndpoints, after))
+    Err(CallRefusal::with_retry(RefusalReason::EndsEndpoints, after))
 }
--- /dev/null
+++ b/dockgate/src/gateway/call/send_attempts.rs
@@ -0,0 +1,509 @@
+//! Sends a request to endpoints until one answers or no further attempt is allowed.
+
+use super::super::call_body::{CallBody, whole_body};
+use super::super::end_check::{note_break, note_gone};
+use super::super::event_stream::{EventStream, StreamSource};
+use super::super::events::{GatewayEvent, is_sampled, log_gateway};
+use super::super::gateway_metrics::GATEWAY_METRICS;
+use super::super::notices::{receive_notice, report_leaving, send_condition};
+use super::super::quarantine;
+use super::super::refusal::RefusalReason;
+use super::super::upstream::{EndpointTarget, PooledConnection, SendFailure, send};
+use super::attempt_failure::{AttemptFailure, EndpointSuspicion};
+use super::call_placement::CallPlacement;
+use super::{AdmittedCall, CallAttempts, CallRefusal};
+use crate::clock::{ClockInstant, now_ms, timeout_at};
+use crate::metrics::METRICS;
+use bytes::Bytes;
+use dockgate_core::gateway::{AnswerForm, AnswerVerdict, EndpointOutcome};
+use dockgate_core::{AttemptState, Outcome, RetryVerdict};
+use dockgate_platform::{AnswerHead, SendHead, decode_answer, encode_answer, encode_send};
+use http::{HeaderMap, Request, Response, StatusCode};
+use http_body_util::{BodyExt, Full};
+use hyper::body::Incoming;
+use std::sync::Arc;
+use std::time::Duration;
+
+/// How many unreachable endpoints may be tried, in addition to those the request was sent to.
+const MAX_UNREACHED: usize = 4;
+/// How long a repeatable request waits for an answer to begin before it is retried elsewhere, in
+/// multiples of its objective and in addition to the expected time.
+const ANSWER_TIMEOUT_FACTOR: f64 = 1.4;
+
+impl AdmittedCall {
+    /// Sends the request until an answer can be forwarded.
+    ///
+    /// # Errors
+    ///
+    /// Returns the refusal for the caller if no endpoint's answer can be forwarded.
+    pub(super) async fn run(self: Arc<Self>) -> Result<Response<CallBody>, CallRefusal> {
+        let mut attempts = CallAttempts::default();
+        loop {
+            let placement = self
+                .find_placement(&attempts, false)
+                .await
+                .map_err(|refusal| match attempts.sent {
+                    0 => refusal,
+                    _ => self.refusal_after(&attempts, AttemptState::Queued, false),
+                })?;
+            attempts.endpoints.push(placement.target.id);
+            let mut failure = match self.clone().send_once(placement, &mut attempts).await {
+                Ok(response) => return Ok(response),
+                Err(failure) => failure,
+            };
+            attempts.trail.note(failure.state);
+            if self.caller.has_left() {
+                return Err(RefusalReason::CallerLeft.into());
+            }
+            let verdict = self.after_failure(&attempts, failure.state);
+            if verdict == RetryVerdict::Retry {
+                continue;
+            }
+            return match failure.answer.take() {
+                Some(answer) => {
+                    self.progress.end();
+                    Ok(*answer)
+                }
+                None => Err(self.refusal_after(&attempts, failure.state, failure.timed_out)),
+            };
+        }
+    }
+
+    /// Decides whether the request is sent to another endpoint after a failed attempt.
+    pub(in super::super) fn after_failure(
+        &self,
+        attempts: &CallAttempts,
+        state: AttemptState,
+    ) -> RetryVerdict {
+        let repeatable = self.route().may_repeat();
+        if state == AttemptState::Bound {
+            // Nothing was sent, so the retry budget is not charged.
+            let unreached = attempts.endpoints.len() - attempts.sent as usize;
+            let may_retry = unreached < MAX_UNREACHED && !self.time_left().is_zero();
+            return state.after_loss(repeatable, may_retry);
+        }
+        let allowed = attempts.sent < self.route().attempts
+            && !self.time_left().is_zero()
+            && quarantine::find(&self.state, || self.fingerprint()).is_none();
+        // The retry budget is checked last, so that it is charged only for actual retries.
+        let wanted = state.after_loss(repeatable, allowed) == RetryVerdict::Retry;
+        let service = &self.service().name;
+        let may_retry = wanted
+            && self
+                .state
+                .with(|beliefs| beliefs.retries.try_take(service, now_ms()));
+        if may_retry {
+            METRICS.retries.inc();
+        }
+        state.after_loss(repeatable, may_retry)
+    }
+
+    /// Returns the refusal for a request whose last attempt ended in `state`.
+    fn refusal_after(
+        &self,
+        attempts: &CallAttempts,
+        state: AttemptState,
+        timed_out: bool,
+    ) -> CallRefusal {
+        let outcome = attempts.trail.outcome(state, self.route().may_repeat());
+        let reason = match (outcome, state) {
+            (Outcome::NotRun, AttemptState::Refused | AttemptState::Queued) => {
+                RefusalReason::EndpointsFull
+            }
+            (Outcome::NotRun, _) if timed_out => RefusalReason::TimedOutUnsent,
+            (Outcome::NotRun, _) => RefusalReason::Unreachable,
+            _ if timed_out => RefusalReason::TimedOut,
+            _ => RefusalReason::Lost,
+        };
+        let not_run = outcome == Outcome::NotRun;
+        let retry_after = not_run.then(|| self.retry_time(self.availability()));
+        CallRefusal {
+            retry_after,
+            ..reason.into()
+        }
+    }
+
+    /// Returns how long the next attempt waits for an answer to begin; an attempt that cannot be
+    /// retried waits until the deadline.
+    fn answer_timeout(&self, expected_ms: Option<u32>, attempts: &CallAttempts) -> Duration {
+        let is_last = attempts.sent + 1 >= self.route().attempts;
+        if is_last || !self.route().may_repeat() {
+            return self.time_left();
+        }
+        let expected = Duration::from_millis(u64::from(expected_ms.unwrap_or(0)));
+        let timeout = self.route().objective.mul_f64(ANSWER_TIMEOUT_FACTOR) + expected;
+        timeout.min(self.time_left())
+    }
+
+    /// Builds the request for an endpoint.
+    fn request_for(
+        &self,
+        target: &EndpointTarget,
+        last_event: Option<u64>,
+    ) -> Request<Full<Bytes>> {
+        let workspace = Some(self.workspace_name()).filter(|name| !name.is_empty());
+        let head = SendHead {
+            endpoint: &target.name,
+            budget: self.time_left(),
+            workspace,
+            last_event: last_event.or(self.head.last_event),
+        };
+        let mut request = Request::new(Full::new(self.body.clone()));
+        *request.method_mut() = self.method.clone();
+        *request.uri_mut() = self.uri.clone();
+        *request.headers_mut() = encode_send(&self.headers, &head);
+        request
+    }
+
+    /// Sends the request to one endpoint and returns its answer.
+    async fn send_once(
+        self: Arc<Self>,
+        placement: CallPlacement,
+        attempts: &mut CallAttempts,
+    ) -> Result<Response<CallBody>, AttemptFailure> {
+        let target = placement.target.clone();
+        let attempt = attempts.sent + 1;
+        let decision_time = GATEWAY_METRICS
+            .decision
+            .with_label_values(&[&self.service().name]);
+        decision_time.observe(self.age().as_secs_f64());
+        let expected_ms = placement.expected_ms;
+        if self.is_sampled() || attempt > 1 {
+            self.log_sent(&placement, attempt);
+        }
+        let result = match self.route().form {
+            AnswerForm::Stream { .. } => self.clone().send_stream(placement, attempts).await,
+            AnswerForm::Whole => self.send_whole(placement, attempts).await,
+        };
+        result.inspect_err(|failure| {
+            self.report_suspicion(&target, failure);
+            let ran = failure.state.outcome(self.route().may_repeat());
+            log_gateway(&GatewayEvent::SendFailed {
+                request: &self.head.id,
+                print: (failure.suspicion == EndpointSuspicion::MayHaveEnded)
+                    .then(|| self.fingerprint().to_string()),
+                endpoint: &target.name,
+                attempt,
+                ran: ran.as_str(),
+                problem: &failure.problem,
+                expected_ms,
+                took_ms: self.age().as_millis() as u64,
+            });
+        })
+    }
+
+    /// Reports an endpoint that may have ended, as suspected after a failed attempt.
+    fn report_suspicion(&self, target: &EndpointTarget, failure: &AttemptFailure) {
+        match failure.suspicion {
+            EndpointSuspicion::MayHaveEnded => note_break(&self.state, target, self.fingerprint()),
+            EndpointSuspicion::Gone => note_gone(&self.state, target),
+            EndpointSuspicion::None => {}
+        }
+    }
+
+    /// Returns whether this request is sampled: logged even if it succeeds.
+    pub(in super::super) fn is_sampled(&self) -> bool {
+        is_sampled(&self.head.id)
+    }
+
+    fn log_sent(&self, placement: &CallPlacement, attempt: u32) {
+        let revision = self
+            .state
+            .with(|beliefs| beliefs.endpoints.revision().number);
+        log_gateway(&GatewayEvent::Sent {
+            request: &self.head.id,
+            route: &self.route().name,
+            workspace: self.workspace_name(),
+            tokens: self.prompt_tokens(),
+            endpoint: &placement.target.name,
+            attempt,
+            expected_ms: placement.expected_ms,
+            decided_by: &placement.decided_by,
+            config: self.config_version(),
+            config_age_ms: self.state.config_age_ms(),
+            revision,
+            endpoints_age_ms: self.state.endpoints_age_ms(),
+        });
+    }
+
+    /// Sends the request and judges the answer by its head.
+    async fn exchange(
+        &self,
+        placement: &CallPlacement,
+        attempts: &mut CallAttempts,
+        last_event: Option<u64>,
+    ) -> Result<JudgedAnswer, AttemptFailure> {
+        let request = self.request_for(&placement.target, last_event);
+        self.progress.record_send();
+        let condition = send_condition(&self.state, &placement.target, &self.caller);
+        let sent = send(&self.state.pools, &placement.target, request, &condition);
+        // Computed before `sent` is incremented, so that the timeout is that of this attempt.
+        let answer_deadline =
+            ClockInstant::now() + self.answer_timeout(placement.expected_ms, attempts);
+        let sent = timeout_at(answer_deadline, sent).await;
+        let sent = sent.map_err(|_| {
+            attempts.sent += 1;
+            AttemptFailure::broken_off("timed out", self.time_left().is_zero())
+        })?;
+        let (response, connection) = sent.map_err(|failure| match failure {
+            SendFailure::Refused(problem) => AttemptFailure::gone(AttemptState::Bound, problem),
+            SendFailure::Unreachable(problem) => {
+                AttemptFailure::new(AttemptState::Bound, EndpointOutcome::Unreachable, problem)
+            }
+            SendFailure::ConnectTimeout(problem) => {
+                AttemptFailure::new(AttemptState::Bound, EndpointOutcome::Silent, problem)
+            }
+            SendFailure::NoConnection => AttemptFailure::new(
+                AttemptState::Bound,
+                EndpointOutcome::Full,
+                "no connection is free",
+            ),
+            SendFailure::Withheld(reason) => AttemptFailure::without_outcome(
+                AttemptState::Bound,
+                format!("withheld: {}", reason.as_str()),
+            ),
+            SendFailure::Lost(problem) => {
+                attempts.sent += 1;
+                AttemptFailure::broken_off(problem, false)
+            }
+        })?;
+        attempts.sent += 1;
+        let head = decode_answer(response.status(), response.headers(), &self.head.id);
+        let notice = head.notice.trusted(&head.signs);
+        receive_notice(&self.state, &placement.target, &self.head.id, notice);
+        if notice.is_leaving && self.service().engine.is_some() {
+            report_leaving(&self.state, &placement.target);
+        }
+        let verdict = head.signs.classify();
+        match verdict {
+            AnswerVerdict::NotRun => {
+                let problem = format!("not run: {}", response.status());
+                let is_misdirected = response.status() == StatusCode::MISDIRECTED_REQUEST;
+                drain_body(response.into_body(), connection, &head).await;
+                Err(match is_misdirected {
+                    true => AttemptFailure::gone(AttemptState::Refused, problem),
+                    false => {
+                        AttemptFailure::new(AttemptState::Refused, EndpointOutcome::Full, problem)
+                    }
+                })
+            }
+            AnswerVerdict::Unusable => {
+                let problem = format!("unusable answer: {:?}", head.signs);
+                Err(AttemptFailure::new(
+                    AttemptState::Sent,
+                    EndpointOutcome::Failed,
+                    problem,
+                ))
+            }
+            AnswerVerdict::PassOn | AnswerVerdict::Failed => {
+                let (parts, body) = response.into_parts();
+                Ok(JudgedAnswer {
+                    parts,
+                    body,
+                    connection,
+                    head,
+                    verdict,
+                    answer_deadline,
+                })
+            }
+        }
+    }
+
+    async fn send_whole(
+        &self,
+        placement: CallPlacement,
+        attempts: &mut CallAttempts,
+    ) -> Result<Response<CallBody>, AttemptFailure> {
+        let answer = self.exchange(&placement, attempts, None).await;
+        let answer =
+            answer.inspect_err(|failure| placement.guard.record_failure(failure.outcome))?;
+        self.read_whole(placement, answer, attempts).await
+    }
+
+    /// Reads the whole answer before any of it is forwarded.
+    async fn read_whole(
+        &self,
+        placement: CallPlacement,
+        answer: JudgedAnswer,
+        attempts: &CallAttempts,
+    ) -> Result<Response<CallBody>, AttemptFailure> {
+        let JudgedAnswer {
+            parts,
+            body,
+            connection,
+            head,
+            verdict,
+            ..
+        } = answer;
+        let read = timeout_at(self.deadline(), body.collect()).await;
+        let read = read.map_err(|_| AttemptFailure::broken_off("timed out in the answer", true));
+        let read = read.and_then(|read| {
+            read.map_err(|error| AttemptFailure::broken_off(error.to_string(), false))
+        });
+        let bytes = read
+            .inspect_err(|_| placement.guard.record(EndpointOutcome::Failed))?
+            .to_bytes();
+        if !head.closes {
+            connection.keep(head.idle);
+        }
+        let response = forward_answer(parts.status, &parts.headers, whole_body(bytes));
+        if verdict == AnswerVerdict::Failed {
+            // An error status is common on some routes and does not mean that the endpoint failed.
+            placement.guard.record(EndpointOutcome::Answered);
+            let problem = format!("status {}", parts.status);
+            let failure = AttemptFailure::new(AttemptState::Sent, EndpointOutcome::Failed, problem);
+            return Err(AttemptFailure {
+                answer: Some(Box::new(response)),
+                ..failure
+            });
+        }
+        placement.guard.record(EndpointOutcome::Answered);
+        self.log_answered(
+            &placement.target.name,
+            parts.status,
+            self.age(),
+            0,
+            attempts,
+        );
+        Ok(response)
+    }
+
+    /// Records that the request was answered.
+    pub(in super::super) fn log_answered(
+        &self,
+        endpoint: &str,
+        status: StatusCode,
+        first: Duration,
+        events: u64,
+        attempts: &CallAttempts,
+    ) {
+        self.progress.end();
+        GATEWAY_METRICS.note_outcome(&self.service().name, "answered");
+        GATEWAY_METRICS.note_first_event(&self.service().name, first);
+        if status.is_success() {
+            quarantine::note_completed(&self.state, || self.fingerprint());
+        }
+        let late = first > self.route().objective;
+        if self.is_sampled() || late || attempts.sent > 1 {
+            log_gateway(&GatewayEvent::Answered {
+                request: &self.head.id,
+                route: &self.route().name,
+                endpoint,
+                status: status.as_u16(),
+                first_ms: first.as_millis() as u64,
+                took_ms: self.age().as_millis() as u64,
+                events,
+                attempts: attempts.sent,
+            });
+        }
+    }
+
+    async fn send_stream(
+        self: Arc<Self>,
+        placement: CallPlacement,
+        attempts: &mut CallAttempts,
+    ) -> Result<Response<CallBody>, AttemptFailure> {
+        let answer = self.exchange(&placement, attempts, None).await;
+        let answer =
+            answer.inspect_err(|failure| placement.guard.record_failure(failure.outcome))?;
+        if !answer.parts.status.is_success() {
+            return self.read_whole(placement, answer, attempts).await;
+        }
+        let JudgedAnswer {
+            parts,
+            body,
+            connection,
+            head,
+            answer_deadline,
+            ..
+        } = answer;
+        placement.guard.record(EndpointOutcome::Answered);
+        let source = StreamSource {
+            target: placement.target,
+            body,
+            connection,
+            head,
+            guard: placement.guard,
+        };
+        let first_timeout = answer_deadline.left();
+        let mut stream = EventStream::new(self.clone(), attempts.clone(), source, parts.status);
+        match stream.read_first(first_timeout).await {
+            Ok(()) => Ok(forward_answer(
+                parts.status,
+                &parts.headers,
+                stream.into_body(),
+            )),
+            Err(problem) => {
+                stream.record_failed();
+                Err(AttemptFailure::broken_off(
+                    problem,
+                    self.time_left().is_zero(),
+                ))
+            }
+        }
+    }
+
+    /// Resumes a stream at another endpoint after the event `after_event`.
+    ///
+    /// # Errors
+    ///
+    /// Returns the problem if no endpoint resumes it.
+    pub(in super::super) async fn resume(
+        self: &Arc<Self>,
+        attempts: &mut CallAttempts,
+        after_event: Option<u64>,
+    ) -> Result<StreamSource, String> {
+        let placement = self.find_placement(attempts, true).await;
+        let placement = placement.map_err(|refusal| refusal.reason.as_str().to_owned())?;
+        attempts.endpoints.push(placement.target.id);
+        let answer = self.exchange(&placement, attempts, after_event).await;
+        let answer = answer.inspect_err(|failure| {
+            placement.guard.record_failure(failure.outcome);
+            self.report_suspicion(&placement.target, failure);
+        });
+        let answer = answer.map_err(|failure| failure.problem)?;
+        if !answer.parts.status.is_success() {
+            return Err(format!("status {}", answer.parts.status));
+        }
+        let JudgedAnswer {
+            body,
+            connection,
+            head,
+            ..
+        } = answer;
+        Ok(StreamSource {
+            target: placement.target,
+            body,
+            connection,
+            head,
+            guard: placement.guard,
+        })
+    }
+}
+
+/// An answer whose head was judged.
+struct JudgedAnswer {
+    parts: http::response::Parts,
+    body: Incoming,
+    connection: PooledConnection,
+    head: AnswerHead,
+    verdict: AnswerVerdict,
+    /// The time until which the attempt waits for the first event.
+    answer_deadline: ClockInstant,
+}
+
+/// Reads the rest of a short answer, so that its connection can be reused.
+async fn drain_body(body: Incoming, connection: PooledConnection, head: &AnswerHead) {
+    const MAX_WAIT: Duration = Duration::from_millis(20);
+    let read = tokio::time::timeout(MAX_WAIT, body.collect()).await;
+    if matches!(read, Ok(Ok(_))) && !head.closes {
+        connection.keep(head.idle);
+    }
+}
+
+fn forward_answer(status: StatusCode, headers: &HeaderMap, body: CallBody) -> Response<CallBody> {
+    let mut response = Response::new(body);
+    *response.status_mut() = status;
+    *response.headers_mut() = encode_answer(headers);
+    response
+}
--- a/dockgate/src/gateway/front.rs
+++ b/dockgate/src/gateway/caller_listener.rs
@@ -1,4 +1,4 @@
-//! Callers' connections: accepted within the descriptors that there are, and closed in order.
+//! Accepts and serves the connections of callers, within the limit on file descriptors.
 
 use super::call::serve_call;
 use super::call_body::CallBody;
@@ -22,39 +22,41 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 
-/// Descriptors kept for everything but callers: files, listeners, connections to endpoints, the
-/// store and other boxes.
+/// File descriptors reserved for everything but callers: files, listeners, and connections to
+/// endpoints, the store and other boxes.
 const OTHER_DESCRIPTORS: usize = 900;
-/// Above this part of the connections that there may be, answers end their connections: callers that
-/// come seldom must not keep others out.
-const CROWDED_PART: f64 = 0.5;
-/// Above this part, connections that rest are closed, the longest at rest first, down to it.
-const FULL_PART: f64 = 0.95;
-/// How long to wait when no connection can be accepted.
+/// The fraction of the connection limit above which connections are closed after each answer, so
+/// that idle callers do not keep others out.
+const CROWDED_FRACTION: f64 = 0.5;
+/// The fraction of the connection limit above which idle connections are closed, the longest idle
+/// first.
+const FULL_FRACTION: f64 = 0.95;
+/// The delay before the next accept if no connection can be accepted.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// How often overdue connections are looked for.
-const SWEEP: Duration = Duration::from_millis(500);
-/// The least buffer that a connection needs, in bytes.
-const LEAST_BUFFER: usize = 8_192;
+/// The interval between checks for overdue connections.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
+/// The minimum buffer size of a connection.
+const MIN_BUFFER_BYTES: usize = 8_192;
 
-/// The connections of callers.
-pub(super) struct CallerFront {
+/// Accepts the connections of callers and keeps track of them.
+pub(super) struct CallerListener {
     state: Arc<GatewayState>,
     connections: Mutex<HashMap<u64, Arc<ConnectionState>>>,
     counter: AtomicU64,
     answered_ms: AtomicU64,
-    /// Whether connections take over the options of the listener, once the first one has shown it.
-    inherits: OnceLock<bool>,
+    /// Whether accepted connections inherit the socket options of the listener; determined from the
+    /// first one.
+    inherits_options: OnceLock<bool>,
 }
 
-impl CallerFront {
+impl CallerListener {
     pub(super) fn new(state: Arc<GatewayState>) -> Self {
         Self {
             state,
             connections: Mutex::default(),
             counter: AtomicU64::new(0),
             answered_ms: AtomicU64::new(now_ms()),
-            inherits: OnceLock::new(),
+            inherits_options: OnceLock::new(),
         }
     }
 
@@ -64,12 +66,12 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Returns how many connections are open.
+    /// Returns the number of open connections.
     pub(super) fn open(&self) -> usize {
         self.locked().len()
     }
 
-    /// Returns on how many connections a request is being answered.
+    /// Returns the number of connections on which a request is in progress.
     pub(super) fn busy(&self) -> usize {
         self.locked()
             .values()
@@ -77,49 +79,49 @@
             .count()
     }
 
-    /// Begins the orderly stop: callers that have rested until now may be about to send.
+    /// Begins an orderly stop, and restarts the quiet period: idle callers may be about to send.
     pub(super) fn begin_stop(&self) {
         self.answered_ms.store(now_ms(), Ordering::Relaxed);
     }
 
-    /// Tells whether no answer has ended, and no stop begun, for a while.
+    /// Returns whether no answer has ended and no stop has begun within `since`.
     pub(super) fn is_quiet(&self, since: Duration) -> bool {
         let answered = self.answered_ms.load(Ordering::Relaxed);
         now_ms().saturating_sub(answered) > since.as_millis() as u64
     }
 
-    /// Returns how many connections there may be.
-    fn most(&self) -> usize {
+    /// Returns the connection limit.
+    fn max_connections(&self) -> usize {
         let descriptors = self.state.settings().descriptors;
         descriptors.saturating_sub(OTHER_DESCRIPTORS).max(100)
     }
 
-    /// Tells whether connections are better ended with their answers.
+    /// Returns whether connections should be closed after each answer.
     fn is_crowded(&self) -> bool {
-        self.open() as f64 > self.most() as f64 * CROWDED_PART
+        self.open() as f64 > self.max_connections() as f64 * CROWDED_FRACTION
     }
 
     /// Accepts connections until the process ends.
     pub(super) async fn accept(self: Arc<Self>, listener: TcpListener) {
         loop {
-            if self.open() >= self.most() {
+            if self.open() >= self.max_connections() {
                 tokio::time::sleep(ACCEPT_PAUSE).await;
                 continue;
             }
             match listener.accept().await {
-                Ok((stream, _)) => self.clone().enter(stream),
+                Ok((stream, _)) => self.clone().spawn_connection(stream),
                 Err(error) => {
-                    log::warn!("accept a caller: {error}");
+                    log::warn!("could not accept a connection: {error}");
                     tokio::time::sleep(ACCEPT_PAUSE).await;
                 }
             }
         }
     }
 
-    fn enter(self: Arc<Self>, stream: TcpStream) {
-        let is_ready = *self.inherits.get_or_init(|| is_prepared(&stream));
+    fn spawn_connection(self: Arc<Self>, stream: TcpStream) {
+        let is_ready = *self.inherits_options.get_or_init(|| is_prepared(&stream));
         if !is_ready && let Err(error) = prepare(&stream) {
-            log::debug!("prepare a caller's connection: {error}");
+            log::debug!("could not set the options of a caller's connection: {error}");
             return;
         }
         let number = self.counter.fetch_add(1, Ordering::Relaxed);
@@ -144,36 +146,36 @@
                 let response = serve_call(state, request, caller).await;
                 let ends = stopping.is_stopping() || stopping.is_overloaded() || self.is_crowded();
                 self.answered_ms.store(now_ms(), Ordering::Relaxed);
-                Ok::<_, Infallible>(finish(ends, response, busy))
+                Ok::<_, Infallible>(finish_answer(ends, response, busy))
             }
         });
         let served = Builder::new()
-            .max_buf_size(limits.head_bytes.max(LEAST_BUFFER))
+            .max_buf_size(limits.head_bytes.max(MIN_BUFFER_BYTES))
             .serve_connection(io, service);
         tokio::pin!(served);
         let ended = connection
             .serve_until_closed(served.as_mut(), &caller)
             .await;
         if let Some(Err(error)) = ended {
-            log::debug!("caller's connection: {error}");
+            log::debug!("connection of a caller failed: {error}");
         }
     }
 
-    /// Closes the connections that have rested longest, where there are nearly too many.
-    fn make_room(&self) {
+    /// Closes the connections that have been idle longest if the limit is nearly reached.
+    fn close_surplus(&self) {
         let surplus = self
             .open()
-            .saturating_sub((self.most() as f64 * FULL_PART) as usize);
+            .saturating_sub((self.max_connections() as f64 * FULL_FRACTION) as usize);
         if surplus == 0 {
             return;
         }
         let connections = self.locked();
-        let mut resting: Vec<&Arc<ConnectionState>> = connections
+        let mut idle: Vec<&Arc<ConnectionState>> = connections
             .values()
             .filter(|connection| !connection.is_busy())
             .collect();
-        resting.sort_by_key(|connection| connection.used_ms());
-        for connection in resting.into_iter().take(surplus) {
+        idle.sort_by_key(|connection| connection.used_ms());
+        for connection in idle.into_iter().take(surplus) {
             connection.close.notify_one();
         }
     }
@@ -181,7 +183,7 @@
     /// Closes overdue connections until the process ends.
     pub(super) async fn sweep(self: Arc<Self>) {
         loop {
-            tokio::time::sleep(SWEEP).await;
+            tokio::time::sleep(SWEEP_INTERVAL).await;
             let limits = self.state.table().config().limits;
             let (head_ms, idle_ms) = (
                 limits.head_timeout.as_millis() as u64,
@@ -193,12 +195,12 @@
                     connection.close.notify_one();
                 }
             }
-            self.make_room();
+            self.close_surplus();
         }
     }
 }
 
-/// Counts a request on its connection until its answer is whole.
+/// Marks a connection as busy until the answer is complete.
 struct BusyGuard(Arc<ConnectionState>);
 
 impl BusyGuard {
@@ -214,8 +216,12 @@
     }
 }
 
-/// Says that the connection ends with this answer, where it does.
-fn finish(ends: bool, mut response: Response<CallBody>, busy: BusyGuard) -> Response<BusyBody> {
+/// Adds a `Connection: close` header if the connection ends with this answer.
+fn finish_answer(
+    ends: bool,
+    mut response: Response<CallBody>,
+    busy: BusyGuard,
+) -> Response<BusyBody> {
     if ends {
         let close = HeaderValue::from_static("close");
         response.headers_mut().insert(header::CONNECTION, close);
@@ -223,7 +229,7 @@
     response.map(|body| BusyBody { body, _busy: busy })
 }
 
-/// A body that keeps its connection busy until it is whole.
+/// A body that keeps its connection marked as busy until it is dropped.
 struct BusyBody {
     body: CallBody,
     _busy: BusyGuard,
--- /dev/null
+++ b/dockgate/src/gateway/engine_placement.rs
@@ -0,0 +1,462 @@
+//! Places a prompt on an engine, with the consent of the box that owns the engine.
+//!
+//! The homes of a prompt are the engines that are likely to have its shared parts in their cache.
+//! Each engine has an owner among the boxes, which knows all prompts on it and decides on
+//! admission. If the owner does not answer in time, the box that received the prompt decides by
+//! itself, from the prompts that it has placed there.
+
+mod pending_slot_request;
+
+use super::datagrams::send_to;
+use super::events::AskedEngine;
+use super::gateway_metrics::GATEWAY_METRICS;
+use super::gateway_state::{GatewayBeliefs, GatewayState};
+use super::notices::receive_reported_leave;
+use super::run_guard::RunGuard;
+use super::upstream::{ConnectionLimits, EndpointTarget};
+use crate::clock::now_ms;
+use dockgate_core::BoxKey;
+use dockgate_core::gateway::{
+    AdmissionRequest, AdmissionVerdict, DomainKey, EndpointId, EngineSpec, PrefillSpeed,
+    PromptPart, PromptShape, ReadyEndpoint, RunKey, ServiceSpec, ShareLevel, best_homes,
+    placement_key,
+};
+use dockgate_proto::GatewayMessage;
+use pending_slot_request::PendingSlotRequest;
+use std::sync::Arc;
+
+/// The maximum number of other boxes assumed to send to an engine whose owner does not answer. If
+/// all boxes of a large fleet were counted, nearly every prompt would be declined.
+const MAX_UNCOORDINATED_SENDERS: u32 = 5;
+/// The number of homes of a prompt with many shared tokens. With more homes, the same parts are
+/// computed on more engines; with fewer, more requests are refused.
+const SHARED_HOMES: usize = 2;
+/// The number of homes in the local failure domain of a prompt with few shared tokens.
+const LOCAL_HOMES: usize = 3;
+/// The number of additional homes in other failure domains, if the workspace is within its share:
+/// its callers may all be in one domain while the engines of the others are idle.
+const REMOTE_HOMES: usize = 1;
+/// Prompts with fewer shared tokens than this have their homes in the local failure domain:
+/// computing the tokens again costs less than traffic between domains.
+const LOCAL_BELOW_TOKENS: u32 = 1_500;
+
+/// The placement of a prompt that an engine admitted.
+pub(super) struct EnginePlacement {
+    pub(super) target: EndpointTarget,
+    /// Counts the prompt on the engine until it is dropped.
+    pub(super) guard: RunGuard,
+    /// The predicted time to the first event, in milliseconds.
+    pub(super) expected_ms: u32,
+    /// The name of the box that decided, or the rule that did.
+    pub(super) decided_by: String,
+}
+
+/// The refusal of a prompt that no engine can serve in time.
+#[derive(Debug, Clone, Default)]
+pub(super) struct EngineRefusal {
+    /// The engines that declined, in order.
+    pub(super) asked: Vec<AskedEngine>,
+    /// The shortest possible time to a first event, if it is too late at every engine.
+    unattainable_ms: Option<u32>,
+}
+
+impl EngineRefusal {
+    /// Returns the shortest predicted time to a first event, or `None` if there is no engine.
+    pub(super) fn first_event_ms(&self) -> Option<u32> {
+        let asked = self.asked.iter().map(|asked| asked.first_event_ms);
+        asked.chain(self.unattainable_ms).min()
+    }
+
+    fn record(&mut self, home: &HomeEngine, decision: HomeDecision) {
+        let predicted = decision.verdict.first_event_ms();
+        self.asked
+            .extend(predicted.map(|first_event_ms| AskedEngine {
+                endpoint: home.target.name.clone(),
+                first_event_ms,
+                decided_by: decision.decided_by,
+            }));
+    }
+}
+
+/// The prompt for which an engine is sought.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct EngineQuery<'a> {
+    pub(super) service: &'a ServiceSpec,
+    pub(super) prompt: &'a PromptShape,
+    /// The subject of this request alone, for prompts without shared parts.
+    pub(super) own_subject: u64,
+    /// The engines that were tried already.
+    pub(super) tried: &'a [EndpointId],
+    /// Whether the stream is resumed after an endpoint was lost.
+    pub(super) resumed: bool,
+    /// The usage of the workspace relative to its share.
+    pub(super) level: ShareLevel,
+}
+
+#[derive(Debug, Clone)]
+struct HomeEngine {
+    target: EndpointTarget,
+    owner: BoxKey,
+}
+
+/// Selects the homes of a prompt, best first; `local` is the failure domain of this box.
+///
+/// A prompt with few shared tokens has local homes first and some remote ones after them. If the
+/// local domain has too few engines, remote ones take their place.
+fn select_homes(
+    query: &EngineQuery,
+    ready: &[ReadyEndpoint],
+    local: DomainKey,
+    accepts: impl Fn(EndpointId) -> bool,
+) -> Vec<EndpointId> {
+    let own = query.own_subject;
+    let subject = query.prompt.affinity_key().unwrap_or(own);
+    let subject = placement_key(subject, own, query.tried.len());
+    if query.prompt.shared_tokens() >= LOCAL_BELOW_TOKENS {
+        let all = ready.iter().map(|ready| ready.id);
+        return best_homes(subject, all, SHARED_HOMES, accepts);
+    }
+    let of_domain = |is_local: bool| {
+        let ready = ready.iter();
+        let ready = ready.filter(move |ready| (ready.domain == local) == is_local);
+        ready.map(|ready| ready.id)
+    };
+    let mut homes = best_homes(subject, of_domain(true), LOCAL_HOMES, &accepts);
+    let remote_homes = if query.level.is_beyond() {
+        0
+    } else {
+        REMOTE_HOMES
+    };
+    let missing = LOCAL_HOMES - homes.len();
+    homes.extend(best_homes(
+        subject,
+        of_domain(false),
+        missing + remote_homes,
+        &accepts,
+    ));
+    homes
+}
+
+fn ordered_homes(beliefs: &GatewayBeliefs, query: &EngineQuery) -> Vec<HomeEngine> {
+    let now = now_ms();
+    let ready = beliefs.endpoints.ready(&query.service.name);
+    let local = DomainKey::from_name(&beliefs.fleet.own().domain);
+    let entry = |id: EndpointId| beliefs.endpoints.get(id);
+    let is_eligible =
+        |id: EndpointId| beliefs.endpoints.is_eligible(id, now) && !query.tried.contains(&id);
+    let is_usable = |id: EndpointId| {
+        let unreliable = entry(id).is_none_or(|entry| entry.health.is_unreliable(now));
+        is_eligible(id) && !unreliable
+    };
+    let mut order = select_homes(query, ready, local, is_usable);
+    if order.is_empty() {
+        order = select_homes(query, ready, local, is_eligible);
+    }
+    let boxes = beliefs.fleet.live_count(now);
+    let homes = order.into_iter().filter_map(|id| {
+        let entry = beliefs.endpoints.get(id)?;
+        Some(HomeEngine {
+            target: EndpointTarget {
+                id,
+                name: entry.record.id.clone(),
+                address: entry.record.address,
+                limits: ConnectionLimits::new(query.service.connections, entry.record.slots, boxes),
+            },
+            owner: beliefs.fleet.owner(id, &entry.record.domain, now),
+        })
+    });
+    homes.collect()
+}
+
+/// Decides on an admission request with the state of this box, and places the prompt if admitted.
+///
+/// `other_senders` is the number of boxes that may send to the engine unknown to this one. Returns
+/// `None` if the engine is unknown.
+pub(super) fn decide_locally(
+    state: &GatewayState,
+    endpoint: EndpointId,
+    key: RunKey,
+    request: &AdmissionRequest,
+    other_senders: u32,
+) -> Option<AdmissionVerdict> {
+    let now = now_ms();
+    let rule = state.settings().admission;
+    let spec = engine_spec(state, endpoint)?;
+    state.with(|beliefs| {
+        let notices = beliefs.endpoints.notices();
+        if notices.is_reported_leaving(endpoint, now) {
+            return Some(AdmissionVerdict::Leaving);
+        }
+        let load = beliefs.engines.load_mut(endpoint, spec);
+        let verdict = rule.decide(load, request, other_senders, now);
+        if matches!(verdict, AdmissionVerdict::Granted(_)) {
+            GATEWAY_METRICS.note_admitted(request.input, load.work_of(request).tokens());
+            load.place(key, request, now);
+        }
+        Some(verdict)
+    })
+}
+
+/// Records a prompt on an engine, whichever box decided.
+pub(super) fn place_locally(
+    state: &GatewayState,
+    endpoint: EndpointId,
+    key: RunKey,
+    request: &AdmissionRequest,
+) {
+    if let Some(spec) = engine_spec(state, endpoint) {
+        state.with(|beliefs| {
+            beliefs
+                .engines
+                .load_mut(endpoint, spec)
+                .place(key, request, now_ms());
+        });
+    }
+}
+
+/// Creates the message that reports a prompt on an engine to its owner.
+pub(super) fn placed_message(
+    run: u32,
+    endpoint: EndpointId,
+    request: &AdmissionRequest,
+    started: bool,
+) -> GatewayMessage {
+    GatewayMessage::Placed {
+        run,
+        endpoint,
+        request: request.clone(),
+        started,
+    }
+}
+
+/// Records the parts that an engine has in its cache.
+pub(super) fn record_cached(state: &GatewayState, endpoint: EndpointId, parts: &[PromptPart]) {
+    if let Some(spec) = engine_spec(state, endpoint) {
+        state.with(|beliefs| beliefs.engines.load_mut(endpoint, spec).note_cached(parts));
+    }
+}
+
+/// Applies a report from the owner of an engine on its backlog and read speed.
+pub(super) fn receive_engine_report(
+    state: &GatewayState,
+    endpoint: EndpointId,
+    backlog_ms: u32,
+    speed: PrefillSpeed,
+) {
+    if let Some(spec) = engine_spec(state, endpoint) {
+        let now = now_ms();
+        state.with(|beliefs| {
+            let load = beliefs.engines.load_mut(endpoint, spec);
+            load.apply_report(backlog_ms, speed, now);
+        });
+    }
+}
+
+/// Returns the specification of an engine, if it is known.
+fn engine_spec(state: &GatewayState, endpoint: EndpointId) -> Option<EngineSpec> {
+    let table = state.table();
+    state.with(|beliefs| {
+        let entry = beliefs.endpoints.get(endpoint)?;
+        let service = table.find_service(&entry.record.service)?;
+        table.service(service).engine
+    })
+}
+
+/// The verdict on a prompt for one home.
+struct HomeDecision {
+    verdict: AdmissionVerdict,
+    number: u32,
+    decided_by: String,
+}
+
+/// Requests admission to one home from its owner; decides locally if the owner does not answer.
+async fn request_placement(
+    state: &GatewayState,
+    home: &HomeEngine,
+    request: &AdmissionRequest,
+) -> Option<HomeDecision> {
+    let number = state.next_run();
+    if home.owner == state.me() {
+        let decided_by = state.settings().name.clone();
+        return decide_home_locally(state, home, request, 0, number, decided_by);
+    }
+    if let Some(decision) = decline_locally(state, home, request, number) {
+        return Some(decision);
+    }
+    let slot_request = PendingSlotRequest::send(state, number, home.target.id, home.owner, request);
+    if let Some(verdict) = slot_request.verdict().await {
+        match verdict {
+            AdmissionVerdict::Granted(_) => {
+                place_locally(state, home.target.id, state.own_run(number), request);
+            }
+            AdmissionVerdict::Leaving => receive_reported_leave(state, home.target.id),
+            AdmissionVerdict::Declined(_) => {}
+        }
+        let decided_by = state.with(|beliefs| beliefs.fleet.name(home.owner).to_owned());
+        return Some(HomeDecision {
+            verdict,
+            number,
+            decided_by,
+        });
+    }
+    GATEWAY_METRICS.missed_verdicts.inc();
+    let other_senders = state.with(|beliefs| beliefs.fleet.live_count(now_ms())) - 1;
+    let other_senders = other_senders.min(MAX_UNCOORDINATED_SENDERS);
+    let decision = decide_home_locally(
+        state,
+        home,
+        request,
+        other_senders,
+        number,
+        "entry alone".to_owned(),
+    )?;
+    if is_granted(&decision) {
+        send_to(
+            state,
+            home.owner,
+            placed_message(number, home.target.id, request, false),
+        );
+    }
+    Some(decision)
+}
+
+/// Declines on behalf of the owner if the state of this box shows that the engine is too late.
+fn decline_locally(
+    state: &GatewayState,
+    home: &HomeEngine,
+    request: &AdmissionRequest,
+    number: u32,
+) -> Option<HomeDecision> {
+    let settings = state.settings();
+    let spec = engine_spec(state, home.target.id)?;
+    let first_ms = state.with(|beliefs| {
+        let load = beliefs.engines.load_mut(home.target.id, spec);
+        settings.admission.local_decline_ms(load, request, now_ms())
+    })?;
+    GATEWAY_METRICS.declined_alone.inc();
+    Some(HomeDecision {
+        verdict: AdmissionVerdict::Declined(first_ms as u32),
+        number,
+        decided_by: settings.name.clone(),
+    })
+}
+
+/// Decides for one home with the state of this box.
+fn decide_home_locally(
+    state: &GatewayState,
+    home: &HomeEngine,
+    request: &AdmissionRequest,
+    other_senders: u32,
+    number: u32,
+    decided_by: String,
+) -> Option<HomeDecision> {
+    let key = state.own_run(number);
+    let verdict = decide_locally(state, home.target.id, key, request, other_senders)?;
+    Some(HomeDecision {
+        verdict,
+        number,
+        decided_by,
+    })
+}
+
+/// Finds an engine for a prompt.
+///
+/// # Errors
+///
+/// Returns an [`EngineRefusal`] if no home can serve it in time.
+pub(super) async fn find_engine(
+    state: &Arc<GatewayState>,
+    query: EngineQuery<'_>,
+    request: &AdmissionRequest,
+) -> Result<EnginePlacement, EngineRefusal> {
+    if let Some(first_ms) = unattainable_ms(state, &query, request) {
+        return Err(EngineRefusal {
+            unattainable_ms: Some(first_ms),
+            ..EngineRefusal::default()
+        });
+    }
+    let homes = state.with(|beliefs| ordered_homes(beliefs, &query));
+    if let Some(home) = homes.first().filter(|_| query.resumed) {
+        return Ok(place_unconditionally(state, home, request));
+    }
+    let mut refusal = EngineRefusal::default();
+    for home in &homes {
+        match request_placement(state, home, request).await {
+            Some(decision) if is_granted(&decision) => {
+                return Ok(engine_placement(state, home, decision, request));
+            }
+            Some(decision) => refusal.record(home, decision),
+            None => {}
+        }
+    }
+    Err(refusal)
+}
+
+/// Returns the shortest time to a first event in milliseconds, if it is too late at every engine.
+fn unattainable_ms(
+    state: &GatewayState,
+    query: &EngineQuery<'_>,
+    request: &AdmissionRequest,
+) -> Option<u32> {
+    // The fastest engine is checked only for a workspace beyond its share.
+    let is_exempt = query.resumed || !query.level.is_beyond();
+    let spec = query.service.engine.filter(|_| !is_exempt)?;
+    let rule = state.settings().admission;
+    let first_ms = state.with(|beliefs| {
+        let fastest = beliefs.engines.fastest(spec)?;
+        rule.fastest_decline_ms(&fastest, request)
+    })?;
+    GATEWAY_METRICS.declined_alone.inc();
+    Some(first_ms as u32)
+}
+
+/// Places a prompt whose stream is resumed, regardless of the backlog of the engine.
+fn place_unconditionally(
+    state: &Arc<GatewayState>,
+    home: &HomeEngine,
+    request: &AdmissionRequest,
+) -> EnginePlacement {
+    let number = state.next_run();
+    place_locally(state, home.target.id, state.own_run(number), request);
+    if home.owner != state.me() {
+        send_to(
+            state,
+            home.owner,
+            placed_message(number, home.target.id, request, false),
+        );
+    }
+    let decision = HomeDecision {
+        verdict: AdmissionVerdict::Granted(0),
+        number,
+        decided_by: "resume".to_owned(),
+    };
+    engine_placement(state, home, decision, request)
+}
+
+const fn is_granted(decision: &HomeDecision) -> bool {
+    matches!(decision.verdict, AdmissionVerdict::Granted(_))
+}
+
+fn engine_placement(
+    state: &Arc<GatewayState>,
+    home: &HomeEngine,
+    decision: HomeDecision,
+    request: &AdmissionRequest,
+) -> EnginePlacement {
+    let endpoint = home.target.id;
+    EnginePlacement {
+        target: home.target.clone(),
+        guard: RunGuard::engine(
+            state,
+            endpoint,
+            decision.number,
+            home.owner,
+            request.clone(),
+        ),
+        expected_ms: decision.verdict.first_event_ms().unwrap_or_default(),
+        decided_by: decision.decided_by,
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/dockgate/src/gateway/event_stream.rs
+++ b/dockgate/src/gateway/event_stream.rs
@@ -1,12 +1,12 @@
-//! Passes a stream of events on, and goes on at another endpoint where that is allowed.
+//! Forwards a stream of events, and resumes it at another endpoint where that is allowed.
 
-use super::call::{AdmittedCall, CallTries};
+use super::call::{AdmittedCall, CallAttempts};
 use super::call_body::{BrokenAnswer, CallBody};
 use super::end_check::note_break;
 use super::events::{GatewayEvent, log_gateway};
 use super::gateway_metrics::GATEWAY_METRICS;
 use super::run_guard::RunGuard;
-use super::upstream::{EndpointTarget, UsedConnection};
+use super::upstream::{EndpointTarget, PooledConnection};
 use crate::clock::{ClockInstant, timeout_at};
 use bytes::{Bytes, BytesMut};
 use dockgate_core::gateway::{EndpointOutcome, EventSplitter};
@@ -20,23 +20,21 @@
 use std::task::Poll;
 use std::time::Duration;
 
-/// How many times the pause that is in time a resumable stream may pause before it is continued
-/// elsewhere: by then the answer is late, but its caller is still there.
-const PAUSE_PATIENCE: f64 = 4.5;
-/// The longest such pause: callers leave after two seconds. A bound.
-const MOST_PAUSE: Duration = Duration::from_millis(1_500);
+/// How long a resumable stream may pause before it is resumed elsewhere, in multiples of the pause
+/// that the route allows.
+const PAUSE_FACTOR: f64 = 4.5;
+/// The upper bound of such a pause, shorter than the timeouts of callers.
+const MAX_PAUSE: Duration = Duration::from_millis(1_500);
 
-/// Where events come from.
+/// The endpoint and connection that a stream is read from.
 pub(super) struct StreamSource {
-    /// The endpoint.
     pub(super) target: EndpointTarget,
-    /// The rest of its answer.
+    /// The body of the answer.
     pub(super) body: Incoming,
-    /// Its connection.
-    pub(super) connection: UsedConnection,
-    /// What its head said.
+    pub(super) connection: PooledConnection,
+    /// The decoded head of the answer.
     pub(super) head: AnswerHead,
-    /// Counts the request there.
+    /// Counts the request at the endpoint.
     pub(super) guard: RunGuard,
 }
 
@@ -46,8 +44,8 @@
     Lost(&'static str),
 }
 
-/// Lets the tasks that are ready go first, without a look at the system.
-async fn let_others_run() {
+/// Yields once to the tasks that are ready, without polling the I/O driver.
+async fn yield_to_ready_tasks() {
     let mut has_run = false;
     std::future::poll_fn(|context| {
         if std::mem::replace(&mut has_run, true) {
@@ -59,56 +57,56 @@
     .await;
 }
 
-/// A stream on its way to a caller.
+/// A stream of events that is forwarded to a caller.
 pub(super) struct EventStream {
     call: Arc<AdmittedCall>,
-    tries: CallTries,
+    attempts: CallAttempts,
     source: Option<StreamSource>,
     splitter: EventSplitter,
-    /// Whole events that were read and not passed on yet.
+    /// Complete events that were read and not forwarded yet.
     ready: Option<Bytes>,
-    /// What came behind them.
-    after: Option<StreamStep>,
+    /// The step that follows them, if it was read already.
+    pending_step: Option<StreamStep>,
     ended: bool,
     last_event: Option<u64>,
     events: u64,
     status: StatusCode,
-    first_after: Duration,
+    first_event_age: Duration,
 }
 
 impl EventStream {
     pub(super) fn new(
         call: Arc<AdmittedCall>,
-        tries: CallTries,
+        attempts: CallAttempts,
         source: StreamSource,
         status: StatusCode,
     ) -> Self {
         Self {
             last_event: call.head.last_event,
             call,
-            tries,
+            attempts,
             source: Some(source),
             splitter: EventSplitter::default(),
             ready: None,
-            after: None,
+            pending_step: None,
             ended: false,
             events: 0,
             status,
-            first_after: Duration::ZERO,
+            first_event_age: Duration::ZERO,
         }
     }
 
-    /// Waits for the first events.
+    /// Reads the first events.
     ///
     /// # Errors
     ///
-    /// Returns the problem where none come; nothing has been passed on then.
-    pub(super) async fn read_first(&mut self, patience: Duration) -> Result<(), &'static str> {
-        match self.read(patience).await {
+    /// Returns the problem if none arrive; nothing has been forwarded then.
+    pub(super) async fn read_first(&mut self, timeout: Duration) -> Result<(), &'static str> {
+        match self.read(timeout).await {
             StreamStep::Events(bytes) => {
                 self.ready = Some(bytes);
-                self.call.progress.note_answer();
-                self.first_after = self.call.age();
+                self.call.progress.record_answer();
+                self.first_event_age = self.call.age();
                 Ok(())
             }
             StreamStep::End => {
@@ -119,14 +117,14 @@
         }
     }
 
-    /// Notes that the endpoint failed.
-    pub(super) fn note_failed(&self) {
+    /// Records that the endpoint failed.
+    pub(super) fn record_failed(&self) {
         if let Some(source) = &self.source {
-            source.guard.note(EndpointOutcome::Failed);
+            source.guard.record(EndpointOutcome::Failed);
         }
     }
 
-    /// Makes the body of the answer.
+    /// Converts the stream into the body of the answer.
     pub(super) fn into_body(self) -> CallBody {
         let frames = stream::unfold(self, |stream| async move {
             let (frame, stream) = stream.next().await?;
@@ -143,15 +141,15 @@
             if self.ended {
                 return self.finish();
             }
-            let step = match self.after.take() {
+            let step = match self.pending_step.take() {
                 Some(step) => step,
-                None => self.read(self.pause_patience()).await,
+                None => self.read(self.pause_timeout()).await,
             };
             match step {
                 StreamStep::Events(bytes) => self.ready = Some(self.read_ready(bytes).await),
                 StreamStep::End => self.ended = true,
                 StreamStep::Lost(problem) => {
-                    if let Err(broken) = self.go_on(problem).await {
+                    if let Err(broken) = self.fail_over(problem).await {
                         self.ended = true;
                         self.source = None;
                         return Some((Err(broken), self));
@@ -166,9 +164,9 @@
         self.call.log_answered(
             &source.target.name,
             self.status,
-            self.first_after,
+            self.first_event_age,
             self.events,
-            &self.tries,
+            &self.attempts,
         );
         if !source.head.closes {
             source.connection.keep(source.head.idle);
@@ -176,16 +174,16 @@
         None
     }
 
-    fn pause_patience(&self) -> Duration {
+    fn pause_timeout(&self) -> Duration {
         match self.call.route().may_repeat() {
-            true => MOST_PAUSE.min(self.call.route().pause.mul_f64(PAUSE_PATIENCE)),
-            false => self.call.left(),
+            true => MAX_PAUSE.min(self.call.route().pause.mul_f64(PAUSE_FACTOR)),
+            false => self.call.time_left(),
         }
     }
 
-    /// Reads until whole events are there.
-    async fn read(&mut self, patience: Duration) -> StreamStep {
-        let until = self.call.deadline().min(ClockInstant::now() + patience);
+    /// Reads until at least one event is complete.
+    async fn read(&mut self, timeout: Duration) -> StreamStep {
+        let until = self.call.deadline().min(ClockInstant::now() + timeout);
         loop {
             let Some(source) = self.source.as_mut() else {
                 return StreamStep::Lost("no endpoint");
@@ -193,39 +191,42 @@
             let Ok(frame) = timeout_at(until, source.body.frame()).await else {
                 return StreamStep::Lost("silent for too long");
             };
-            let Some(step) = self.step_of(frame) else {
+            let Some(step) = self.step_for(frame) else {
                 continue;
             };
             if let (StreamStep::Events(_), Some(source)) = (&step, self.source.as_mut()) {
-                source.guard.start();
+                source.guard.record_first_event();
             }
             return step;
         }
     }
 
-    /// Adds the whole events that have arrived already, and notes what follows where that has: what goes
-    /// out together takes one call in place of several.
+    /// Appends the complete events that have arrived already, so that they are written with one
+    /// system call. A step that follows them is kept in `pending_step`.
     async fn read_ready(&mut self, first: Bytes) -> Bytes {
         let mut bytes = BytesMut::from(first);
-        while self.after.is_none() {
+        while self.pending_step.is_none() {
             let Some(source) = self.source.as_mut() else {
                 break;
             };
-            // The connection hands over one piece at a time, whenever its task runs.
-            let_others_run().await;
+            // The task of the connection delivers one frame each time it runs.
+            yield_to_ready_tasks().await;
             let Some(frame) = source.body.frame().now_or_never() else {
                 break;
             };
-            match self.step_of(frame) {
+            match self.step_for(frame) {
                 Some(StreamStep::Events(more)) => bytes.extend_from_slice(&more),
-                step => self.after = step,
+                step => self.pending_step = step,
             }
         }
         bytes.freeze()
     }
 
-    /// Tells what a piece of the answer comes to, or nothing where no event is whole yet.
-    fn step_of(&mut self, frame: Option<Result<Frame<Bytes>, hyper::Error>>) -> Option<StreamStep> {
+    /// Returns the step that a frame leads to, or `None` if no event is complete yet.
+    fn step_for(
+        &mut self,
+        frame: Option<Result<Frame<Bytes>, hyper::Error>>,
+    ) -> Option<StreamStep> {
         let data = match frame {
             None if self.splitter.has_partial_event() => {
                 return Some(StreamStep::Lost("ended inside an event"));
@@ -234,15 +235,15 @@
             Some(Err(_)) => return Some(StreamStep::Lost("broke off")),
             Some(Ok(frame)) => frame.into_data().ok()?,
         };
-        match self.take_in(&data) {
+        match self.split_events(&data) {
             Ok(bytes) if bytes.is_empty() => None,
             Ok(bytes) => Some(StreamStep::Events(bytes)),
             Err(problem) => Some(StreamStep::Lost(problem)),
         }
     }
 
-    /// Cuts bytes into events; drops those that the caller has, and finds gaps.
-    fn take_in(&mut self, data: &[u8]) -> Result<Bytes, &'static str> {
+    /// Splits bytes into events, drops those that the caller has received, and detects gaps.
+    fn split_events(&mut self, data: &[u8]) -> Result<Bytes, &'static str> {
         let (bytes, events) = self.splitter.push(data).ok_or("an event is too long")?;
         let mut start = 0;
         for event in &events {
@@ -259,13 +260,13 @@
         Ok(Bytes::from(bytes).slice(start..))
     }
 
-    /// Goes on at another endpoint after the one so far was lost.
-    async fn go_on(&mut self, problem: &'static str) -> Result<(), BrokenAnswer> {
-        self.note_failed();
-        // The first endpoint must have stopped before another one goes on.
+    /// Resumes the stream at another endpoint after the current one was lost.
+    async fn fail_over(&mut self, problem: &'static str) -> Result<(), BrokenAnswer> {
+        self.record_failed();
+        // Dropping the source closes the connection before another endpoint resumes the stream.
         let lost = self.source.take().map(|source| source.target);
         if let Some(target) = &lost {
-            note_break(&self.call.state, target, self.call.print());
+            note_break(&self.call.state, target, self.call.fingerprint());
         }
         self.splitter = EventSplitter::default();
         let reason = match self.resume().await {
@@ -287,7 +288,7 @@
         let name = lost.map(|target| target.name).unwrap_or_default();
         log_gateway(&GatewayEvent::BrokenOff {
             request: &self.call.head.id,
-            print: self.call.print().to_string(),
+            print: self.call.fingerprint().to_string(),
             endpoint: &name,
             events: self.events,
             took_ms: self.call.age().as_millis() as u64,
@@ -301,16 +302,16 @@
             if self.call.caller.has_left() {
                 return Err("its caller has left".to_owned());
             }
-            // What was passed on stays valid, so the state is that of a request that was sent.
-            match self.call.after_loss(&self.tries, AttemptState::Sent) {
+            // Forwarded events stay valid, so the request counts as sent.
+            match self.call.after_failure(&self.attempts, AttemptState::Sent) {
                 RetryVerdict::Retry => {}
                 RetryVerdict::Report(_) => return Err("no further attempt is allowed".to_owned()),
             }
             let call = self.call.clone();
-            match call.resume(&mut self.tries, self.last_event).await {
+            match call.resume(&mut self.attempts, self.last_event).await {
                 Ok(source) => return Ok(source),
-                Err(problem) if self.tries.endpoints.len() > 4 => return Err(problem),
-                Err(problem) => log::debug!("resume {}: {problem}", call.head.id),
+                Err(problem) if self.attempts.endpoints.len() > 4 => return Err(problem),
+                Err(problem) => log::debug!("could not resume {}: {problem}", call.head.id),
             }
         }
     }
--- a/dockgate/src/gateway/gateway_state.rs
+++ b/dockgate/src/gateway/gateway_state.rs
@@ -39,7 +39,7 @@
     /// The box that was told of it.
     pub(super) owner: BoxKey,
     /// The prompt.
-    pub(super) ask: AdmissionRequest,
+    pub(super) request: AdmissionRequest,
     /// Whether its first event was seen.
     pub(super) started: bool,
 }
--- a/dockgate/src/gateway/notices.rs
+++ b/dockgate/src/gateway/notices.rs
@@ -1,4 +1,4 @@
-//! Takes in what endpoints say of themselves in their answers, and heeds it until the first byte of a request.
+//! Applies the notices that endpoints announce in their answers, up to the first byte of a request.
 
 use super::datagrams::send_to;
 use super::events::{GatewayEvent, log_gateway};
@@ -11,8 +11,8 @@
 use dockgate_proto::GatewayMessage;
 use std::sync::Arc;
 
-/// Takes in what the answer to `request` says of its endpoint.
-pub(super) fn hear(
+/// Applies the notice in the answer to `request`, and logs what has changed.
+pub(super) fn receive_notice(
     state: &GatewayState,
     target: &EndpointTarget,
     request: &str,
@@ -22,29 +22,29 @@
         return;
     }
     GATEWAY_METRICS.note_notice(notice);
-    let news = state.with(|beliefs| {
+    let updates = state.with(|beliefs| {
         let draw = rand::random();
         beliefs
             .endpoints
             .receive_notice(target.id, notice, now_ms(), draw)
     });
     let endpoint = &target.name;
-    for news in news {
-        log_gateway(&match news {
+    for update in updates {
+        log_gateway(&match update {
             NoticeUpdate::Leaving => GatewayEvent::EndpointLeaves { endpoint, request },
-            NoticeUpdate::BackoffRequested(rest) => GatewayEvent::EndpointRests {
+            NoticeUpdate::BackoffRequested(backoff) => GatewayEvent::EndpointRests {
                 endpoint,
                 request,
-                for_ms: rest.as_millis() as u64,
+                for_ms: backoff.as_millis() as u64,
             },
         });
     }
 }
 
-/// Tells the box that decides for an engine that it leaves, so that those who ask it need not find out by themselves.
+/// Reports to the owner of an engine that the engine is leaving.
 ///
-/// Of hundreds of boxes each sends to one engine every few seconds.
-pub(super) fn tell_owner(state: &GatewayState, target: &EndpointTarget) {
+/// The owner then declines for it, so that other boxes need not learn it from their own requests.
+pub(super) fn report_leaving(state: &GatewayState, target: &EndpointTarget) {
     let owner = state.with(|beliefs| {
         let entry = beliefs.endpoints.get(target.id)?;
         let domain = &entry.record.domain;
@@ -56,16 +56,17 @@
     }
 }
 
-/// Takes in another box's word that an endpoint leaves.
-pub(super) fn hear_told(state: &GatewayState, endpoint: EndpointId) {
+/// Applies a report by another box that an endpoint is leaving.
+pub(super) fn receive_reported_leave(state: &GatewayState, endpoint: EndpointId) {
     let is_believed =
         state.with(|beliefs| beliefs.endpoints.receive_reported_leave(endpoint, now_ms()));
     GATEWAY_METRICS.note_told(is_believed);
 }
 
-/// Makes the condition on which a request of `caller` is sent to an endpoint: that both still want it.
+/// Creates the condition on which a request of `caller` is sent to an endpoint: that the caller is
+/// connected and the endpoint accepts requests.
 ///
-/// Where a request goes is decided on what was heard by then; another answer may come between that and its first byte.
+/// Another answer of the endpoint may arrive between the placement and the first byte.
 pub(super) fn send_condition(
     state: &Arc<GatewayState>,
     target: &EndpointTarget,
--- a/dockgate/src/gateway/run_guard.rs
+++ b/dockgate/src/gateway/run_guard.rs
@@ -1,4 +1,4 @@
-//! One request at one endpoint: counted from the decision until it has left.
+//! Counts a request at an endpoint from its placement to its end.
 
 use super::datagrams::send_to;
 use super::gateway_state::{GatewayState, PlacedRun};
@@ -8,17 +8,17 @@
 use dockgate_proto::GatewayMessage;
 use std::sync::Arc;
 
-/// Counts a request at an endpoint; ends the count when it is dropped.
+/// Counts a request at an endpoint until it is dropped.
 pub(super) struct RunGuard {
     state: Arc<GatewayState>,
     endpoint: EndpointId,
-    /// The counter of the run, where the endpoint is an engine.
+    /// The number of the run, if the endpoint is an engine.
     number: Option<u32>,
     started: bool,
 }
 
 impl RunGuard {
-    /// Counts a request at a plain service's endpoint.
+    /// Counts a request at an endpoint of a plain service.
     pub(super) fn plain(state: &Arc<GatewayState>, endpoint: EndpointId) -> Self {
         state.with(|beliefs| beliefs.endpoints.note_sent(endpoint, now_ms()));
         Self {
@@ -35,17 +35,17 @@
         endpoint: EndpointId,
         number: u32,
         owner: BoxKey,
-        ask: AdmissionRequest,
+        request: AdmissionRequest,
     ) -> Self {
         let run = PlacedRun {
             endpoint,
             owner,
-            ask,
+            request,
             started: false,
         };
         state.with(|beliefs| {
             beliefs.endpoints.note_sent(endpoint, now_ms());
-            beliefs.reads.record(endpoint, owner, &run.ask.parts);
+            beliefs.reads.record(endpoint, owner, &run.request.parts);
             beliefs.runs.insert(number, run);
         });
         Self {
@@ -56,26 +56,26 @@
         }
     }
 
-    /// Notes what was seen of the endpoint.
-    pub(super) fn note(&self, sign: EndpointOutcome) {
+    /// Records an outcome for the health of the endpoint.
+    pub(super) fn record(&self, outcome: EndpointOutcome) {
         let now = now_ms();
         self.state
-            .with(|beliefs| beliefs.endpoints.note_sign(self.endpoint, sign, now));
+            .with(|beliefs| beliefs.endpoints.note_sign(self.endpoint, outcome, now));
     }
 
-    /// Notes what a lost attempt says of the endpoint, if anything.
-    pub(super) fn note_loss(&self, sign: Option<EndpointOutcome>) {
-        if let Some(sign) = sign {
-            self.note(sign);
+    /// Records the outcome of a failed attempt, if it counts for the endpoint.
+    pub(super) fn record_failure(&self, outcome: Option<EndpointOutcome>) {
+        if let Some(outcome) = outcome {
+            self.record(outcome);
         }
     }
 
-    /// Notes the first event.
-    pub(super) fn start(&mut self) {
+    /// Records the first event, and reports it to the owner of an engine.
+    pub(super) fn record_first_event(&mut self) {
         if std::mem::replace(&mut self.started, true) {
             return;
         }
-        self.note(EndpointOutcome::Answered);
+        self.record(EndpointOutcome::Answered);
         let Some(number) = self.number else { return };
         let key = self.state.own_run(number);
         let me = self.state.me();
@@ -85,11 +85,13 @@
                 run.started = true;
                 run.owner
             });
-            let decides = owner == Some(me);
-            beliefs.engines.start(self.endpoint, key, now_ms(), decides);
+            let is_owner = owner == Some(me);
+            beliefs
+                .engines
+                .start(self.endpoint, key, now_ms(), is_owner);
             owner
         });
-        self.tell(
+        self.notify_owner(
             owner,
             GatewayMessage::Started {
                 run: number,
@@ -98,7 +100,7 @@
         );
     }
 
-    fn tell(&self, owner: Option<BoxKey>, message: GatewayMessage) {
+    fn notify_owner(&self, owner: Option<BoxKey>, message: GatewayMessage) {
         if let Some(owner) = owner.filter(|owner| *owner != self.state.me()) {
             send_to(&self.state, owner, message);
         }
@@ -115,7 +117,7 @@
             beliefs.runs.remove(&key.number).map(|run| run.owner)
         });
         if let Some(run) = self.number {
-            self.tell(
+            self.notify_owner(
                 owner,
                 GatewayMessage::Ended {
                     run,
--- a/dockgate/src/gateway/upstream.rs
+++ b/dockgate/src/gateway/upstream.rs
@@ -1,4 +1,4 @@
-//! Connections to endpoints: kept while they are sound, bounded, and never used for two requests.
+//! Pools of connections to endpoints: bounded, reused while open, one request at a time each.
 
 mod endpoint_io;
 
@@ -20,101 +20,101 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// How long opening a connection may take: links take a millisecond, and an endpoint that is cut
-/// off says nothing. Callers of plain services wait 100 ms for an answer in time.
+/// How long opening a connection may take. Bounds the wait for an endpoint that is cut off, so that
+/// another one can still be tried in time.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// How long a connection may rest where the endpoint does not say; below what servers usually allow.
-const REST: Duration = Duration::from_secs(4);
-/// How much sooner than the endpoint a resting connection is given up: a request must not cross the
-/// endpoint's close.
-const REST_MARGIN: Duration = Duration::from_millis(700);
-
-/// Where a request is sent.
+/// How long a connection stays idle if the endpoint announces no timeout; shorter than the usual
+/// timeouts of servers.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
+/// How long before the endpoint's idle timeout a connection is closed, so that no request is sent
+/// while the endpoint closes it.
+const IDLE_MARGIN: Duration = Duration::from_millis(700);
+
+/// The endpoint that a request is sent to.
 #[derive(Debug, Clone)]
 pub(super) struct EndpointTarget {
-    /// The endpoint.
     pub(super) id: EndpointId,
-    /// Its lifetime id.
+    /// The id of the endpoint's lifetime.
     pub(super) name: String,
-    /// Where it listens.
     pub(super) address: SocketAddr,
-    /// How many connections this box may have to it.
+    /// The connection limits of this box for the endpoint.
     pub(super) limits: ConnectionLimits,
 }
 
-/// How many connections one box may have to one endpoint.
+/// The number of connections that one box may have to one endpoint.
 ///
-/// All boxes together may not have more than the endpoint takes. Those that rest are divided evenly;
-/// those in use go where the work is: callers of a large workspace may all be at one box, and what
-/// is in use is bounded by the endpoint's slots, whoever sends it.
+/// All boxes together must not exceed the connection limit of the endpoint. Idle connections are
+/// divided evenly among the boxes. Connections in use are not, since the load may be uneven; their
+/// total is bounded by the slots of the endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct ConnectionLimits {
-    /// Up to this many a connection may rest after its answer.
-    resting: usize,
-    /// Up to this many a connection may be opened.
+    /// The number of open connections up to which one is kept idle after its answer.
+    idle: usize,
+    /// The maximum number of open connections.
     open: usize,
 }
 
 impl ConnectionLimits {
-    /// The part of what an endpoint takes that boxes divide evenly: the rest is left for slots in
-    /// use beyond an even part, and for boxes that are not seen.
-    const EVEN_PART: f64 = 0.8;
-    /// How many connections a box may use at least, in slots of the endpoint: as many as it runs
-    /// and as many as wait there.
-    const LEAST_SLOTS: usize = 2;
-
-    /// Divides what an endpoint with `slots` slots takes among the boxes that live.
-    pub(super) fn new(most: usize, slots: u32, live_boxes: u32) -> Self {
-        let even = most as f64 * Self::EVEN_PART / f64::from(live_boxes.max(2));
-        let resting = (even as usize).max(1);
-        let used = (slots as usize * Self::LEAST_SLOTS).min(most);
+    /// The fraction of an endpoint's connection limit that is divided evenly among the boxes. The
+    /// remainder is left for uneven load and for boxes that are not known.
+    const SHARED_FRACTION: f64 = 0.8;
+    /// The connections that a box may always open, in multiples of the endpoint's slots: one for
+    /// each running request and one for each waiting request.
+    const MIN_SLOT_MULTIPLE: usize = 2;
+
+    /// Divides the connection limit of an endpoint with `slots` slots among the live boxes.
+    pub(super) fn new(max_connections: usize, slots: u32, live_boxes: u32) -> Self {
+        let even_share =
+            max_connections as f64 * Self::SHARED_FRACTION / f64::from(live_boxes.max(2));
+        let idle = (even_share as usize).max(1);
+        let min_open = (slots as usize * Self::MIN_SLOT_MULTIPLE).min(max_connections);
         Self {
-            resting,
-            open: resting.max(used),
+            idle,
+            open: idle.max(min_open),
         }
     }
 }
 
-/// Why no head of an answer came.
+/// Why no head of an answer was received.
 #[derive(Debug)]
 pub(super) enum SendFailure {
-    /// Nobody listens at the endpoint's address; nothing was sent.
+    /// The endpoint's address refused the connection; nothing was sent.
     Refused(String),
     /// The endpoint cannot be reached; nothing was sent.
     Unreachable(String),
     /// A connection to the endpoint did not open in time; nothing was sent.
-    Silent(String),
-    /// This box has as many connections there as it may; nothing was sent.
+    ConnectTimeout(String),
+    /// The connection limit of this box is reached; nothing was sent.
     NoConnection,
-    /// It is not to be sent any more; nothing was sent.
+    /// The condition for sending no longer holds; nothing was sent.
     Withheld(WithheldReason),
     /// The request may have reached the endpoint.
     Lost(String),
 }
 
-/// A connection: how the library is given a request, and how it is kept from sending one.
+/// An open connection, with the gate that can withhold a request and the handle to reset it.
 struct OpenConnection {
     sender: SendRequest<Full<Bytes>>,
     gate: Arc<SendGate>,
     abort: StreamAbort,
 }
 
-struct RestingConnection {
+struct IdleConnection {
     connection: OpenConnection,
     until_ms: u64,
 }
 
 #[derive(Default)]
 struct EndpointPool {
-    resting: Vec<RestingConnection>,
+    idle: Vec<IdleConnection>,
     open: usize,
 }
 
 impl EndpointPool {
-    /// Closes the connections that rest; they are not open any more.
-    fn close_resting(&mut self) {
-        self.open = self.open.saturating_sub(self.resting.len());
-        self.resting.clear();
+    /// Closes the idle connections and no longer counts them as open.
+    fn close_idle(&mut self) {
+        self.open = self.open.saturating_sub(self.idle.len());
+        self.idle.clear();
     }
 }
 
@@ -129,54 +129,53 @@
         self.pools.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Closes the resting connections of endpoints that are gone.
+    /// Closes the idle connections to all endpoints except `kept`.
     pub(super) fn retain(&self, kept: &[EndpointId]) {
         self.locked().retain(|id, pool| {
             let keep = kept.contains(id);
             if !keep {
-                pool.close_resting();
+                pool.close_idle();
             }
             keep || pool.open > 0
         });
     }
 
-    /// Closes the resting connections to some endpoints: what is sent on one whose link is cut is lost.
-    pub(super) fn drop_resting(&self, endpoints: &[EndpointId]) {
+    /// Closes the idle connections to some endpoints, since requests sent over a cut link are lost.
+    pub(super) fn close_idle_to(&self, endpoints: &[EndpointId]) {
         let mut pools = self.locked();
         for id in endpoints {
             if let Some(pool) = pools.get_mut(id) {
-                pool.close_resting();
+                pool.close_idle();
             }
         }
     }
 
-    /// Closes all resting connections.
-    pub(super) fn drop_all_resting(&self) {
+    pub(super) fn close_all_idle(&self) {
         let mut pools = self.locked();
-        pools.values_mut().for_each(EndpointPool::close_resting);
+        pools.values_mut().for_each(EndpointPool::close_idle);
     }
 
-    /// Returns how many connections are open.
+    /// Returns the number of open connections, idle or in use.
     pub(super) fn open(&self) -> usize {
         self.locked().values().map(|pool| pool.open).sum()
     }
 
-    /// Takes the connection that rested last, as it is the least likely to be closed.
-    fn take_resting(&self, id: EndpointId) -> Option<OpenConnection> {
+    /// Takes the most recently used idle connection, which is the least likely to be closed.
+    fn take_idle(&self, id: EndpointId) -> Option<OpenConnection> {
         let mut pools = self.locked();
         let pool = pools.get_mut(&id)?;
         let now = now_ms();
-        while let Some(resting) = pool.resting.pop() {
-            let sound = resting.until_ms > now && !resting.connection.sender.is_closed();
-            if sound {
-                return Some(resting.connection);
+        while let Some(idle) = pool.idle.pop() {
+            let is_usable = idle.until_ms > now && !idle.connection.sender.is_closed();
+            if is_usable {
+                return Some(idle.connection);
             }
             pool.open -= 1;
         }
         None
     }
 
-    /// Counts a connection about to be opened; returns false where there are enough.
+    /// Counts a connection that is about to be opened; returns `false` if the limit is reached.
     fn reserve(&self, target: &EndpointTarget) -> bool {
         let mut pools = self.locked();
         let pool = pools.entry(target.id).or_default();
@@ -193,11 +192,11 @@
         }
     }
 
-    /// Keeps a connection for the next request, or closes it where there are more than may rest.
-    fn rest(&self, target: PoolKey, connection: OpenConnection, until_ms: u64) {
+    /// Keeps a connection for the next request, or closes it if too many are open.
+    fn keep_idle(&self, target: PoolKey, connection: OpenConnection, until_ms: u64) {
         match self.locked().get_mut(&target.id) {
-            Some(pool) if pool.open <= target.resting => {
-                pool.resting.push(RestingConnection {
+            Some(pool) if pool.open <= target.idle => {
+                pool.idle.push(IdleConnection {
                     connection,
                     until_ms,
                 });
@@ -208,59 +207,58 @@
     }
 }
 
-/// Which pool a connection belongs to, and how many may rest there.
+/// The pool that a connection belongs to, with its limit for keeping idle connections.
 #[derive(Debug, Clone, Copy)]
 struct PoolKey {
     id: EndpointId,
-    resting: usize,
+    idle: usize,
 }
 
 impl From<&EndpointTarget> for PoolKey {
     fn from(target: &EndpointTarget) -> Self {
         Self {
             id: target.id,
-            resting: target.limits.resting,
+            idle: target.limits.idle,
         }
     }
 }
 
-/// A connection that is in use; closes when it is dropped.
-pub(super) struct UsedConnection {
+/// A connection in use by one request; closed on drop unless it is kept.
+pub(super) struct PooledConnection {
     pools: Arc<EndpointPools>,
     pool: PoolKey,
     connection: Option<OpenConnection>,
-    /// Whether the endpoint has begun to answer what was sent last.
+    /// Whether the endpoint has begun to answer the last request.
     is_answered: bool,
 }
 
-impl UsedConnection {
-    /// Keeps the connection for the next request, after a whole answer.
+impl PooledConnection {
+    /// Returns the connection to its pool after a complete answer.
     ///
-    /// `idle` is how long the endpoint says that it keeps it.
+    /// `idle` is the idle timeout that the endpoint announced.
     pub(super) fn keep(mut self, idle: Option<Duration>) {
-        let rest = idle.map_or(REST, |idle| idle.saturating_sub(REST_MARGIN));
+        let keep_alive = idle.map_or(IDLE_TIMEOUT, |idle| idle.saturating_sub(IDLE_MARGIN));
         let connection = self
             .connection
             .take()
-            .filter(|connection| !connection.sender.is_closed() && !rest.is_zero());
+            .filter(|connection| !connection.sender.is_closed() && !keep_alive.is_zero());
         match connection {
             Some(connection) => {
-                let until_ms = now_ms() + rest.as_millis() as u64;
-                self.pools.rest(self.pool, connection, until_ms);
+                let until_ms = now_ms() + keep_alive.as_millis() as u64;
+                self.pools.keep_idle(self.pool, connection, until_ms);
             }
             None => self.pools.release(self.pool.id),
         }
     }
 }
 
-impl Drop for UsedConnection {
+impl Drop for PooledConnection {
     fn drop(&mut self) {
         let Some(connection) = self.connection.take() else {
             return;
         };
-        // A close delivers what the system still holds, seconds later where the endpoint reads late: of a
-        // request of 9,653 bytes that was given up it got all, and none with a reset. Once it answers it
-        // has the whole request, and a close is told again where it is lost on the way.
+        // An orderly close would still deliver the buffered request to an endpoint that reads late;
+        // a reset discards it. Once the endpoint answers, it has the whole request.
         if !self.is_answered {
             connection.abort.reset_on_close();
         }
@@ -271,11 +269,11 @@
 async fn open(
     pools: &Arc<EndpointPools>,
     target: &EndpointTarget,
-) -> Result<UsedConnection, SendFailure> {
+) -> Result<PooledConnection, SendFailure> {
     if !pools.reserve(target) {
         return Err(SendFailure::NoConnection);
     }
-    // Gives the reservation back if this future is dropped while it waits.
+    // Releases the reservation if this future fails or is dropped.
     struct Reservation<'a>(&'a EndpointPools, EndpointId, bool);
     impl Drop for Reservation<'_> {
         fn drop(&mut self) {
@@ -289,7 +287,7 @@
     let stream = connect(target.address, CONNECT_TIMEOUT)
         .await
         .map_err(|error| match error.kind() {
-            ErrorKind::TimedOut => SendFailure::Silent(error.to_string()),
+            ErrorKind::TimedOut => SendFailure::ConnectTimeout(error.to_string()),
             ErrorKind::ConnectionRefused => SendFailure::Refused(error.to_string()),
             _ => unreachable(error.to_string()),
         })?;
@@ -302,11 +300,11 @@
         .map_err(|error| unreachable(error.to_string()))?;
     tokio::spawn(async move {
         if let Err(error) = connection.await {
-            log::debug!("connection to an endpoint: {error}");
+            log::debug!("connection to an endpoint failed: {error}");
         }
     });
     reservation.2 = true;
-    Ok(UsedConnection {
+    Ok(PooledConnection {
         pools: pools.clone(),
         pool: target.into(),
         connection: Some(OpenConnection {
@@ -320,27 +318,27 @@
 
 /// Sends a request if the condition holds when it is written, and waits for the head of the answer.
 ///
-/// A connection that was found closed before the request was put on it is replaced by a new one;
-/// nothing else is tried again here.
+/// A pooled connection that turns out to be closed before the request is sent is replaced by
+/// another one; nothing else is retried here.
 ///
 /// # Errors
 ///
-/// Returns a failure that says whether the request may have reached the endpoint.
+/// Returns a failure that states whether the request may have reached the endpoint.
 pub(super) async fn send(
     pools: &Arc<EndpointPools>,
     target: &EndpointTarget,
     request: Request<Full<Bytes>>,
     condition: &SendCondition,
-) -> Result<(Response<Incoming>, UsedConnection), SendFailure> {
+) -> Result<(Response<Incoming>, PooledConnection), SendFailure> {
     let mut request = request;
-    while let Some(connection) = pools.take_resting(target.id) {
-        let resting = UsedConnection {
+    while let Some(connection) = pools.take_idle(target.id) {
+        let idle = PooledConnection {
             pools: pools.clone(),
             pool: target.into(),
             connection: Some(connection),
             is_answered: false,
         };
-        match exchange(resting, request, condition).await {
+        match exchange(idle, request, condition).await {
             Ok(answer) => return Ok(answer),
             Err(ExchangeFailure::NotSent(unsent)) => request = *unsent,
             Err(ExchangeFailure::Withheld(reason)) => return Err(SendFailure::Withheld(reason)),
@@ -361,27 +359,27 @@
 
 enum ExchangeFailure {
     NotSent(Box<Request<Full<Bytes>>>),
-    /// The condition did not hold any more when the first byte was to be written.
+    /// The condition no longer held when the first byte was to be written.
     Withheld(WithheldReason),
     Lost(String),
 }
 
 async fn exchange(
-    mut used: UsedConnection,
+    mut pooled: PooledConnection,
     request: Request<Full<Bytes>>,
     condition: &SendCondition,
-) -> Result<(Response<Incoming>, UsedConnection), ExchangeFailure> {
-    let Some(connection) = used.connection.as_mut() else {
+) -> Result<(Response<Incoming>, PooledConnection), ExchangeFailure> {
+    let Some(connection) = pooled.connection.as_mut() else {
         return Err(ExchangeFailure::NotSent(Box::new(request)));
     };
     if connection.sender.ready().await.is_err() {
         return Err(ExchangeFailure::NotSent(Box::new(request)));
     }
-    connection.gate.expect(condition);
+    connection.gate.set_condition(condition);
     let mut error = match connection.sender.try_send_request(request).await {
         Ok(response) => {
-            used.is_answered = true;
-            return Ok((response, used));
+            pooled.is_answered = true;
+            return Ok((response, pooled));
         }
         Err(error) => error,
     };
@@ -389,12 +387,12 @@
     Err(match (connection.gate.withheld(), unsent) {
         (Some(reason), _) => ExchangeFailure::Withheld(reason),
         (None, Some(unsent)) => ExchangeFailure::NotSent(Box::new(unsent)),
-        (None, None) => ExchangeFailure::Lost(describe(&error.into_error())),
+        (None, None) => ExchangeFailure::Lost(error_with_cause(&error.into_error())),
     })
 }
 
-/// Writes an error with its causes.
-fn describe(error: &hyper::Error) -> String {
+/// Formats an error with its cause.
+fn error_with_cause(error: &hyper::Error) -> String {
     let cause = std::error::Error::source(error);
     cause.map_or_else(|| error.to_string(), |cause| format!("{error}: {cause}"))
 }
