--- a/dockgate/src/gateway/events/tests.rs
+++ b/dockgate/src/gateway/events/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use crate::gateway::settings::parse_gateway;
 use yare::parameterized;
 
 /// What operators and `dockgatectl explain` rely on: the fields of each line, by name.
@@ -96,3 +97,251 @@
     let expected: Vec<&str> = fields.split_whitespace().collect();
     assert_eq!(names, expected);
 }
+
+/// Returns one event of each kind, and two of those with something that may be missing.
+fn recorded_events(settings: &GatewaySettings) -> Vec<GatewayEvent<'_>> {
+    vec![
+        GatewayEvent::Started { settings },
+        GatewayEvent::Woke { away_ms: 2_500 },
+        GatewayEvent::TaskPanicked {
+            task: "t",
+            problem: "p",
+            again_ms: 50,
+        },
+        GatewayEvent::Stopping { open: 3 },
+        GatewayEvent::Stopped {
+            in_time: true,
+            cut: 4,
+        },
+        GatewayEvent::Reloaded {
+            signal: true,
+            changed: false,
+            problem: None,
+        },
+        GatewayEvent::Reloaded {
+            signal: false,
+            changed: true,
+            problem: Some("p"),
+        },
+        GatewayEvent::RoutesInForce {
+            old: 1,
+            version: 2,
+            source: "store",
+            routes: 3,
+            workspaces: 4,
+        },
+        GatewayEvent::Unreadable {
+            what: "w",
+            problem: "p".to_owned(),
+        },
+        GatewayEvent::EndpointReady {
+            endpoint: "e",
+            born_ms: Some(1),
+            service: "s",
+            domain: "d",
+            revision: 2,
+            source: "store",
+        },
+        GatewayEvent::EndpointReady {
+            endpoint: "e",
+            born_ms: None,
+            service: "s",
+            domain: "d",
+            revision: 2,
+            source: "store",
+        },
+        GatewayEvent::EndpointDraining {
+            endpoint: "e",
+            revision: 2,
+            source: "store",
+        },
+        GatewayEvent::EndpointUnusable {
+            endpoint: "e",
+            revision: 2,
+            source: "store",
+        },
+        GatewayEvent::EndpointLeaves {
+            endpoint: "e",
+            request: "r",
+        },
+        GatewayEvent::EndpointRests {
+            endpoint: "e",
+            request: "r",
+            for_ms: 5,
+        },
+        GatewayEvent::EndpointGone {
+            endpoint: "e",
+            source: "store",
+        },
+        GatewayEvent::EndpointsListed {
+            count: 1,
+            revision: 2,
+            source: "store",
+        },
+        GatewayEvent::StateUnanswered {
+            peer: "b",
+            what: "w",
+            took_ms: 1,
+            problem: "p".to_owned(),
+        },
+        GatewayEvent::StoreLost {
+            step: "op",
+            problem: "p".to_owned(),
+        },
+        GatewayEvent::StoreBack {
+            step: "op",
+            away_ms: 4,
+        },
+        GatewayEvent::StoreEra {
+            from: 1,
+            to: 2,
+            revision: 3,
+            source: "store",
+        },
+        GatewayEvent::StoreHistoryLost {
+            what: "w",
+            since: 1,
+        },
+        GatewayEvent::Overloaded { lag_ms: 300 },
+        GatewayEvent::CaughtUp {
+            lag_ms: 3,
+            for_ms: 4_000,
+        },
+        GatewayEvent::BoxSeen {
+            peer: "b",
+            domain: "d",
+        },
+        GatewayEvent::BoxGone { peer: "b" },
+        GatewayEvent::DomainCut { domain: "d" },
+        GatewayEvent::DomainBack {
+            domain: "d",
+            for_ms: 900,
+        },
+        GatewayEvent::Shares {
+            told_ms: Some(1),
+            workspaces: &[],
+        },
+        GatewayEvent::Shares {
+            told_ms: None,
+            workspaces: &[],
+        },
+        GatewayEvent::LinesHeldBack { count: 3 },
+        GatewayEvent::Sent {
+            request: "r",
+            route: "x",
+            workspace: "w",
+            tokens: Some(40),
+            endpoint: "e",
+            attempt: 1,
+            expected_ms: None,
+            decided_by: "b",
+            config: 3,
+            config_age_ms: 10,
+            revision: 7,
+            endpoints_age_ms: 20,
+        },
+        GatewayEvent::EndpointEnded {
+            endpoint: "e",
+            under: &[],
+        },
+        GatewayEvent::RequestQuarantined {
+            print: "p",
+            endpoints: &[],
+            source: "own",
+        },
+        GatewayEvent::RequestTried {
+            print: "p",
+            trials: 1,
+        },
+        GatewayEvent::RequestReleased {
+            print: "p",
+            source: "completed",
+        },
+        GatewayEvent::SendFailed {
+            request: "r",
+            print: Some("p".to_owned()),
+            endpoint: "e",
+            attempt: 1,
+            ran: "unknown",
+            problem: "p",
+            expected_ms: Some(6),
+            took_ms: 5,
+        },
+        GatewayEvent::Resumed {
+            request: "r",
+            endpoint: "e",
+            after_event: 2,
+            problem: "p",
+        },
+        GatewayEvent::Refused {
+            request: "r",
+            route: "x",
+            workspace: "w",
+            tokens: None,
+            status: 503,
+            reason: "would_be_late",
+            ran: "not_run",
+            waited_ms: 4,
+            retry_after_ms: None,
+            asked: &[],
+            share: Some(0.5),
+            config: 3,
+            config_age_ms: 10,
+            endpoints_age_ms: 20,
+        },
+        GatewayEvent::Answered {
+            request: "r",
+            route: "x",
+            endpoint: "e",
+            status: 200,
+            first_ms: 3,
+            took_ms: 9,
+            events: 4,
+            attempts: 1,
+        },
+        GatewayEvent::CallerLeft {
+            request: "r",
+            route: "x",
+            workspace: "w",
+            stage: "sent",
+            sends: 1,
+            waited_ms: 300,
+            lag_ms: 2,
+        },
+        GatewayEvent::BrokenOff {
+            request: "r",
+            print: "p".to_owned(),
+            endpoint: "e",
+            events: 2,
+            took_ms: 9,
+            reason: "q",
+        },
+    ]
+}
+
+/// Whoever reads logs goes by the names of events and fields. To record a line that was changed on purpose, edit
+/// `recorded.json` by hand; nothing rewrites it.
+#[test]
+fn each_event_is_written_as_recorded() {
+    let text = "[box]\nname = a1\ndomain = a\n[listen]\ncallers = 10.0.0.1:80\nreadiness = 10.0.0.1:81\n\
+                state = 10.0.0.1:82\npeers = 10.0.0.1:83\nmetrics = 10.0.0.1:84\n[platform]\n\
+                store = 10.0.0.9:80\n[gateway]\nseeds = 10.0.0.2:82\n";
+    let settings = parse_gateway("f.ini", text).unwrap();
+    let events = recorded_events(&settings);
+    let lines = events
+        .iter()
+        .map(|event| serde_json::to_string(event).unwrap());
+    let recorded: Vec<&str> = include_str!("recorded.json").lines().collect();
+    assert_eq!(lines.collect::<Vec<_>>(), recorded);
+}
+
+#[test]
+fn an_asked_engine_is_written_as_recorded() {
+    let asked = AskedEngine {
+        endpoint: "e".to_owned(),
+        first_event_ms: 900,
+        decided_by: "b".to_owned(),
+    };
+    let recorded = r#"{"endpoint":"e","first_event_ms":900,"decided_by":"b"}"#;
+    assert_eq!(serde_json::to_string(&asked).unwrap(), recorded);
+}
--- a/dockgate/src/gateway/share_sight.rs
+++ b/dockgate/src/gateway/share_sight.rs
@@ -45,3 +45,6 @@
         workspaces: &rows,
     });
 }
+
+#[cfg(test)]
+mod tests;
--- a/dockgate/src/logging.rs
+++ b/dockgate/src/logging.rs
@@ -131,3 +131,6 @@
         log::info!(target: EVENT_TARGET, "{text}");
     }
 }
+
+#[cfg(test)]
+mod tests;
