--- a/dockgate-proto/tests/recorded_values.rs
+++ b/dockgate-proto/tests/recorded_values.rs
@@ -5,9 +5,9 @@
 //! that it prints into `recorded/datagrams.hex`; nothing writes that file by itself.
 
 use dockgate_core::gateway::{
-    BoxBeat, BoxReport, BoxRow, BoxStanding, DigestScope, EndpointId, EngineAsk, EngineVerdict,
-    FleetDigest, PromptPart, QuarantineStage, ReadSpeed, RequestPrint, ShareLevel, ShareRow,
-    StoreRevision, SuspectRow, SuspectSign,
+    AdmissionRequest, AdmissionVerdict, BoxHeartbeat, BoxReport, BoxStatus, BoxSummary,
+    DigestScope, EndpointId, FleetDigest, PrefillSpeed, PromptPart, QuarantineStage,
+    RequestFingerprint, ShareLevel, StoreRevision, SuspectEvent, SuspectReport, UsageRow,
 };
 use dockgate_core::{BoxKey, Incarnation};
 use dockgate_proto::{GatewayDatagram, GatewayMessage};
@@ -15,23 +15,23 @@
 const ENDPOINT: EndpointId = EndpointId(0x0123_4567_89ab_cdef);
 const RUN: u32 = 300;
 
-fn standing() -> BoxStanding {
-    BoxStanding {
+fn status() -> BoxStatus {
+    BoxStatus {
         processor: 750,
         leaving: true,
         behind: false,
         reaches_store: true,
-        store_age_ms: 401,
+        store_proof_age_ms: 401,
     }
 }
 
-fn beat() -> BoxBeat {
-    BoxBeat {
+fn heartbeat() -> BoxHeartbeat {
+    BoxHeartbeat {
         name: "a1".to_owned(),
         domain: "hall-a".to_owned(),
         address: "10.0.0.1:7400".parse().unwrap(),
         state_address: "[fd00::1]:7401".parse().unwrap(),
-        standing: standing(),
+        status: status(),
         sequence: 12,
         config_version: 34,
         endpoint_revision: StoreRevision {
@@ -41,18 +41,18 @@
     }
 }
 
-fn first_beat() -> BoxBeat {
-    BoxBeat {
+fn first_heartbeat() -> BoxHeartbeat {
+    BoxHeartbeat {
         name: "b2".to_owned(),
         domain: "hall-b".to_owned(),
         address: "10.0.0.2:7400".parse().unwrap(),
         state_address: "10.0.0.2:7403".parse().unwrap(),
-        standing: BoxStanding {
+        status: BoxStatus {
             processor: 1_000,
             leaving: false,
             behind: true,
             reaches_store: false,
-            store_age_ms: 0,
+            store_proof_age_ms: 0,
         },
         sequence: 1,
         config_version: 0,
@@ -60,33 +60,33 @@
     }
 }
 
-fn shares() -> Vec<ShareRow> {
-    let row = |workspace, asked, asked_long, given| ShareRow {
+fn shares() -> Vec<UsageRow> {
+    let row = |workspace, requested, requested_long, admitted| UsageRow {
         workspace,
-        asked,
-        asked_long,
-        given,
+        requested,
+        requested_long,
+        admitted,
     };
     vec![row(0xfeed_0000_0000_0001, 200, 3_000, 40), row(2, 5, 6, 7)]
 }
 
 fn digest(scope: DigestScope, is_full: bool) -> GatewayMessage {
-    let row = |number: u32, address: Option<&str>| BoxRow {
+    let row = |number: u32, address: Option<&str>| BoxSummary {
         key: BoxKey(0x1000_0000 + number),
         incarnation: Incarnation(20 + number),
         sequence: 30 + number,
         age_ms: 400 + number,
         address: address.map(|address| address.parse().unwrap()),
-        standing: standing(),
+        status: status(),
     };
     let report = BoxReport {
         incarnation: Incarnation(77),
         age_ms: 88,
-        beat: first_beat(),
+        heartbeat: first_heartbeat(),
     };
     let digest = FleetDigest {
         scope,
-        sender: beat(),
+        sender: heartbeat(),
         coordinators: vec![report; usize::from(is_full)],
         members: match is_full {
             true => vec![row(1, Some("10.0.0.3:7400")), row(2, None)],
@@ -99,24 +99,24 @@
     GatewayMessage::Digest { digest, shares }
 }
 
-fn ask() -> EngineAsk {
-    EngineAsk {
+fn request() -> AdmissionRequest {
+    AdmissionRequest {
         workspace: 0xabcd,
         objective_ms: 501,
-        shortest_ms: 402,
+        shortest_objective_ms: 402,
         budget_ms: 3_003,
-        level: ShareLevel::new(1.5).taken(0.5),
+        level: ShareLevel::new(1.5).with_fair_ratio(0.5),
         input: 1_210,
         output: 60,
         parts: parts(),
     }
 }
 
-fn ask_without_parts() -> EngineAsk {
-    EngineAsk {
+fn request_without_parts() -> AdmissionRequest {
+    AdmissionRequest {
         level: ShareLevel::WITHIN,
         parts: Vec::new(),
-        ..ask()
+        ..request()
     }
 }
 
@@ -125,13 +125,13 @@
     vec![part(7, 800), part(0x9999_0000_0000_0009, 410)]
 }
 
-fn verdict(verdict: EngineVerdict) -> GatewayMessage {
+fn verdict(verdict: AdmissionVerdict) -> GatewayMessage {
     GatewayMessage::Verdict {
         run: RUN,
         endpoint: ENDPOINT,
         verdict,
         backlog_ms: 45,
-        speed: ReadSpeed {
+        speed: PrefillSpeed {
             fixed_us: 6_000,
             kilotoken_us: 70_000,
             megapair_us: 8_000,
@@ -139,10 +139,10 @@
     }
 }
 
-fn suspect(number: u8, sign: SuspectSign) -> SuspectRow {
-    SuspectRow {
-        print: RequestPrint::new([number; 16]),
-        sign,
+fn suspect(number: u8, event: SuspectEvent) -> SuspectReport {
+    SuspectReport {
+        fingerprint: RequestFingerprint::new([number; 16]),
+        event,
         age_ms: 1_000 + u32::from(number),
     }
 }
@@ -155,60 +155,60 @@
         trials: 3,
     };
     vec![
-        GatewayMessage::Beat {
-            beat: beat(),
+        GatewayMessage::Heartbeat {
+            heartbeat: heartbeat(),
             shares: shares(),
         },
-        GatewayMessage::Beat {
-            beat: first_beat(),
+        GatewayMessage::Heartbeat {
+            heartbeat: first_heartbeat(),
             shares: Vec::new(),
         },
-        digest(DigestScope::Near, true),
-        digest(DigestScope::Far, false),
-        digest(DigestScope::FarList, true),
-        digest(DigestScope::Welcome, false),
-        GatewayMessage::Seek {
+        digest(DigestScope::SameDomain, true),
+        digest(DigestScope::OtherDomain, false),
+        digest(DigestScope::OtherDomainFull, true),
+        digest(DigestScope::Introduction, false),
+        GatewayMessage::SlotRequest {
             run,
             endpoint,
-            ask: ask(),
+            request: request(),
         },
-        GatewayMessage::Seek {
+        GatewayMessage::SlotRequest {
             run,
             endpoint,
-            ask: ask_without_parts(),
+            request: request_without_parts(),
         },
-        verdict(EngineVerdict::Granted(123)),
-        verdict(EngineVerdict::Declined(4_567)),
-        verdict(EngineVerdict::Leaving),
+        verdict(AdmissionVerdict::Granted(123)),
+        verdict(AdmissionVerdict::Declined(4_567)),
+        verdict(AdmissionVerdict::Leaving),
         GatewayMessage::Placed {
             run,
             endpoint,
-            ask: ask(),
+            request: request(),
             started: true,
         },
         GatewayMessage::Placed {
             run,
             endpoint,
-            ask: ask_without_parts(),
+            request: request_without_parts(),
             started: false,
         },
-        GatewayMessage::Read {
+        GatewayMessage::PartsRead {
             endpoint,
             parts: parts(),
         },
-        GatewayMessage::Read {
+        GatewayMessage::PartsRead {
             endpoint,
             parts: Vec::new(),
         },
         GatewayMessage::Started { run, endpoint },
         GatewayMessage::Ended { run, endpoint },
-        GatewayMessage::Leaves { endpoint },
+        GatewayMessage::EndpointLeaving { endpoint },
         GatewayMessage::Suspects { rows: Vec::new() },
         GatewayMessage::Suspects {
             rows: vec![
-                suspect(1, SuspectSign::Ended(endpoint)),
-                suspect(2, SuspectSign::Completed),
-                suspect(3, SuspectSign::Quarantine(stage)),
+                suspect(1, SuspectEvent::Ended(endpoint)),
+                suspect(2, SuspectEvent::Completed),
+                suspect(3, SuspectEvent::Quarantine(stage)),
             ],
         },
     ]
--- a/dockgate/src/gateway/share_sight/tests.rs
+++ b/dockgate/src/gateway/workspace_report/tests.rs
@@ -3,7 +3,7 @@
 /// A row is recorded by hand; its key stays in the process.
 #[test]
 fn a_row_of_a_workspace_is_written_as_recorded() {
-    let sums = TallyRow {
+    let counters = TallyRow {
         key: 9,
         workspace: "w".to_owned(),
         asked: 1,
@@ -12,8 +12,8 @@
         would_be_late: 4,
         no_processor: 5,
     };
-    let row = WorkspaceSight {
-        sums,
+    let row = WorkspaceReport {
+        counters,
         times: 0.5,
         taken: 1.5,
     };
