--- a/dockgate/src/caller.rs
+++ b/dockgate/src/caller.rs
@@ -151,13 +151,13 @@
             async move { Ok::<_, Infallible>(door.answer(request).await) }
         });
         let stream = SharedStream::new(stream);
-        let caller = stream.presence();
+        let caller = stream.disconnect_monitor();
         let connection = builder.serve_connection_with_upgrades(TokioIo::new(stream), service);
         // The library does not see a caller leave behind bytes that it has no use for yet, such as the next
         // request: a run of a minute went on to its end.
         let ended = tokio::select! {
             biased;
-            () = caller.left() => return,
+            () = caller.disconnected() => return,
             ended = connection => ended,
         };
         if let Err(error) = ended {
--- a/dockgate/src/clock.rs
+++ b/dockgate/src/clock.rs
@@ -6,11 +6,11 @@
 //! has woken, since its timer would be late by the time away.
 
 #[cfg(debug_assertions)]
-mod away_standin;
+mod simulated_suspension;
 
-#[cfg(debug_assertions)]
-pub(crate) use away_standin::follow_file;
 use rustix::time::{ClockId, clock_gettime};
+#[cfg(debug_assertions)]
+pub(crate) use simulated_suspension::watch_suspension_file;
 use std::ops::Add;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{LazyLock, OnceLock};
@@ -19,16 +19,16 @@
 
 /// The clock that goes on during a suspension; where the system has none, the steady one.
 #[cfg(target_os = "linux")]
-const COUNTED: ClockId = ClockId::Boottime;
+const BOOT_CLOCK: ClockId = ClockId::Boottime;
 #[cfg(not(target_os = "linux"))]
-const COUNTED: ClockId = ClockId::Monotonic;
+const BOOT_CLOCK: ClockId = ClockId::Monotonic;
 
 /// From which growth of the difference between the clocks on the box was suspended: what their readings one
 /// after the other make is less.
-const LEAST_SUSPENSION: Duration = Duration::from_millis(20);
+const MIN_SUSPENSION: Duration = Duration::from_millis(20);
 
 /// Counts the suspensions that were noted.
-static WAKINGS: LazyLock<watch::Sender<u64>> = LazyLock::new(|| watch::channel(0).0);
+static RESUMES: LazyLock<watch::Sender<u64>> = LazyLock::new(|| watch::channel(0).0);
 
 fn read(clock: ClockId) -> Duration {
     let time = clock_gettime(clock);
@@ -43,25 +43,25 @@
 impl ClockInstant {
     /// Returns the present moment.
     pub(crate) fn now() -> Self {
-        let counted = read(COUNTED);
+        let counted = read(BOOT_CLOCK);
         #[cfg(debug_assertions)]
-        let counted = counted + away_standin::away();
+        let counted = counted + simulated_suspension::suspended_time();
         Self(counted)
     }
 
     /// Returns how long ago the moment was.
     pub(crate) fn elapsed(self) -> Duration {
-        Self::now().since(self)
+        Self::now().duration_since(self)
     }
 
     /// Returns the time from an earlier moment to this one; zero where that one is later.
-    pub(crate) const fn since(self, earlier: Self) -> Duration {
+    pub(crate) const fn duration_since(self, earlier: Self) -> Duration {
         self.0.saturating_sub(earlier.0)
     }
 
     /// Returns the time until the moment; zero where it has passed.
-    pub(crate) fn left(self) -> Duration {
-        self.since(Self::now())
+    pub(crate) fn remaining(self) -> Duration {
+        self.duration_since(Self::now())
     }
 }
 
@@ -87,47 +87,47 @@
 
 /// Returns by how much the clock that counts suspensions is ahead of the steady one, or somewhat less: the time
 /// between the two readings is taken off, however long the process waits for the processor there.
-fn difference() -> Duration {
+fn suspended_time() -> Duration {
     let counted = ClockInstant::now().0;
     counted.saturating_sub(read(ClockId::Monotonic))
 }
 
 /// Returns for how long the box was suspended since this was asked last, if it was, and wakes all that waits for
 /// moments that may have passed meanwhile.
-pub(crate) fn note_suspension() -> Option<Duration> {
-    static KNOWN_US: OnceLock<AtomicU64> = OnceLock::new();
-    let now_us = difference().as_micros() as u64;
-    let known = KNOWN_US.get_or_init(|| AtomicU64::new(now_us));
-    let known_us = known.load(Ordering::Acquire);
-    let grown = Duration::from_micros(now_us.saturating_sub(known_us));
-    if grown < LEAST_SUSPENSION {
+pub(crate) fn detect_suspension() -> Option<Duration> {
+    static LAST_US: OnceLock<AtomicU64> = OnceLock::new();
+    let now_us = suspended_time().as_micros() as u64;
+    let last = LAST_US.get_or_init(|| AtomicU64::new(now_us));
+    let last_us = last.load(Ordering::Acquire);
+    let suspended = Duration::from_micros(now_us.saturating_sub(last_us));
+    if suspended < MIN_SUSPENSION {
         return None;
     }
-    let noted = known.compare_exchange(known_us, now_us, Ordering::AcqRel, Ordering::Acquire);
-    noted.ok()?;
-    WAKINGS.send_modify(|count| *count += 1);
-    Some(grown)
+    let updated = last.compare_exchange(last_us, now_us, Ordering::AcqRel, Ordering::Acquire);
+    updated.ok()?;
+    RESUMES.send_modify(|count| *count += 1);
+    Some(suspended)
 }
 
 /// Looks again and again whether the box was suspended, until the process ends.
 pub(crate) async fn watch_suspensions() {
-    const LOOK: Duration = Duration::from_millis(100);
+    const POLL_INTERVAL: Duration = Duration::from_millis(100);
     loop {
-        if let Some(away) = note_suspension() {
-            log::warn!("this box was suspended for {} ms", away.as_millis());
+        if let Some(suspended) = detect_suspension() {
+            log::warn!("this box was suspended for {} ms", suspended.as_millis());
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
 /// Tells of each suspension that is noted from now on.
-pub(crate) fn wakings() -> watch::Receiver<u64> {
-    WAKINGS.subscribe()
+pub(crate) fn subscribe_resumes() -> watch::Receiver<u64> {
+    RESUMES.subscribe()
 }
 
 /// The time for something was over.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct TimeOver;
+pub(crate) struct TimedOut;
 
 /// Waits for something until a moment, which may pass while the box is suspended.
 ///
@@ -137,16 +137,16 @@
 pub(crate) async fn timeout_at<F: Future>(
     moment: ClockInstant,
     future: F,
-) -> Result<F::Output, TimeOver> {
-    let mut wakings = wakings();
+) -> Result<F::Output, TimedOut> {
+    let mut resumes = subscribe_resumes();
     let mut future = std::pin::pin!(future);
     loop {
         tokio::select! {
             biased;
             output = &mut future => return Ok(output),
-            () = tokio::time::sleep(moment.left()) => return Err(TimeOver),
+            () = tokio::time::sleep(moment.remaining()) => return Err(TimedOut),
             // The channel lives as long as the process.
-            _ = wakings.changed() => {}
+            _ = resumes.changed() => {}
         }
     }
 }
@@ -156,7 +156,7 @@
 /// # Errors
 ///
 /// Returns an error where the time is over first.
-pub(crate) async fn timeout<F: Future>(time: Duration, future: F) -> Result<F::Output, TimeOver> {
+pub(crate) async fn timeout<F: Future>(time: Duration, future: F) -> Result<F::Output, TimedOut> {
     timeout_at(ClockInstant::now() + time, future).await
 }
 
--- a/dockgate/src/clock/away_standin.rs
+++ b/dockgate/src/clock/simulated_suspension.rs
@@ -11,17 +11,17 @@
 /// Names the file; the time in it may only grow.
 const FILE_VARIABLE: &str = "DOCKGATE_AWAY_FILE";
 /// How often the file is read.
-const LOOK: Duration = Duration::from_millis(2);
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-static AWAY_MS: AtomicU64 = AtomicU64::new(0);
+static SUSPENDED_MS: AtomicU64 = AtomicU64::new(0);
 
 /// Returns for how long the box seems to have been suspended.
-pub(super) fn away() -> Duration {
-    Duration::from_millis(AWAY_MS.load(Ordering::Acquire))
+pub(super) fn suspended_time() -> Duration {
+    Duration::from_millis(SUSPENDED_MS.load(Ordering::Acquire))
 }
 
 /// Follows the file, where one is named, until the process ends.
-pub(crate) fn follow_file() {
+pub(crate) fn watch_suspension_file() {
     let Some(file) = std::env::var_os(FILE_VARIABLE).map(PathBuf::from) else {
         return;
     };
@@ -29,7 +29,7 @@
     read_file(&file);
     std::thread::spawn(move || {
         loop {
-            std::thread::sleep(LOOK);
+            std::thread::sleep(POLL_INTERVAL);
             read_file(&file);
         }
     });
@@ -38,13 +38,13 @@
 fn read_file(file: &Path) {
     // There is none until a test writes it.
     let text = std::fs::read_to_string(file).unwrap_or_default();
-    if let Ok(away_ms) = text.trim().parse() {
-        AWAY_MS.fetch_max(away_ms, Ordering::AcqRel);
+    if let Ok(suspended_ms) = text.trim().parse() {
+        SUSPENDED_MS.fetch_max(suspended_ms, Ordering::AcqRel);
     }
 }
 
 /// Lets the box seem to have been suspended for longer.
 #[cfg(test)]
-pub(crate) fn be_away(time: Duration) {
-    AWAY_MS.fetch_add(time.as_millis() as u64, Ordering::AcqRel);
+pub(crate) fn simulate_suspension(time: Duration) {
+    SUSPENDED_MS.fetch_add(time.as_millis() as u64, Ordering::AcqRel);
 }
--- a/dockgate/src/config_keeper.rs
+++ b/dockgate/src/config_keeper.rs
@@ -3,7 +3,7 @@
 use crate::logging::{LogEvent, log_event};
 use crate::members::RETRY_MS;
 use crate::metrics::METRICS;
-use crate::probed_wait::wait_probed;
+use crate::probed_wait::wait_with_probes;
 use dockgate_config::{ConfigHead, ConfigStore};
 use dockgate_core::FleetConfig;
 use dockgate_platform::PlatformError;
@@ -107,7 +107,7 @@
     wait: Duration,
 ) -> Result<u64, PlatformError> {
     let watch = store.watch_head(revision, wait);
-    let Some((head, seen)) = wait_probed(store.client(), watch).await? else {
+    let Some((head, seen)) = wait_with_probes(store.client(), watch).await? else {
         return Ok(revision);
     };
     cell.follow(store, &head).await?;
--- a/dockgate/src/gateway.rs
+++ b/dockgate/src/gateway.rs
@@ -19,7 +19,6 @@
 mod gateway_metrics;
 mod gateway_runtime;
 mod gateway_state;
-mod kept_task;
 mod membership;
 mod notices;
 mod overload;
@@ -36,26 +35,27 @@
 mod sockets;
 mod store_contact;
 mod store_probe;
+mod supervised_task;
+mod suspension;
 mod tracked_io;
 mod upstream;
-mod waking;
 mod workspace_report;
 
 pub(crate) use gateway_runtime::GatewayRuntime;
-pub(crate) use settings::{GatewaySettings, is_gateway};
+pub(crate) use settings::{GatewaySettings, is_gateway_file};
 
-use crate::clock::{note_suspension, timeout};
+use crate::clock::{detect_suspension, timeout};
 use crate::error::DaemonError;
-use crate::logging::drain_lines;
+use crate::logging::flush_lines;
 use crate::stop::wait_for_signal;
 use dockgate_core::gateway::StateKind;
 use events::{GatewayEvent, log_gateway};
 use front::CallerFront;
 use gateway_state::GatewayState;
-use kept_task::keep_task;
 use std::path::Path;
 use std::sync::Arc;
 use std::time::Duration;
+use supervised_task::spawn_supervised;
 use tokio::net::{TcpListener, UdpSocket};
 use tokio::signal::unix::Signal;
 
@@ -79,15 +79,18 @@
     path: &Path,
 ) -> Result<(), DaemonError> {
     // How far the clocks are apart now is no suspension of this process.
-    note_suspension();
-    let GatewayRuntime { runtime, reloads } = runtime;
-    runtime.block_on(serve(settings, path, reloads))
+    detect_suspension();
+    let GatewayRuntime {
+        runtime,
+        reload_signals,
+    } = runtime;
+    runtime.block_on(serve(settings, path, reload_signals))
 }
 
 async fn serve(
     settings: GatewaySettings,
     path: &Path,
-    reloads: Option<Signal>,
+    reload_signals: Option<Signal>,
 ) -> Result<(), DaemonError> {
     let callers = sockets::listen("listen for callers", settings.listen.callers)?;
     let readiness = sockets::listen("listen for readiness", settings.listen.readiness)?;
@@ -104,10 +107,10 @@
 
     let state = Arc::new(GatewayState::new(settings, datagrams));
     start_tasks(&state, readiness, metrics, state_listener)?;
-    tokio::spawn(reload::follow_settings(
+    tokio::spawn(reload::watch_settings(
         state.clone(),
         path.to_owned(),
-        reloads,
+        reload_signals,
     ));
     let front = Arc::new(CallerFront::new(state.clone()));
     let accepting = tokio::spawn(front.clone().accept(callers));
@@ -157,7 +160,7 @@
     A: Future<Output = ()> + Send + 'static,
 {
     let state = state.clone();
-    keep_task(name, move || task(state.clone()));
+    spawn_supervised(name, move || task(state.clone()));
 }
 
 /// Stops in order: not ready at once, goes on answering, and ends when nothing is open any more.
@@ -178,5 +181,5 @@
         in_time: ended.is_ok(),
         cut,
     });
-    drain_lines(LAST_LINES);
+    flush_lines(LAST_LINES);
 }
--- a/dockgate/src/gateway/call.rs
+++ b/dockgate/src/gateway/call.rs
@@ -8,11 +8,11 @@
 mod sending;
 
 use super::call_body::CallBody;
-use super::events::{AskedEngine, GatewayEvent, log_gateway};
+use super::events::{DeclinedEngine, GatewayEvent, log_gateway};
 use super::gateway_metrics::GATEWAY_METRICS;
 use super::gateway_state::GatewayState;
 use super::refusal::{RefusalReason, refusal_response};
-use crate::shared_stream::PeerPresence;
+use crate::shared_stream::DisconnectMonitor;
 use admitted::admit;
 pub(super) use admitted::{AdmittedCall, CallTries};
 use http::{Request, Response};
@@ -28,7 +28,7 @@
     /// When the caller should come back, where that makes sense.
     pub(super) retry_after: Option<Duration>,
     /// The engines that were asked, for prompts.
-    pub(super) asked: Vec<AskedEngine>,
+    pub(super) asked: Vec<DeclinedEngine>,
     /// How many times its share the workspace has had, for prompts.
     pub(super) share: Option<f64>,
 }
@@ -60,7 +60,7 @@
 pub(super) async fn serve_call(
     state: Arc<GatewayState>,
     request: Request<Incoming>,
-    caller: PeerPresence,
+    caller: DisconnectMonitor,
 ) -> Response<CallBody> {
     match admit(state, request, caller).await {
         Ok(call) => {
@@ -76,7 +76,7 @@
         }
         Err(turned_away) => {
             let reason = turned_away.refusal.reason;
-            GATEWAY_METRICS.note_outcome("", reason.as_str());
+            GATEWAY_METRICS.record_outcome("", reason.as_str());
             log_gateway(&GatewayEvent::Refused {
                 request: &turned_away.id,
                 route: &turned_away.route,
@@ -105,7 +105,7 @@
 fn refuse(call: &AdmittedCall, refusal: &CallRefusal) -> Response<CallBody> {
     let reason = refusal.reason;
     call.progress.end();
-    GATEWAY_METRICS.note_outcome(&call.service().name, reason.as_str());
+    GATEWAY_METRICS.record_outcome(&call.service().name, reason.as_str());
     log_gateway(&GatewayEvent::Refused {
         request: &call.head.id,
         route: &call.route().name,
--- a/dockgate/src/gateway/call/admitted.rs
+++ b/dockgate/src/gateway/call/admitted.rs
@@ -4,12 +4,12 @@
 use super::super::gateway_metrics::GATEWAY_METRICS;
 use super::super::gateway_state::GatewayState;
 use super::super::refusal::RefusalReason;
-use super::super::waking::until_fresh;
+use super::super::suspension::wait_until_fresh;
 use super::CallRefusal;
 use super::call_progress::CallProgress;
 use super::quarantined::{keep_from_endpoints, print_of};
 use crate::clock::{ClockInstant, now_ms, timeout};
-use crate::shared_stream::PeerPresence;
+use crate::shared_stream::DisconnectMonitor;
 use bytes::Bytes;
 use dockgate_core::AttemptTrail;
 use dockgate_core::gateway::{
@@ -78,7 +78,7 @@
     /// The body.
     pub(in super::super) body: Bytes,
     /// Tells whether the caller is still there.
-    pub(in super::super) caller: PeerPresence,
+    pub(in super::super) caller: DisconnectMonitor,
     /// How far it has come.
     pub(in super::super) progress: CallProgress,
     table: Arc<RouteTable>,
@@ -127,7 +127,7 @@
 
     /// Returns how much of its time is left.
     pub(in super::super) fn left(&self) -> Duration {
-        self.deadline.left()
+        self.deadline.remaining()
     }
 
     /// Returns how much of its objective is left.
@@ -157,7 +157,7 @@
         if self.progress.has_ended() {
             return;
         }
-        GATEWAY_METRICS.note_outcome(&self.service().name, "caller_left");
+        GATEWAY_METRICS.record_outcome(&self.service().name, "caller_left");
         log_gateway(&GatewayEvent::CallerLeft {
             request: &self.head.id,
             route: &self.route().name,
@@ -178,10 +178,10 @@
 pub(super) async fn admit(
     state: Arc<GatewayState>,
     request: Request<Incoming>,
-    caller: PeerPresence,
+    caller: DisconnectMonitor,
 ) -> Result<AdmittedCall, TurnedAway> {
     let arrived = ClockInstant::now();
-    until_fresh(&state, arrived + MOST_UNFRESH).await;
+    wait_until_fresh(&state, arrived + MOST_UNFRESH).await;
     let (parts, body) = request.into_parts();
     let table = state.table();
     let config = table.config().version;
@@ -274,7 +274,7 @@
         let outcome = ShareOutcome::NoProcessor;
         beliefs.tally.record_outcome(workspace, outcome, units);
         let reason = match shed.is_out_of_rotation() {
-            true => RefusalReason::SentElsewhere,
+            true => RefusalReason::Diverted,
             false => RefusalReason::Overloaded,
         };
         let after = shed.retry_after(rand::random());
--- a/dockgate/src/gateway/call/placing.rs
+++ b/dockgate/src/gateway/call/placing.rs
@@ -3,8 +3,8 @@
 use super::super::engine_seek::{EngineWish, NoPlace, find_engine};
 use super::super::refusal::RefusalReason;
 use super::super::run_guard::RunGuard;
+use super::super::suspension::wait_until_fresh;
 use super::super::upstream::{ConnectionLimits, EndpointTarget};
-use super::super::waking::until_fresh;
 use super::{AdmittedCall, CallRefusal, CallTries};
 use crate::clock::now_ms;
 use dockgate_core::gateway::{
@@ -49,7 +49,7 @@
         tries: &CallTries,
         resumed: bool,
     ) -> Result<CallPlace, CallRefusal> {
-        until_fresh(&self.state, self.deadline()).await;
+        wait_until_fresh(&self.state, self.deadline()).await;
         match (self.service().engine, self.engine_ask()) {
             (Some(_), Some(ask)) => {
                 let prompt = self.head.prompt.as_ref().unwrap_or(&EMPTY_PROMPT);
@@ -116,7 +116,7 @@
     fn refuse_unserved(&self) -> CallRefusal {
         let outlook = self.outlook();
         let reason = match outlook {
-            ServiceAvailability::BackingOff(_) => RefusalReason::EndpointsRest,
+            ServiceAvailability::BackingOff(_) => RefusalReason::EndpointsBackingOff,
             ServiceAvailability::Unknown | ServiceAvailability::Leaving => {
                 RefusalReason::NoEndpoint
             }
--- a/dockgate/src/gateway/call/quarantined.rs
+++ b/dockgate/src/gateway/call/quarantined.rs
@@ -53,5 +53,5 @@
         return Ok(());
     }
     let after = quarantine.retry_after(now);
-    Err(CallRefusal::come_back(RefusalReason::EndsEndpoints, after))
+    Err(CallRefusal::come_back(RefusalReason::Quarantined, after))
 }
--- a/dockgate/src/gateway/call/sending.rs
+++ b/dockgate/src/gateway/call/sending.rs
@@ -53,7 +53,7 @@
                 Err(loss) => loss,
             };
             tries.trail.note(loss.state);
-            if self.caller.has_left() {
+            if self.caller.is_disconnected() {
                 return Err(RefusalReason::CallerLeft.into());
             }
             let verdict = self.after_loss(&tries, loss.state);
@@ -362,8 +362,8 @@
         tries: &CallTries,
     ) {
         self.progress.end();
-        GATEWAY_METRICS.note_outcome(&self.service().name, "answered");
-        GATEWAY_METRICS.note_first_event(&self.service().name, first);
+        GATEWAY_METRICS.record_outcome(&self.service().name, "answered");
+        GATEWAY_METRICS.record_first_event(&self.service().name, first);
         if status.is_success() {
             quarantine::note_completed(&self.state, || self.print());
         }
@@ -408,7 +408,7 @@
             head,
             guard: place.guard,
         };
-        let first_patience = begins_until.left();
+        let first_patience = begins_until.remaining();
         let mut stream = EventStream::new(self.clone(), tries.clone(), source, parts.status);
         match stream.read_first(first_patience).await {
             Ok(()) => Ok(pass_on(parts.status, &parts.headers, stream.into_body())),
--- a/dockgate/src/gateway/datagrams.rs
+++ b/dockgate/src/gateway/datagrams.rs
@@ -38,7 +38,7 @@
 /// Sends what was encoded to an address.
 pub(super) fn send_encoded(state: &GatewayState, to: SocketAddr, message: &EncodedMessage) {
     match state.datagrams.try_send_to(&message.bytes, to) {
-        Ok(length) => GATEWAY_METRICS.note_datagram(message.kind, "sent", length),
+        Ok(length) => GATEWAY_METRICS.record_datagram(message.kind, "sent", length),
         Err(_) => METRICS.ignored.with_label_values(&["send"]).inc(),
     }
 }
--- a/dockgate/src/gateway/engine_seek.rs
+++ b/dockgate/src/gateway/engine_seek.rs
@@ -7,7 +7,7 @@
 mod pending_seek;
 
 use super::datagrams::send_to;
-use super::events::AskedEngine;
+use super::events::DeclinedEngine;
 use super::gateway_metrics::GATEWAY_METRICS;
 use super::gateway_state::{GatewayBeliefs, GatewayState};
 use super::notices::hear_told;
@@ -57,7 +57,7 @@
 #[derive(Debug, Clone, Default)]
 pub(super) struct NoPlace {
     /// The engines that were asked last, in order.
-    pub(super) asked: Vec<AskedEngine>,
+    pub(super) asked: Vec<DeclinedEngine>,
     /// The least time to a first event at any engine, where none had to be asked.
     hopeless_ms: Option<u32>,
 }
@@ -72,7 +72,7 @@
     fn note(&mut self, home: &HomeEngine, asked: AskedHome) {
         let predicted = asked.verdict.first_event_ms();
         self.asked
-            .extend(predicted.map(|first_event_ms| AskedEngine {
+            .extend(predicted.map(|first_event_ms| DeclinedEngine {
                 endpoint: home.target.name.clone(),
                 first_event_ms,
                 decided_by: asked.decided_by,
@@ -189,7 +189,7 @@
         let load = beliefs.engines.load_mut(endpoint, spec);
         let verdict = rule.decide(load, ask, others, now);
         if matches!(verdict, EngineVerdict::Granted(_)) {
-            GATEWAY_METRICS.note_admitted(ask.input, load.work_of(ask).tokens());
+            GATEWAY_METRICS.record_admitted_prompt(ask.input, load.work_of(ask).tokens());
             load.place(key, ask, now);
         }
         Some(verdict)
@@ -316,7 +316,7 @@
         let load = beliefs.engines.load_mut(home.target.id, spec);
         settings.admission.hopeless_ms(load, ask, now_ms())
     })?;
-    GATEWAY_METRICS.declined_alone.inc();
+    GATEWAY_METRICS.declined_locally.inc();
     Some(AskedHome {
         verdict: EngineVerdict::Declined(first_ms as u32),
         number,
@@ -387,7 +387,7 @@
         let fastest = beliefs.engines.fastest(spec)?;
         rule.hopeless_anywhere_ms(&fastest, ask)
     })?;
-    GATEWAY_METRICS.declined_alone.inc();
+    GATEWAY_METRICS.declined_locally.inc();
     Some(first_ms as u32)
 }
 
--- a/dockgate/src/gateway/event_stream.rs
+++ b/dockgate/src/gateway/event_stream.rs
@@ -270,7 +270,7 @@
         self.splitter = EventSplitter::default();
         let reason = match self.resume().await {
             Ok(source) => {
-                GATEWAY_METRICS.resumed.inc();
+                GATEWAY_METRICS.resumed_streams.inc();
                 log_gateway(&GatewayEvent::Resumed {
                     request: &self.call.head.id,
                     endpoint: &source.target.name,
@@ -283,7 +283,7 @@
             Err(reason) => reason,
         };
         self.call.progress.end();
-        GATEWAY_METRICS.note_outcome(&self.call.service().name, "broken_off");
+        GATEWAY_METRICS.record_outcome(&self.call.service().name, "broken_off");
         let name = lost.map(|target| target.name).unwrap_or_default();
         log_gateway(&GatewayEvent::BrokenOff {
             request: &self.call.head.id,
@@ -298,7 +298,7 @@
 
     async fn resume(&mut self) -> Result<StreamSource, String> {
         loop {
-            if self.call.caller.has_left() {
+            if self.call.caller.is_disconnected() {
                 return Err("its caller has left".to_owned());
             }
             // What was passed on stays valid, so the state is that of a request that was sent.
--- a/dockgate/src/gateway/events.rs
+++ b/dockgate/src/gateway/events.rs
@@ -4,14 +4,14 @@
 use super::settings::GatewaySettings;
 use super::workspace_report::WorkspaceReport;
 use crate::clock::now_ms;
-use crate::logging::{LineBudget, log_line};
+use crate::logging::{LineRateLimiter, log_line};
 use dockgate_core::gateway::{EndpointChange, EndpointRecord, EndpointState, name_hash};
 use serde::Serialize;
 use std::sync::{Mutex, PoisonError};
 
 /// An engine that was asked to take a prompt and declined.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
-pub(super) struct AskedEngine {
+pub(super) struct DeclinedEngine {
     /// Its lifetime id.
     pub(super) endpoint: String,
     /// After how many milliseconds the first event would have come.
@@ -202,7 +202,7 @@
         waited_ms: u64,
         retry_after_ms: Option<u64>,
         /// For prompts: the engines that were asked, and what each predicted.
-        asked: &'a [AskedEngine],
+        asked: &'a [DeclinedEngine],
         /// For prompts: how many times its share the workspace has had.
         share: Option<f64>,
         config: u64,
@@ -326,7 +326,7 @@
 /// What a box believes is always written, and so is all about a sampled request; lines about others, and about
 /// values of the store that cannot be read, are written up to a rate, and beyond it counted.
 pub(super) fn log_gateway(event: &GatewayEvent) {
-    static BUDGET: Mutex<LineBudget> = Mutex::new(LineBudget::new());
+    static BUDGET: Mutex<LineRateLimiter> = Mutex::new(LineRateLimiter::new());
     let limited = event.is_frequent();
     let mut budget = BUDGET.lock().unwrap_or_else(PoisonError::into_inner);
     if limited && !budget.take(now_ms()) {
--- a/dockgate/src/gateway/follow.rs
+++ b/dockgate/src/gateway/follow.rs
@@ -10,7 +10,7 @@
 use super::gateway_state::GatewayState;
 use super::membership::send_beat;
 use super::store_contact::StoreContact;
-use crate::clock::wakings;
+use crate::clock::subscribe_resumes;
 use dockgate_core::gateway::{EndpointChange, StoreRevision};
 use dockgate_platform::{
     ENDPOINTS, EndpointReading, PlatformError, ROUTES, StoreEvent, StoreListing, StoredValue,
@@ -60,7 +60,7 @@
     let client = state.store_client();
     let prefix = contact.step;
     let mut returns = state.store_returns();
-    let mut wakings = wakings();
+    let mut resumes = subscribe_resumes();
     loop {
         if wait_for_duty(state, prefix).await {
             contact.begin(state.store_unheard_ms());
@@ -103,7 +103,7 @@
                     continue;
                 }
                 // The channel lives as long as the process.
-                _ = wakings.changed() => match state.has_listed(prefix) {
+                _ = resumes.changed() => match state.has_listed(prefix) {
                     true => continue,
                     false => {
                         contact.woke();
@@ -189,7 +189,7 @@
 fn believe(reading: EndpointReading) -> EndpointChange {
     let EndpointReading { change, fault } = reading;
     if let Some(fault) = fault {
-        GATEWAY_METRICS.note_unusable(fault.as_str());
+        GATEWAY_METRICS.record_unusable_record(fault.as_str());
         log_gateway(&GatewayEvent::Unreadable {
             what: &format!("{ENDPOINTS}{}", change.id()),
             problem: format!(
--- a/dockgate/src/gateway/front.rs
+++ b/dockgate/src/gateway/front.rs
@@ -3,7 +3,7 @@
 use super::call::serve_call;
 use super::call_body::CallBody;
 use super::gateway_state::GatewayState;
-use super::sockets::{is_prepared, prepare};
+use super::sockets::{has_stream_options, set_stream_options};
 use super::tracked_io::{ConnectionState, TrackedIo};
 use crate::clock::now_ms;
 use crate::shared_stream::SharedStream;
@@ -117,8 +117,8 @@
     }
 
     fn enter(self: Arc<Self>, stream: TcpStream) {
-        let is_ready = *self.inherits.get_or_init(|| is_prepared(&stream));
-        if !is_ready && let Err(error) = prepare(&stream) {
+        let is_ready = *self.inherits.get_or_init(|| has_stream_options(&stream));
+        if !is_ready && let Err(error) = set_stream_options(&stream) {
             log::debug!("prepare a caller's connection: {error}");
             return;
         }
@@ -134,7 +134,7 @@
     async fn serve(&self, stream: TcpStream, connection: &Arc<ConnectionState>) {
         let limits = self.state.table().config().limits;
         let stream = SharedStream::new(stream);
-        let caller = stream.presence();
+        let caller = stream.disconnect_monitor();
         let io = TokioIo::new(TrackedIo::new(stream, connection.clone()));
         let service = service_fn(|request: Request<Incoming>| {
             let busy = BusyGuard::new(connection.clone());
@@ -172,7 +172,7 @@
             .values()
             .filter(|connection| !connection.is_busy())
             .collect();
-        resting.sort_by_key(|connection| connection.used_ms());
+        resting.sort_by_key(|connection| connection.last_used_ms());
         for connection in resting.into_iter().take(surplus) {
             connection.close.notify_one();
         }
@@ -203,14 +203,14 @@
 
 impl BusyGuard {
     fn new(connection: Arc<ConnectionState>) -> Self {
-        connection.begin();
+        connection.begin_request();
         Self(connection)
     }
 }
 
 impl Drop for BusyGuard {
     fn drop(&mut self) {
-        self.0.end();
+        self.0.end_request();
     }
 }
 
--- a/dockgate/src/gateway/gateway_gauges.rs
+++ b/dockgate/src/gateway/gateway_gauges.rs
@@ -10,12 +10,12 @@
 /// Every gauge of the gateway.
 pub(super) struct GatewayGauges {
     endpoints: IntGaugeVec,
-    coordinates: IntGauge,
-    taken_part: IntGauge,
-    boxes: IntGauge,
+    is_coordinator: IntGauge,
+    admitted_permille: IntGauge,
+    live_boxes: IntGauge,
     quarantined: IntGauge,
-    unread: IntGauge,
-    memory: IntGauge,
+    unread_tokens: IntGauge,
+    memory_tokens: IntGauge,
     config_age_ms: IntGauge,
     endpoints_age_ms: IntGauge,
     store_proof_age_ms: IntGauge,
@@ -38,15 +38,15 @@
         METRICS.add(endpoints.clone());
         Self {
             endpoints,
-            coordinates: gauge(
+            is_coordinator: gauge(
                 "dockgate_coordinates",
                 "Whether this box coordinates its failure domain: 1 or 0",
             ),
-            taken_part: gauge(
+            admitted_permille: gauge(
                 "dockgate_taken_part",
                 "Of a thousand requests, how many this box has processor for",
             ),
-            boxes: gauge(
+            live_boxes: gauge(
                 "dockgate_boxes_live",
                 "Boxes that are heard, this one included",
             ),
@@ -54,11 +54,11 @@
                 "dockgate_quarantined_requests",
                 "Requests that go to no endpoint, as several have ended under them",
             ),
-            unread: gauge(
+            unread_tokens: gauge(
                 "dockgate_engine_unread_tokens",
                 "Prompt tokens believed unread at the engines that this box knows of",
             ),
-            memory: gauge(
+            memory_tokens: gauge(
                 "dockgate_engine_memory_tokens",
                 "Tokens of memory believed taken at the engines that this box knows of",
             ),
@@ -83,20 +83,22 @@
     }
 
     /// Reads what is believed now into the gauges.
-    pub(super) fn read(&self, state: &GatewayState) {
+    pub(super) fn update(&self, state: &GatewayState) {
         let now = now_ms();
         self.connections.set(state.pools.open() as i64);
         self.config_age_ms.set(state.config_age_ms() as i64);
         self.endpoints_age_ms.set(state.endpoints_age_ms() as i64);
         state.with(|beliefs| {
-            let coordinates = beliefs.fleet.is_coordinator(now);
-            self.coordinates.set(i64::from(coordinates));
-            let taken_part = beliefs.shed.admitted_fraction();
-            self.taken_part.set((taken_part * 1_000.0) as i64);
+            let is_coordinator = beliefs.fleet.is_coordinator(now);
+            self.is_coordinator.set(i64::from(is_coordinator));
+            let admitted_fraction = beliefs.shed.admitted_fraction();
+            self.admitted_permille
+                .set((admitted_fraction * 1_000.0) as i64);
             let proof_age_ms = beliefs.fleet.store_proof_age_ms(now);
             self.store_proof_age_ms
                 .set(proof_age_ms.map_or(-1, |age_ms| age_ms as i64));
-            self.boxes.set(i64::from(beliefs.fleet.live_count(now)));
+            self.live_boxes
+                .set(i64::from(beliefs.fleet.live_count(now)));
             let (mut ready, mut draining, mut resting, mut unusable) = (0, 0, 0, 0);
             for (id, entry) in beliefs.endpoints.iter() {
                 match entry.record.state {
@@ -118,9 +120,9 @@
             let quarantined = beliefs.suspects.quarantined_count(now);
             self.quarantined.set(quarantined as i64);
             let loads = || beliefs.engines.iter();
-            self.unread
+            self.unread_tokens
                 .set(loads().map(|load| load.unread() as i64).sum());
-            self.memory
+            self.memory_tokens
                 .set(loads().map(|load| load.memory() as i64).sum());
         });
     }
--- a/dockgate/src/gateway/gateway_metrics.rs
+++ b/dockgate/src/gateway/gateway_metrics.rs
@@ -8,7 +8,7 @@
 
 /// Upper bounds of the buckets of times, in seconds: around the objectives of 0.1 to 1 s, and the
 /// 10 ms within which a refusal is usual.
-const SECONDS: [f64; 11] = [0.002, 0.005, 0.01, 0.03, 0.1, 0.2, 0.3, 0.6, 1.0, 2.0, 6.0];
+const TIME_BUCKETS_S: [f64; 11] = [0.002, 0.005, 0.01, 0.03, 0.1, 0.2, 0.3, 0.6, 1.0, 2.0, 6.0];
 
 /// Every metric of the gateway.
 pub(super) struct GatewayMetrics {
@@ -21,11 +21,11 @@
     /// Tokens of admitted prompts, by whether they were believed to be cached.
     prompt_tokens: IntCounterVec,
     /// Streams that went on at another endpoint.
-    pub(super) resumed: IntCounter,
+    pub(super) resumed_streams: IntCounter,
     /// Verdicts that did not come in time.
     pub(super) missed_verdicts: IntCounter,
     /// Prompts that were declined for one engine without asking the box that decides for it.
-    pub(super) declined_alone: IntCounter,
+    pub(super) declined_locally: IntCounter,
     withheld_sends: IntCounterVec,
     /// Lines about requests that were not written, as there were too many.
     pub(super) lines_held_back: IntCounter,
@@ -34,12 +34,12 @@
     /// Calls to the store, by what is followed and outcome.
     pub(super) store_calls: IntCounterVec,
     /// Questions to other boxes for what they know, by what was asked for and outcome.
-    pub(super) state_questions: IntCounterVec,
+    pub(super) state_requests: IntCounterVec,
     /// How long such a question took, by what was asked for.
-    pub(super) state_question_times: HistogramVec,
+    pub(super) state_request_times: HistogramVec,
     suspensions: Histogram,
     panics: IntCounterVec,
-    quarantines: IntCounterVec,
+    quarantine_changes: IntCounterVec,
     unusable_records: IntCounterVec,
     notices: IntCounterVec,
     datagrams: IntCounterVec,
@@ -55,22 +55,22 @@
     metric
 }
 
-fn counters(name: &str, help: &str, labels: &[&str]) -> IntCounterVec {
+fn counter_vec(name: &str, help: &str, labels: &[&str]) -> IntCounterVec {
     let metric = IntCounterVec::new(Opts::new(name, help), labels);
     let metric = metric.expect("a constant name is valid");
     METRICS.add(metric.clone());
     metric
 }
 
-fn histograms(name: &str, help: &str, labels: &[&str]) -> HistogramVec {
-    let options = HistogramOpts::new(name, help).buckets(SECONDS.to_vec());
+fn histogram_vec(name: &str, help: &str, labels: &[&str]) -> HistogramVec {
+    let options = HistogramOpts::new(name, help).buckets(TIME_BUCKETS_S.to_vec());
     let metric = HistogramVec::new(options, labels).expect("a constant name is valid");
     METRICS.add(metric.clone());
     metric
 }
 
 fn histogram(name: &str, help: &str) -> Histogram {
-    let options = HistogramOpts::new(name, help).buckets(SECONDS.to_vec());
+    let options = HistogramOpts::new(name, help).buckets(TIME_BUCKETS_S.to_vec());
     let metric = Histogram::with_opts(options).expect("a constant name is valid");
     METRICS.add(metric.clone());
     metric
@@ -79,27 +79,27 @@
 impl GatewayMetrics {
     fn new() -> Self {
         Self {
-            outcomes: counters(
+            outcomes: counter_vec(
                 "dockgate_gateway_requests_total",
                 "Requests that ended, by service and outcome",
                 &["service", "outcome"],
             ),
-            first_event: histograms(
+            first_event: histogram_vec(
                 "dockgate_first_event_seconds",
                 "Time from arrival to the first event or whole answer, by service",
                 &["service"],
             ),
-            decision: histograms(
+            decision: histogram_vec(
                 "dockgate_decision_seconds",
                 "Time from arrival to the decision where a request goes, by service",
                 &["service"],
             ),
-            prompt_tokens: counters(
+            prompt_tokens: counter_vec(
                 "dockgate_prompt_tokens_total",
                 "Tokens of admitted prompts, by whether they were believed to be cached",
                 &["cached"],
             ),
-            resumed: counter(
+            resumed_streams: counter(
                 "dockgate_streams_resumed_total",
                 "Streams that went on at another endpoint",
             ),
@@ -107,11 +107,11 @@
                 "dockgate_missed_verdicts_total",
                 "Seeks that the deciding box did not answer in time",
             ),
-            declined_alone: counter(
+            declined_locally: counter(
                 "dockgate_declined_alone_total",
                 "Prompts declined for one engine without asking the box that decides",
             ),
-            withheld_sends: counters(
+            withheld_sends: counter_vec(
                 "dockgate_withheld_sends_total",
                 "Requests that were not written to an endpoint once that was decided, by reason",
                 &["reason"],
@@ -124,17 +124,17 @@
                 "dockgate_store_eras_total",
                 "Times that the store came back from an older copy, as this box heard",
             ),
-            store_calls: counters(
+            store_calls: counter_vec(
                 "dockgate_store_calls_total",
                 "Calls to the platform's store, by what is followed and outcome",
                 &["followed", "outcome"],
             ),
-            state_questions: counters(
+            state_requests: counter_vec(
                 "dockgate_state_questions_total",
                 "Questions to other boxes for what they know, by what was asked for and outcome",
                 &["what", "outcome"],
             ),
-            state_question_times: histograms(
+            state_request_times: histogram_vec(
                 "dockgate_state_question_seconds",
                 "How long a question to another box for what it knows took, by what was asked for",
                 &["what"],
@@ -143,32 +143,32 @@
                 "dockgate_suspension_seconds",
                 "For how long this box was suspended, each time",
             ),
-            panics: counters(
+            panics: counter_vec(
                 "dockgate_task_panics_total",
                 "Panics of tasks that run for as long as the process, by task",
                 &["task"],
             ),
-            quarantines: counters(
+            quarantine_changes: counter_vec(
                 "dockgate_quarantine_changes_total",
                 "Requests that went into quarantine, and that were released from it, by change",
                 &["change"],
             ),
-            unusable_records: counters(
+            unusable_records: counter_vec(
                 "dockgate_unusable_records_total",
                 "Records read from the store that name no endpoint to use, by reason",
                 &["reason"],
             ),
-            notices: counters(
+            notices: counter_vec(
                 "dockgate_endpoint_notices_total",
                 "Answers that say of their endpoint that it leaves or wants rest, and words of other boxes, by notice",
                 &["notice"],
             ),
-            datagrams: counters(
+            datagrams: counter_vec(
                 "dockgate_peer_datagrams_total",
                 "Datagrams between boxes, by kind and direction",
                 &["kind", "direction"],
             ),
-            datagram_bytes: counters(
+            datagram_bytes: counter_vec(
                 "dockgate_peer_datagram_bytes_total",
                 "Bytes of datagrams between boxes, by kind and direction",
                 &["kind", "direction"],
@@ -177,54 +177,54 @@
     }
 
     /// Counts a request that ended.
-    pub(super) fn note_outcome(&self, service: &str, outcome: &str) {
+    pub(super) fn record_outcome(&self, service: &str, outcome: &str) {
         self.outcomes.with_label_values(&[service, outcome]).inc();
     }
 
     /// Counts a time in which this box was suspended.
-    pub(super) fn note_suspension(&self, away: Duration) {
-        self.suspensions.observe(away.as_secs_f64());
+    pub(super) fn record_suspension(&self, suspended: Duration) {
+        self.suspensions.observe(suspended.as_secs_f64());
     }
 
     /// Counts a panic of a task that is begun anew.
-    pub(super) fn note_panic(&self, task: &str) {
+    pub(super) fn record_panic(&self, task: &str) {
         self.panics.with_label_values(&[task]).inc();
     }
 
     /// Counts a request that went into quarantine or was released from it.
-    pub(super) fn note_quarantine(&self, change: &str) {
-        self.quarantines.with_label_values(&[change]).inc();
+    pub(super) fn record_quarantine_change(&self, change: &str) {
+        self.quarantine_changes.with_label_values(&[change]).inc();
     }
 
     /// Counts a record that names no endpoint to use.
-    pub(super) fn note_unusable(&self, reason: &str) {
+    pub(super) fn record_unusable_record(&self, reason: &str) {
         self.unusable_records.with_label_values(&[reason]).inc();
     }
 
     /// Counts an answer that says something of its endpoint.
-    pub(super) fn note_notice(&self, notice: EndpointNotice) {
-        let said = [
+    pub(super) fn record_notice(&self, notice: EndpointNotice) {
+        let fields = [
             ("leaves", notice.is_leaving),
             ("rest", notice.backoff.is_some()),
         ];
-        for (name, _) in said.into_iter().filter(|(_, is_said)| *is_said) {
+        for (name, _) in fields.into_iter().filter(|(_, is_set)| *is_set) {
             self.notices.with_label_values(&[name]).inc();
         }
     }
 
     /// Counts another box's word that an endpoint leaves.
-    pub(super) fn note_told(&self, is_believed: bool) {
-        let notice = if is_believed { "told" } else { "not_believed" };
+    pub(super) fn record_announced_notice(&self, is_accepted: bool) {
+        let notice = if is_accepted { "told" } else { "not_believed" };
         self.notices.with_label_values(&[notice]).inc();
     }
 
     /// Counts a request that was not written to an endpoint.
-    pub(super) fn note_withheld(&self, reason: &str) {
+    pub(super) fn record_withheld_send(&self, reason: &str) {
         self.withheld_sends.with_label_values(&[reason]).inc();
     }
 
     /// Counts a datagram of so many bytes.
-    pub(super) fn note_datagram(&self, kind: &str, direction: &str, bytes: usize) {
+    pub(super) fn record_datagram(&self, kind: &str, direction: &str, bytes: usize) {
         let labels = [kind, direction];
         self.datagrams.with_label_values(&labels).inc();
         let counter = self.datagram_bytes.with_label_values(&labels);
@@ -232,25 +232,25 @@
     }
 
     /// Counts a question to another box.
-    pub(super) fn note_question(&self, what: &str, answered: bool, took: Duration) {
+    pub(super) fn record_state_request(&self, what: &str, answered: bool, took: Duration) {
         let outcome = if answered { "answered" } else { "unanswered" };
-        let counter = self.state_questions.with_label_values(&[what, outcome]);
+        let counter = self.state_requests.with_label_values(&[what, outcome]);
         counter.inc();
-        let times = self.state_question_times.with_label_values(&[what]);
+        let times = self.state_request_times.with_label_values(&[what]);
         times.observe(took.as_secs_f64());
     }
 
     /// Counts the time to a first event or whole answer.
-    pub(super) fn note_first_event(&self, service: &str, after: Duration) {
+    pub(super) fn record_first_event(&self, service: &str, after: Duration) {
         self.first_event
             .with_label_values(&[service])
             .observe(after.as_secs_f64());
     }
 
     /// Counts the tokens of a prompt that was admitted, of which so many are to be read.
-    pub(super) fn note_admitted(&self, input: u32, unread: u32) {
+    pub(super) fn record_admitted_prompt(&self, input: u32, uncached: u32) {
         let tokens = |cached: &str| self.prompt_tokens.with_label_values(&[cached]);
-        tokens("no").inc_by(u64::from(unread));
-        tokens("yes").inc_by(u64::from(input.saturating_sub(unread)));
+        tokens("no").inc_by(u64::from(uncached));
+        tokens("yes").inc_by(u64::from(input.saturating_sub(uncached)));
     }
 }
--- a/dockgate/src/gateway/gateway_runtime.rs
+++ b/dockgate/src/gateway/gateway_runtime.rs
@@ -12,7 +12,7 @@
 pub(crate) struct GatewayRuntime {
     pub(super) runtime: Runtime,
     /// None where the system gives no handler.
-    pub(super) reloads: Option<Signal>,
+    pub(super) reload_signals: Option<Signal>,
 }
 
 impl GatewayRuntime {
@@ -27,10 +27,13 @@
             .build()
             .map_err(DaemonError::Runtime)?;
         let guard = runtime.enter();
-        let reloads = signal(SignalKind::hangup())
+        let reload_signals = signal(SignalKind::hangup())
             .inspect_err(|error| eprintln!("listen for SIGHUP: {error}"))
             .ok();
         drop(guard);
-        Ok(Self { runtime, reloads })
+        Ok(Self {
+            runtime,
+            reload_signals,
+        })
     }
 }
--- a/dockgate/src/gateway/gateway_state/tests.rs
+++ b/dockgate/src/gateway/gateway_state/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::gateway::settings::parse_gateway;
+use crate::gateway::settings::parse_settings;
 use std::net::SocketAddr;
 
 /// Makes the state of a box that sends from `datagrams` and knows one seed.
@@ -10,5 +10,5 @@
          state = {own}\npeers = {own}\nmetrics = {own}\n[platform]\nstore = {own}\n\
          [gateway]\nseeds = {seed}\n"
     );
-    GatewayState::new(parse_gateway("f.ini", &text).unwrap(), datagrams)
+    GatewayState::new(parse_settings("f.ini", &text).unwrap(), datagrams)
 }
--- a/dockgate/src/gateway/notices.rs
+++ b/dockgate/src/gateway/notices.rs
@@ -6,7 +6,7 @@
 use super::gateway_state::GatewayState;
 use super::upstream::{EndpointTarget, SendCondition};
 use crate::clock::now_ms;
-use crate::shared_stream::PeerPresence;
+use crate::shared_stream::DisconnectMonitor;
 use dockgate_core::gateway::{EndpointId, EndpointNotice, NoticeUpdate};
 use dockgate_proto::GatewayMessage;
 use std::sync::Arc;
@@ -21,7 +21,7 @@
     if notice.is_empty() {
         return;
     }
-    GATEWAY_METRICS.note_notice(notice);
+    GATEWAY_METRICS.record_notice(notice);
     let news = state.with(|beliefs| {
         let draw = rand::random();
         beliefs
@@ -60,7 +60,7 @@
 pub(super) fn hear_told(state: &GatewayState, endpoint: EndpointId) {
     let is_believed =
         state.with(|beliefs| beliefs.endpoints.receive_reported_leave(endpoint, now_ms()));
-    GATEWAY_METRICS.note_told(is_believed);
+    GATEWAY_METRICS.record_announced_notice(is_believed);
 }
 
 /// Makes the condition on which a request of `caller` is sent to an endpoint: that both still want it.
@@ -69,7 +69,7 @@
 pub(super) fn send_condition(
     state: &Arc<GatewayState>,
     target: &EndpointTarget,
-    caller: &PeerPresence,
+    caller: &DisconnectMonitor,
 ) -> SendCondition {
     let (state, id) = (state.clone(), target.id);
     SendCondition::new(caller, move || {
--- a/dockgate/src/gateway/overload.rs
+++ b/dockgate/src/gateway/overload.rs
@@ -2,7 +2,7 @@
 
 use super::events::{GatewayEvent, log_gateway};
 use super::gateway_state::GatewayState;
-use super::waking;
+use super::suspension;
 use crate::clock::{ClockInstant, now_ms};
 use dockgate_core::gateway::{LagChange, LoadShedder};
 use std::sync::Arc;
@@ -10,16 +10,16 @@
 use tokio::runtime::Handle;
 
 /// How often work and delay are measured: each time is a wake-up, and overload takes three.
-const SAMPLE: Duration = Duration::from_millis(LoadShedder::SAMPLE_MS);
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(LoadShedder::SAMPLE_MS);
 
 /// For how long the one thread had work, as of some moment.
 #[derive(Debug, Clone, Copy)]
-struct WorkMark {
+struct BusySample {
     at: ClockInstant,
     busy: Duration,
 }
 
-impl WorkMark {
+impl BusySample {
     fn now() -> Self {
         Self {
             at: ClockInstant::now(),
@@ -27,29 +27,29 @@
         }
     }
 
-    /// Returns the part of the time since an earlier mark in which there was work, 0 to 1.
-    fn busy_part_since(&self, earlier: &Self) -> f64 {
+    /// Returns the part of the time since an earlier sample in which there was work, 0 to 1.
+    fn busy_fraction_since(&self, earlier: &Self) -> f64 {
         let busy = self.busy.saturating_sub(earlier.busy);
-        let passed = self.at.since(earlier.at);
-        (busy.as_secs_f64() / passed.as_secs_f64().max(f64::EPSILON)).min(1.0)
+        let elapsed = self.at.duration_since(earlier.at);
+        (busy.as_secs_f64() / elapsed.as_secs_f64().max(f64::EPSILON)).min(1.0)
     }
 }
 
 /// Measures how late a timer fires until the process ends: everything runs on one thread, so all
 /// that is ready waits as long as the timer does.
 pub(super) async fn watch_lag(state: Arc<GatewayState>) {
-    let mut before = WorkMark::now();
+    let mut last_sample = BusySample::now();
     loop {
-        let due = ClockInstant::now() + SAMPLE;
-        tokio::time::sleep(SAMPLE).await;
-        waking::look(&state);
+        let due = ClockInstant::now() + SAMPLE_INTERVAL;
+        tokio::time::sleep(SAMPLE_INTERVAL).await;
+        suspension::handle_suspension(&state);
         let late_ms = due.elapsed().as_millis() as u64;
-        let mark = WorkMark::now();
-        let busy_part = mark.busy_part_since(&before);
-        before = mark;
+        let sample = BusySample::now();
+        let busy_fraction = sample.busy_fraction_since(&last_sample);
+        last_sample = sample;
         let (change, lag_ms) = state.with(|beliefs| {
             let now = now_ms();
-            beliefs.shed.record_sample(busy_part, late_ms, now);
+            beliefs.shed.record_sample(busy_fraction, late_ms, now);
             let change = beliefs.lag.record(late_ms, now);
             (change, beliefs.lag.lag_ms())
         });
--- a/dockgate/src/gateway/peer_net.rs
+++ b/dockgate/src/gateway/peer_net.rs
@@ -27,7 +27,7 @@
             Ok((length, from)) => match GatewayDatagram::decode(&buffer[..length]) {
                 Ok(datagram) => {
                     let kind = datagram.message.kind();
-                    GATEWAY_METRICS.note_datagram(kind, "received", length);
+                    GATEWAY_METRICS.record_datagram(kind, "received", length);
                     handle(&state, from, datagram);
                 }
                 Err(error) => {
--- a/dockgate/src/gateway/peer_state.rs
+++ b/dockgate/src/gateway/peer_state.rs
@@ -11,7 +11,7 @@
 use super::gateway_metrics::GATEWAY_METRICS;
 use super::gateway_state::GatewayState;
 use super::quarantine_door;
-use crate::clock::{now_ms, wakings};
+use crate::clock::{now_ms, subscribe_resumes};
 use crate::door::RpcDoor;
 use crate::error::DaemonError;
 use dockgate_core::gateway::{StateKind, StateSource, StoreRevision};
@@ -143,11 +143,11 @@
         let has_watch = version > 0 && state.hears_store();
         if let Some(better) = backoff.due(better, has_watch, now) {
             let peer = better.state_address;
-            let mut wakings = wakings();
+            let mut resumes = subscribe_resumes();
             let answered = tokio::select! {
                 answered = ask_noted(&state, peer, what, backoff.limit()) => answered,
                 // Whoever was asked before the box slept is asked anew.
-                _ = wakings.changed() => continue,
+                _ = resumes.changed() => continue,
             };
             backoff.note(peer, answered);
         }
@@ -165,7 +165,7 @@
     let asked = ask(state, peer, what, limit).await;
     let took_ms = now_ms() - began_ms;
     let took = Duration::from_millis(took_ms);
-    GATEWAY_METRICS.note_question(what.name(), asked.is_ok(), took);
+    GATEWAY_METRICS.record_state_request(what.name(), asked.is_ok(), took);
     if let Err(error) = &asked {
         log_gateway(&GatewayEvent::StateUnanswered {
             peer: &peer.to_string(),
--- a/dockgate/src/gateway/quarantine.rs
+++ b/dockgate/src/gateway/quarantine.rs
@@ -132,14 +132,14 @@
     for news in news {
         let print = news.fingerprint.to_string();
         if !news.is_quarantined {
-            GATEWAY_METRICS.note_quarantine("released");
+            GATEWAY_METRICS.record_quarantine_change("released");
             log_gateway(&GatewayEvent::RequestReleased {
                 print: &print,
                 source,
             });
             continue;
         }
-        GATEWAY_METRICS.note_quarantine("quarantined");
+        GATEWAY_METRICS.record_quarantine_change("quarantined");
         let endpoints = state.with(|beliefs| {
             let ends = news.ended_lifetimes.iter();
             let name = |id: &EndpointId| {
--- a/dockgate/src/gateway/readiness.rs
+++ b/dockgate/src/gateway/readiness.rs
@@ -15,7 +15,7 @@
 use tokio::net::TcpListener;
 
 /// Serves small answers on a listener until the process ends.
-async fn serve_small<F>(listener: TcpListener, answer: F)
+async fn serve_responses<F>(listener: TcpListener, respond: F)
 where
     F: Fn(&Request<Incoming>) -> Response<Full<Bytes>> + Clone + Send + Sync + 'static,
 {
@@ -28,14 +28,14 @@
                 continue;
             }
         };
-        if let Err(error) = super::sockets::prepare(&stream) {
+        if let Err(error) = super::sockets::set_stream_options(&stream) {
             log::debug!("prepare a connection: {error}");
             continue;
         }
-        let answer = answer.clone();
+        let respond = respond.clone();
         tokio::spawn(async move {
             let service = service_fn(|request| {
-                let response = answer(&request);
+                let response = respond(&request);
                 async move { Ok::<_, Infallible>(response) }
             });
             let served = Builder::new().serve_connection(TokioIo::new(stream), service);
@@ -46,7 +46,7 @@
     }
 }
 
-fn small(status: StatusCode, text: impl Into<Bytes>) -> Response<Full<Bytes>> {
+fn response(status: StatusCode, text: impl Into<Bytes>) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(text.into()));
     *response.status_mut() = status;
     response
@@ -54,12 +54,12 @@
 
 /// Tells whether callers may be sent here.
 pub(super) async fn serve_readiness(state: Arc<GatewayState>, listener: TcpListener) {
-    serve_small(listener, move |_| {
+    serve_responses(listener, move |_| {
         let is_ready = state.is_ready();
         state.with(|beliefs| beliefs.shed.record_readiness(is_ready));
         match is_ready {
-            true => small(StatusCode::OK, ""),
-            false => small(StatusCode::SERVICE_UNAVAILABLE, ""),
+            true => response(StatusCode::OK, ""),
+            false => response(StatusCode::SERVICE_UNAVAILABLE, ""),
         }
     })
     .await;
@@ -67,12 +67,12 @@
 
 /// Tells what was counted.
 pub(super) async fn serve_metrics(state: Arc<GatewayState>, listener: TcpListener) {
-    serve_small(listener, move |request| match request.uri().path() {
+    serve_responses(listener, move |request| match request.uri().path() {
         "/metrics" => {
-            GATEWAY_GAUGES.read(&state);
-            small(StatusCode::OK, METRICS.render())
+            GATEWAY_GAUGES.update(&state);
+            response(StatusCode::OK, METRICS.render())
         }
-        _ => small(StatusCode::NOT_FOUND, "only /metrics is here\n"),
+        _ => response(StatusCode::NOT_FOUND, "only /metrics is here\n"),
     })
     .await;
 }
--- a/dockgate/src/gateway/refusal.rs
+++ b/dockgate/src/gateway/refusal.rs
@@ -28,7 +28,7 @@
     /// This box has more work than processor.
     Overloaded,
     /// This box has more work than processor, and its callers' next connections go to another one.
-    SentElsewhere,
+    Diverted,
     /// The service has no endpoint that takes work.
     NoEndpoint,
     /// No engine would begin in time.
@@ -38,11 +38,11 @@
     /// Endpoints refused without running it, and no further one may be tried.
     EndpointsFull,
     /// All endpoints have asked this box for rest.
-    EndpointsRest,
+    EndpointsBackingOff,
     /// No endpoint could be reached.
     Unreachable,
     /// Endpoints end under it: it is in quarantine.
-    EndsEndpoints,
+    Quarantined,
     /// The endpoint was lost, or its answer is unusable; the request may have run.
     Lost,
     /// The caller has left.
@@ -66,14 +66,14 @@
             Self::NoConfiguration => "no_configuration",
             Self::Stopping => "stopping",
             Self::Overloaded => "overloaded",
-            Self::SentElsewhere => "sent_elsewhere",
+            Self::Diverted => "sent_elsewhere",
             Self::NoEndpoint => "no_endpoint",
             Self::WouldBeLate => "would_be_late",
             Self::BeyondShare => "beyond_share",
             Self::EndpointsFull => "endpoints_full",
-            Self::EndpointsRest => "endpoints_rest",
+            Self::EndpointsBackingOff => "endpoints_rest",
             Self::Unreachable => "unreachable",
-            Self::EndsEndpoints => "ends_endpoints",
+            Self::Quarantined => "ends_endpoints",
             Self::Lost => "lost",
             Self::CallerLeft => "caller_left",
             Self::TimedOut => "timed_out",
@@ -93,13 +93,13 @@
             Self::NoConfiguration
             | Self::Stopping
             | Self::Overloaded
-            | Self::SentElsewhere
+            | Self::Diverted
             | Self::NoEndpoint
             | Self::WouldBeLate
             | Self::EndpointsFull
-            | Self::EndpointsRest
+            | Self::EndpointsBackingOff
             | Self::Unreachable
-            | Self::EndsEndpoints
+            | Self::Quarantined
             | Self::TimedOutUnsent => StatusCode::SERVICE_UNAVAILABLE,
             Self::Lost | Self::CallerLeft => StatusCode::BAD_GATEWAY,
             Self::TimedOut => StatusCode::GATEWAY_TIMEOUT,
@@ -127,7 +127,7 @@
     *response.headers_mut() = encode_refusal(id, retry_after);
     let plain = HeaderValue::from_static("text/plain");
     response.headers_mut().insert(header::CONTENT_TYPE, plain);
-    if reason == RefusalReason::SentElsewhere {
+    if reason == RefusalReason::Diverted {
         let close = HeaderValue::from_static("close");
         response.headers_mut().insert(header::CONNECTION, close);
     }
--- a/dockgate/src/gateway/reload.rs
+++ b/dockgate/src/gateway/reload.rs
@@ -9,10 +9,10 @@
 use tokio::signal::unix::Signal;
 
 /// How often the file is looked at without a signal.
-const LOOK: Duration = Duration::from_secs(3);
+const POLL_INTERVAL: Duration = Duration::from_secs(3);
 
 /// Waits for SIGHUP, or for ever where the system gives no handler.
-async fn hang_up(signals: &mut Option<Signal>) {
+async fn recv_signal(signals: &mut Option<Signal>) {
     match signals {
         Some(signals) => {
             signals.recv().await;
@@ -22,7 +22,7 @@
 }
 
 /// Follows the settings file until the process ends; what cannot be read changes nothing.
-pub(super) async fn follow_settings(
+pub(super) async fn watch_settings(
     state: Arc<GatewayState>,
     path: PathBuf,
     mut signals: Option<Signal>,
@@ -30,8 +30,8 @@
     let mut last_problem = String::new();
     loop {
         let signal = tokio::select! {
-            () = hang_up(&mut signals) => true,
-            () = tokio::time::sleep(LOOK) => false,
+            () = recv_signal(&mut signals) => true,
+            () = tokio::time::sleep(POLL_INTERVAL) => false,
         };
         let problem = match GatewaySettings::load(&path) {
             Ok(settings) => {
--- a/dockgate/src/gateway/settings.rs
+++ b/dockgate/src/gateway/settings.rs
@@ -85,16 +85,16 @@
         let name = path.display().to_string();
         let text = std::fs::read_to_string(path)
             .map_err(|cause| DaemonError::File("read settings", name.clone(), cause))?;
-        Ok(parse_gateway(&name, &text)?)
+        Ok(parse_settings(&name, &text)?)
     }
 }
 
 /// Tells whether a settings file is that of a gateway; one that cannot be read is not.
-pub(crate) fn is_gateway(path: &Path) -> bool {
-    std::fs::read_to_string(path).is_ok_and(|text| has_gateway(&text))
+pub(crate) fn is_gateway_file(path: &Path) -> bool {
+    std::fs::read_to_string(path).is_ok_and(|text| has_gateway_section(&text))
 }
 
-fn has_gateway(text: &str) -> bool {
+fn has_gateway_section(text: &str) -> bool {
     text.lines().any(|line| line.trim() == "[gateway]")
 }
 
@@ -103,7 +103,7 @@
 /// # Errors
 ///
 /// Returns every problem that it has.
-pub(super) fn parse_gateway(file: &str, text: &str) -> Result<GatewaySettings, IniProblems> {
+pub(super) fn parse_settings(file: &str, text: &str) -> Result<GatewaySettings, IniProblems> {
     let mut document = IniDocument::parse(file, text)?;
     let mut sections = document.take_sections();
     for section in &sections {
--- a/dockgate/src/gateway/settings/tests.rs
+++ b/dockgate/src/gateway/settings/tests.rs
@@ -19,11 +19,11 @@
 
 #[test]
 fn what_is_not_set_has_a_default() {
-    let settings = parse_gateway("f.ini", TEXT).unwrap();
+    let settings = parse_settings("f.ini", TEXT).unwrap();
     assert_eq!(settings.seeds.len(), 2);
     assert_eq!(settings.retry_slack, 52.0);
     assert_eq!(settings.stop_grace, Duration::from_secs(8));
-    assert!(has_gateway(TEXT) && !has_gateway("[box]\nname = gateway\n"));
+    assert!(has_gateway_section(TEXT) && !has_gateway_section("[box]\nname = gateway\n"));
 }
 
 #[test]
@@ -31,7 +31,7 @@
     let text = TEXT
         .replace("name = a1\n", "")
         .replace("retry_slack = 52", "retry_slack = -1");
-    let problems = parse_gateway("f.ini", &text).unwrap_err().to_string();
+    let problems = parse_settings("f.ini", &text).unwrap_err().to_string();
     assert!(problems.contains("lacks name"), "{problems}");
     assert!(problems.contains("retry_slack = -1"), "{problems}");
 }
--- a/dockgate/src/gateway/sockets.rs
+++ b/dockgate/src/gateway/sockets.rs
@@ -12,11 +12,11 @@
 const BACKLOG: u32 = 1_024;
 /// After how long without an acknowledgement a connection is given up: a link that is cut says
 /// nothing, and callers stop waiting for a stream after two seconds.
-const UNACKNOWLEDGED: Duration = Duration::from_millis(2_500);
+const USER_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// How long a connection rests before it is probed.
-const PROBE_AFTER: Duration = Duration::from_secs(2);
+const KEEPALIVE_IDLE: Duration = Duration::from_secs(2);
 
-/// Opens a listener; what it accepts has its options on most systems ([`is_prepared`]).
+/// Opens a listener; what it accepts has its options on most systems ([`has_stream_options`]).
 ///
 /// # Errors
 ///
@@ -25,7 +25,7 @@
     let open = || {
         let socket = TcpSocket::new_v4()?;
         socket.set_reuseaddr(true)?;
-        set_options(&SockRef::from(&socket))?;
+        set_socket_options(&SockRef::from(&socket))?;
         socket.bind(address)?;
         socket.listen(BACKLOG)
     };
@@ -37,33 +37,34 @@
 /// # Errors
 ///
 /// Returns an error where the system refuses an option.
-pub(super) fn prepare(stream: &TcpStream) -> io::Result<()> {
-    set_options(&SockRef::from(stream))
+pub(super) fn set_stream_options(stream: &TcpStream) -> io::Result<()> {
+    set_socket_options(&SockRef::from(stream))
 }
 
-fn set_options(socket: &SockRef<'_>) -> io::Result<()> {
+fn set_socket_options(socket: &SockRef<'_>) -> io::Result<()> {
     socket.set_tcp_nodelay(true)?;
-    let probes = TcpKeepalive::new()
-        .with_time(PROBE_AFTER)
+    let keepalive = TcpKeepalive::new()
+        .with_time(KEEPALIVE_IDLE)
         .with_interval(Duration::from_secs(1));
-    socket.set_tcp_keepalive(&probes.with_retries(2))?;
+    socket.set_tcp_keepalive(&keepalive.with_retries(2))?;
     #[cfg(target_os = "linux")]
-    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED))?;
+    socket.set_tcp_user_timeout(Some(USER_TIMEOUT))?;
     Ok(())
 }
 
 /// Tells whether a connection has all that [`prepare`] sets, as it has where an accepted one takes over
 /// the options of its listener: six calls fewer for each caller that connects.
-pub(super) fn is_prepared(stream: &TcpStream) -> bool {
+pub(super) fn has_stream_options(stream: &TcpStream) -> bool {
     let socket = SockRef::from(stream);
     #[cfg(target_os = "linux")]
-    let gives_up = matches!(socket.tcp_user_timeout(), Ok(Some(after)) if after == UNACKNOWLEDGED);
+    let has_user_timeout =
+        matches!(socket.tcp_user_timeout(), Ok(Some(after)) if after == USER_TIMEOUT);
     #[cfg(not(target_os = "linux"))]
-    let gives_up = true;
-    let probes = matches!(socket.tcp_keepalive_time(), Ok(after) if after == PROBE_AFTER);
-    let probes = probes && matches!(socket.keepalive(), Ok(true));
-    let prompt = matches!(socket.tcp_nodelay(), Ok(true));
-    gives_up && probes && prompt
+    let has_user_timeout = true;
+    let has_keepalive = matches!(socket.tcp_keepalive_time(), Ok(after) if after == KEEPALIVE_IDLE);
+    let has_keepalive = has_keepalive && matches!(socket.keepalive(), Ok(true));
+    let has_nodelay = matches!(socket.tcp_nodelay(), Ok(true));
+    has_user_timeout && has_keepalive && has_nodelay
 }
 
 /// Opens a connection to an endpoint.
@@ -75,7 +76,7 @@
     let stream = tokio::time::timeout(timeout, TcpStream::connect(address))
         .await
         .map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
-    prepare(&stream)?;
+    set_stream_options(&stream)?;
     Ok(stream)
 }
 
--- a/dockgate/src/gateway/store_probe.rs
+++ b/dockgate/src/gateway/store_probe.rs
@@ -5,7 +5,7 @@
 use super::gateway_state::GatewayState;
 use super::membership::send_beat;
 use super::quarantine_store;
-use crate::clock::{now_ms, timeout, wakings};
+use crate::clock::{now_ms, subscribe_resumes, timeout};
 use dockgate_core::gateway::{ProbeChange, ProbeTiming, StoreRevision};
 use dockgate_platform::{PlatformClient, QUARANTINES};
 use std::ops::Range;
@@ -45,7 +45,7 @@
 pub(super) async fn keep_probing(state: Arc<GatewayState>) {
     let client = state.store_client();
     let mut roles = state.store_roles();
-    let mut wakings = wakings();
+    let mut resumes = subscribe_resumes();
     loop {
         if !roles.borrow().probes {
             state.pause_probes();
@@ -56,14 +56,14 @@
         tokio::select! {
             () = probe_once(&state, &client, rule) => {}
             // Its connection is as old as the time away: the next one says how it stands.
-            _ = wakings.changed() => continue,
+            _ = resumes.changed() => continue,
         }
         let wait_ms = match state.is_first_watcher() || state.follows_store() {
             true => rule.interval_ms,
             false => rand::random_range(STAND_BY_MS),
         };
         // Over at once where the box was suspended: the channel lives as long as the process.
-        let _ = timeout(Duration::from_millis(wait_ms), wakings.changed()).await;
+        let _ = timeout(Duration::from_millis(wait_ms), resumes.changed()).await;
     }
 }
 
--- a/dockgate/src/gateway/kept_task/tests.rs
+++ b/dockgate/src/gateway/supervised_task/tests.rs
@@ -5,11 +5,11 @@
 
 /// What was read made the reader panic, and the box went on without one: it knew of no change any more.
 #[tokio::test(start_paused = true)]
-async fn a_task_that_panics_is_begun_anew_until_it_ends_by_itself() {
-    let begun = Arc::new(AtomicU32::new(0));
+async fn panicking_tasks_are_restarted_until_they_return() {
+    let starts = Arc::new(AtomicU32::new(0));
     let done = Arc::new(Notify::new());
-    let (count, end) = (begun.clone(), done.clone());
-    keep_task("reader", move || {
+    let (count, end) = (starts.clone(), done.clone());
+    spawn_supervised("reader", move || {
         let (count, end) = (count.clone(), end.clone());
         async move {
             let times = count.fetch_add(1, Ordering::Relaxed);
@@ -18,29 +18,29 @@
         }
     });
     done.notified().await;
-    tokio::time::sleep(MOST_PAUSE * 2).await;
-    assert_eq!(begun.load(Ordering::Relaxed), 4);
+    tokio::time::sleep(MAX_DELAY * 2).await;
+    assert_eq!(starts.load(Ordering::Relaxed), 4);
 }
 
 #[tokio::test(start_paused = true)]
-async fn it_is_not_begun_at_once_again_and_again() {
-    let begun = Arc::new(AtomicU32::new(0));
-    let count = begun.clone();
-    keep_task("reader", move || {
+async fn repeated_panics_delay_the_restart() {
+    let starts = Arc::new(AtomicU32::new(0));
+    let count = starts.clone();
+    spawn_supervised("reader", move || {
         count.fetch_add(1, Ordering::Relaxed);
         async { panic!("each time") }
     });
     tokio::time::sleep(Duration::from_secs(20)).await;
-    let times = begun.load(Ordering::Relaxed);
+    let times = starts.load(Ordering::Relaxed);
     assert!((10..20).contains(&times), "{times}");
 }
 
 #[test]
-fn what_a_panic_says_is_told() {
+fn panic_messages_are_extracted() {
     let owned: Box<dyn Any + Send> = Box::new("at 7".to_owned());
-    assert_eq!(message_of(owned.as_ref()), "at 7");
+    assert_eq!(panic_message(owned.as_ref()), "at 7");
     let text: Box<dyn Any + Send> = Box::new("plain");
-    assert_eq!(message_of(text.as_ref()), "plain");
+    assert_eq!(panic_message(text.as_ref()), "plain");
     let other: Box<dyn Any + Send> = Box::new(7);
-    assert_eq!(message_of(other.as_ref()), "no message");
+    assert_eq!(panic_message(other.as_ref()), "no message");
 }
--- a/dockgate/src/gateway/waking.rs
+++ b/dockgate/src/gateway/suspension.rs
@@ -8,25 +8,25 @@
 use super::gateway_metrics::GATEWAY_METRICS;
 use super::gateway_state::GatewayState;
 use super::membership::send_beat;
-use crate::clock::{ClockInstant, note_suspension, now_ms};
+use crate::clock::{ClockInstant, detect_suspension, now_ms};
 use dockgate_core::gateway::ResumeGate;
 use std::time::Duration;
 
 /// How often a request that waits for the box to know the present looks whether it does.
-const LOOK: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Looks whether the box was suspended since the last look, and does what is due then.
-pub(super) fn look(state: &GatewayState) {
-    let Some(away) = note_suspension() else {
+pub(super) fn handle_suspension(state: &GatewayState) {
+    let Some(suspended) = detect_suspension() else {
         return;
     };
-    GATEWAY_METRICS.note_suspension(away);
-    let away_ms = away.as_millis() as u64;
+    GATEWAY_METRICS.record_suspension(suspended);
+    let away_ms = suspended.as_millis() as u64;
     log_gateway(&GatewayEvent::Woke { away_ms });
     if away_ms < ResumeGate::MIN_SUSPENSION_MS {
         return;
     }
-    state.forget_reach();
+    state.mark_outdated();
     // Who answers a connection is known once it is made anew: one that rested may be long dead, and what may run
     // once cannot be sent again where it is.
     state.pools.drop_all_resting();
@@ -34,11 +34,11 @@
     state.decide_role();
 }
 
-/// Waits until the box knows the present again, or the moment comes.
-pub(super) async fn until_fresh(state: &GatewayState, moment: ClockInstant) {
-    look(state);
-    while !state.is_fresh() && !moment.left().is_zero() {
-        tokio::time::sleep(LOOK).await;
+/// Waits until the box knows the present again, or the deadline comes.
+pub(super) async fn wait_until_fresh(state: &GatewayState, deadline: ClockInstant) {
+    handle_suspension(state);
+    while !state.is_fresh() && !deadline.remaining().is_zero() {
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -56,7 +56,7 @@
     }
 
     /// Forgets that the store or other boxes were heard: the box has been away since.
-    fn forget_reach(&self) {
+    fn mark_outdated(&self) {
         let now = now_ms();
         self.with(|beliefs| beliefs.forget_reach(now));
     }
--- a/dockgate/src/gateway/tracked_io.rs
+++ b/dockgate/src/gateway/tracked_io.rs
@@ -1,7 +1,7 @@
 //! A caller's connection, with what is known of it, so that idle and half-sent ones can be closed.
 
 use crate::clock::now_ms;
-use crate::shared_stream::{PeerPresence, SharedStream};
+use crate::shared_stream::{DisconnectMonitor, SharedStream};
 use std::io;
 use std::pin::{Pin, pin};
 use std::sync::Arc;
@@ -13,13 +13,13 @@
 
 /// How long a connection that is to be closed may take to read what has arrived: the runtime asks
 /// the system for it at least once in that time.
-const LAST_READ: Duration = Duration::from_millis(1);
+const FINAL_READ_TIMEOUT: Duration = Duration::from_millis(1);
 
 /// What is known of one caller's connection.
 #[derive(Debug)]
 pub(super) struct ConnectionState {
     /// When it was last used, in milliseconds of the daemon's clock.
-    used_ms: AtomicU64,
+    last_used_ms: AtomicU64,
     /// Requests that are being answered.
     busy: AtomicU32,
     /// Whether bytes of a request have come that is not whole yet.
@@ -32,7 +32,7 @@
     /// Makes the state of a connection that has just been accepted.
     pub(super) fn new() -> Self {
         Self {
-            used_ms: AtomicU64::new(now_ms()),
+            last_used_ms: AtomicU64::new(now_ms()),
             busy: AtomicU32::new(0),
             partial: AtomicBool::new(false),
             close: Notify::new(),
@@ -40,26 +40,26 @@
     }
 
     /// Notes that a request is whole.
-    pub(super) fn begin(&self) {
+    pub(super) fn begin_request(&self) {
         self.partial.store(false, Ordering::Relaxed);
         self.busy.fetch_add(1, Ordering::Relaxed);
     }
 
     /// Notes that an answer is whole, or that nobody waits for it any more.
-    pub(super) fn end(&self) {
+    pub(super) fn end_request(&self) {
         self.busy.fetch_sub(1, Ordering::Relaxed);
-        self.used_ms.store(now_ms(), Ordering::Relaxed);
+        self.last_used_ms.store(now_ms(), Ordering::Relaxed);
     }
 
-    fn note_read(&self) {
+    fn record_read(&self) {
         if self.busy.load(Ordering::Relaxed) == 0 && !self.partial.swap(true, Ordering::Relaxed) {
-            self.used_ms.store(now_ms(), Ordering::Relaxed);
+            self.last_used_ms.store(now_ms(), Ordering::Relaxed);
         }
     }
 
     /// Returns when the connection was last used.
-    pub(super) fn used_ms(&self) -> u64 {
-        self.used_ms.load(Ordering::Relaxed)
+    pub(super) fn last_used_ms(&self) -> u64 {
+        self.last_used_ms.load(Ordering::Relaxed)
     }
 
     /// Tells whether a request is being answered.
@@ -78,21 +78,21 @@
     /// request was begun then. So the system is asked beside it, and before it.
     pub(super) async fn serve_until_closed<F: Future>(
         &self,
-        mut served: Pin<&mut F>,
-        caller: &PeerPresence,
+        mut connection: Pin<&mut F>,
+        monitor: &DisconnectMonitor,
     ) -> Option<F::Output> {
-        let mut left = pin!(caller.left());
+        let mut disconnected = pin!(monitor.disconnected());
         loop {
             tokio::select! {
                 biased;
-                () = left.as_mut() => return None,
-                ended = served.as_mut() => return Some(ended),
+                () = disconnected.as_mut() => return None,
+                output = connection.as_mut() => return Some(output),
                 () = self.close.notified() => {}
             }
             tokio::select! {
                 biased;
-                ended = served.as_mut() => return Some(ended),
-                () = tokio::time::sleep(LAST_READ) => {}
+                output = connection.as_mut() => return Some(output),
+                () = tokio::time::sleep(FINAL_READ_TIMEOUT) => {}
             }
             if !self.is_busy() {
                 return None;
@@ -102,13 +102,13 @@
 
     /// Tells whether the connection has rested, or sent a part of a request, for too long.
     pub(super) fn is_overdue(&self, now_ms: u64, head_ms: u64, idle_ms: u64) -> bool {
-        let since = now_ms.saturating_sub(self.used_ms.load(Ordering::Relaxed));
+        let idle_time_ms = now_ms.saturating_sub(self.last_used_ms.load(Ordering::Relaxed));
         let limit = if self.partial.load(Ordering::Relaxed) {
             head_ms
         } else {
             idle_ms
         };
-        !self.is_busy() && since > limit
+        !self.is_busy() && idle_time_ms > limit
     }
 }
 
@@ -133,7 +133,7 @@
         let before = buffer.filled().len();
         let polled = Pin::new(&mut self.stream).poll_read(context, buffer);
         if buffer.filled().len() > before {
-            self.state.note_read();
+            self.state.record_read();
         }
         polled
     }
@@ -170,6 +170,6 @@
 }
 
 #[cfg(test)]
-mod leaving_tests;
+mod disconnect_tests;
 #[cfg(test)]
 mod tests;
--- a/dockgate/src/gateway/tracked_io/leaving_tests.rs
+++ b/dockgate/src/gateway/tracked_io/disconnect_tests.rs
@@ -100,12 +100,12 @@
 /// Works on a request as a call does: reads it, looks for its caller before it goes on, and is answered later.
 async fn work(
     request: Request<Incoming>,
-    caller: PeerPresence,
+    caller: DisconnectMonitor,
     seen: Arc<Mutex<WorkSeen>>,
     answers: Arc<Semaphore>,
 ) -> Response<Full<Bytes>> {
     let body = request.into_body().collect().await;
-    if body.is_ok() && !caller.has_left() {
+    if body.is_ok() && !caller.is_disconnected() {
         let _guard = WorkGuard::new(&seen);
         answers.acquire().await.unwrap().forget();
     }
@@ -123,7 +123,7 @@
     is_answered: bool,
 ) -> Result<(), TestCaseError> {
     let (mut caller, stream) = pair().await;
-    let presence = stream.presence();
+    let monitor = stream.disconnect_monitor();
     let connection = Arc::new(ConnectionState::new());
     let seen = Arc::<Mutex<WorkSeen>>::default();
     let answers = Arc::new(Semaphore::new(0));
@@ -131,17 +131,17 @@
     let served = tokio::spawn(async move {
         let io = TokioIo::new(TrackedIo::new(stream, state.clone()));
         let service = service_fn(|request| {
-            state.begin();
-            let worked = work(request, presence.clone(), counts.clone(), permits.clone());
+            state.begin_request();
+            let worked = work(request, monitor.clone(), counts.clone(), permits.clone());
             let state = state.clone();
             async move {
                 let response = worked.await;
-                state.end();
+                state.end_request();
                 Ok::<_, Infallible>(response)
             }
         });
         let mut served = pin!(Builder::new().serve_connection(io, service));
-        state.serve_until_closed(served.as_mut(), &presence).await;
+        state.serve_until_closed(served.as_mut(), &monitor).await;
     });
 
     let mut answer = [0; 4_096];
--- a/dockgate/src/gateway/upstream.rs
+++ b/dockgate/src/gateway/upstream.rs
@@ -4,7 +4,7 @@
 
 use super::sockets::connect;
 use crate::clock::now_ms;
-use crate::shared_stream::{SharedStream, StreamAbort};
+use crate::shared_stream::{SharedStream, StreamAbortHandle};
 use bytes::Bytes;
 use dockgate_core::gateway::EndpointId;
 use endpoint_io::{EndpointIo, SendGate};
@@ -96,7 +96,7 @@
 struct OpenConnection {
     sender: SendRequest<Full<Bytes>>,
     gate: Arc<SendGate>,
-    abort: StreamAbort,
+    abort: StreamAbortHandle,
 }
 
 struct RestingConnection {
@@ -295,7 +295,7 @@
         })?;
     let gate = Arc::<SendGate>::default();
     let stream = SharedStream::new(stream);
-    let abort = stream.abort();
+    let abort = stream.abort_handle();
     let io = EndpointIo::new(stream, gate.clone());
     let (sender, connection) = handshake(TokioIo::new(io))
         .await
--- a/dockgate/src/gateway/upstream/endpoint_io.rs
+++ b/dockgate/src/gateway/upstream/endpoint_io.rs
@@ -5,7 +5,7 @@
 //! notice may stand behind the one that writes. So it is looked at at the last moment there is.
 
 use super::super::gateway_metrics::GATEWAY_METRICS;
-use crate::shared_stream::{PeerPresence, SharedStream};
+use crate::shared_stream::{DisconnectMonitor, SharedStream};
 use std::io::{self, ErrorKind, IoSlice};
 use std::pin::Pin;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -15,14 +15,14 @@
 /// Whether a request is still to be sent.
 #[derive(Clone)]
 pub(in super::super) struct SendCondition {
-    caller: PeerPresence,
+    caller: DisconnectMonitor,
     is_wanted: Arc<dyn Fn() -> bool + Send + Sync>,
 }
 
 impl SendCondition {
     /// Sends a request of `caller` if its endpoint still wants it.
     pub(in super::super) fn new(
-        caller: &PeerPresence,
+        caller: &DisconnectMonitor,
         is_wanted: impl Fn() -> bool + Send + Sync + 'static,
     ) -> Self {
         Self {
@@ -33,7 +33,7 @@
 
     fn withheld(&self) -> Option<WithheldReason> {
         match () {
-            () if self.caller.has_left() => Some(WithheldReason::CallerLeft),
+            () if self.caller.is_disconnected() => Some(WithheldReason::CallerLeft),
             () if !(self.is_wanted)() => Some(WithheldReason::Unwanted),
             () => None,
         }
@@ -91,7 +91,7 @@
             return Ok(());
         };
         *locked(&self.withheld) = Some(reason);
-        GATEWAY_METRICS.note_withheld(reason.as_str());
+        GATEWAY_METRICS.record_withheld_send(reason.as_str());
         Err(io::Error::new(
             ErrorKind::ConnectionAborted,
             reason.as_str(),
--- a/dockgate/src/gateway/upstream/tests.rs
+++ b/dockgate/src/gateway/upstream/tests.rs
@@ -80,7 +80,7 @@
     };
     let endpoint = tokio::spawn(answer_first(listener));
     let (caller, accepted) = pair().await;
-    let condition = SendCondition::new(&accepted.presence(), || true);
+    let condition = SendCondition::new(&accepted.disconnect_monitor(), || true);
     let pools = Arc::<EndpointPools>::default();
     let request = || Request::new(Full::new(Bytes::new()));
     let (response, connection) = send(&pools, &target, request(), &condition).await.unwrap();
@@ -116,7 +116,7 @@
     let (_caller, accepted) = pair().await;
     let wants = Arc::new(AtomicBool::new(true));
     let is_wanted = wants.clone();
-    let condition = SendCondition::new(&accepted.presence(), move || {
+    let condition = SendCondition::new(&accepted.disconnect_monitor(), move || {
         is_wanted.load(Ordering::Relaxed)
     });
     let pools = Arc::<EndpointPools>::default();
--- a/dockgate/src/logging.rs
+++ b/dockgate/src/logging.rs
@@ -1,10 +1,10 @@
 //! Logs as JSON lines: one object a line, and one line for each decision.
 
-mod line_budget;
+mod line_rate_limiter;
 mod line_writer;
 
-pub(crate) use line_budget::LineBudget;
-pub(crate) use line_writer::{drain_lines, dropped_lines};
+pub(crate) use line_rate_limiter::LineRateLimiter;
+pub(crate) use line_writer::{dropped_lines, flush_lines};
 
 use crate::clock::unix_ms;
 use env_logger::{Builder, Env, Target};
--- a/dockgate/src/logging/line_budget.rs
+++ b/dockgate/src/logging/line_rate_limiter.rs
@@ -5,13 +5,13 @@
 
 /// Lines about requests within the current second.
 #[derive(Debug, Clone, Copy, Default)]
-pub(crate) struct LineBudget {
+pub(crate) struct LineRateLimiter {
     second: u64,
     taken: u64,
     held_back: u64,
 }
 
-impl LineBudget {
+impl LineRateLimiter {
     /// The most lines about requests that are written in a second, beside those of sampled requests.
     /// At 400 bytes each a box writes 80 KB a second; on the users' loaded days a box refuses up to
     /// 60 requests a second, and one that has a flood refuses thousands.
--- a/dockgate/src/logging/line_writer.rs
+++ b/dockgate/src/logging/line_writer.rs
@@ -19,7 +19,7 @@
 static PENDING: AtomicU64 = AtomicU64::new(0);
 
 /// Waits until what was logged is written, or the time is over.
-pub(crate) fn drain_lines(within: Duration) {
+pub(crate) fn flush_lines(within: Duration) {
     const LOOK: Duration = Duration::from_millis(2);
     let started = ClockInstant::now();
     while PENDING.load(Ordering::Acquire) > 0 && started.elapsed() < within {
--- a/dockgate/src/main.rs
+++ b/dockgate/src/main.rs
@@ -30,9 +30,9 @@
 fn main() -> ExitCode {
     let args = DaemonArgs::parse();
     #[cfg(debug_assertions)]
-    clock::follow_file();
+    clock::watch_suspension_file();
     let started =
-        GatewayRuntime::new().and_then(|runtime| match gateway::is_gateway(args.settings()) {
+        GatewayRuntime::new().and_then(|runtime| match gateway::is_gateway_file(args.settings()) {
             true => start_gateway(&args, runtime),
             false => start_daemon(&args),
         });
--- a/dockgate/src/members.rs
+++ b/dockgate/src/members.rs
@@ -1,7 +1,7 @@
 //! The boxes of the fleet, from the platform's lagging list.
 
 use crate::dispatch::DispatchHandle;
-use crate::probed_wait::wait_probed;
+use crate::probed_wait::wait_with_probes;
 use dockgate_core::BoxKey;
 use dockgate_platform::{BOXES, BoxRecord, BoxState, PlatformClient, StoreListing, WatchOutcome};
 use std::net::SocketAddr;
@@ -78,7 +78,7 @@
     let mut since = listing.revision;
     loop {
         let watch = client.watch(BOXES, since, wait);
-        match wait_probed(client, watch).await {
+        match wait_with_probes(client, watch).await {
             Ok(WatchOutcome::Changes(changes))
                 if changes.events.is_empty() && changes.era == listing.era =>
             {
--- a/dockgate/src/probed_wait.rs
+++ b/dockgate/src/probed_wait.rs
@@ -17,7 +17,7 @@
 /// # Errors
 ///
 /// Returns the answer's error, or that of a probe which was not answered in time.
-pub(crate) async fn wait_probed<T>(
+pub(crate) async fn wait_with_probes<T>(
     client: &PlatformClient,
     answer: impl Future<Output = Result<T, PlatformError>>,
 ) -> Result<T, PlatformError> {
--- a/dockgate/src/probed_wait/tests.rs
+++ b/dockgate/src/probed_wait/tests.rs
@@ -35,7 +35,7 @@
 async fn a_watch_is_given_up_once_the_store_says_nothing() {
     let client = store(false).await;
     let watch = std::future::pending::<Result<(), PlatformError>>();
-    let error = wait_probed(&client, watch).await.unwrap_err();
+    let error = wait_with_probes(&client, watch).await.unwrap_err();
     assert!(
         matches!(error, PlatformError::TimedOut("probe", _)),
         "{error}"
@@ -49,5 +49,5 @@
         tokio::time::sleep(Duration::from_millis(2_000)).await;
         Ok(9)
     };
-    assert_eq!(wait_probed(&client, watch).await.unwrap(), 9);
+    assert_eq!(wait_with_probes(&client, watch).await.unwrap(), 9);
 }
--- a/dockgate/src/shared_stream.rs
+++ b/dockgate/src/shared_stream.rs
@@ -2,7 +2,7 @@
 //!
 //! A library looks for the end of a connection only when it reads, and it reads only when it has a use
 //! for what comes. So whoever has to know whether the other side is still there asks the system, through
-//! a [`PeerPresence`].
+//! a [`DisconnectMonitor`].
 
 #[cfg(not(any(target_os = "linux", target_os = "android")))]
 use futures::FutureExt;
@@ -21,13 +21,13 @@
 
 /// What wakes whoever waits for the end of a connection: not the bytes before it.
 #[cfg(any(target_os = "linux", target_os = "android"))]
-const END: Interest = Interest::PRIORITY;
+const CLOSE_INTEREST: Interest = Interest::PRIORITY;
 /// Other systems tell of the end and of bytes alike.
 #[cfg(not(any(target_os = "linux", target_os = "android")))]
-const END: Interest = Interest::READABLE;
+const CLOSE_INTEREST: Interest = Interest::READABLE;
 /// How long to wait where bytes that nobody reads would wake the same waiter again and again. A bound, for
 /// systems that do not tell the end from bytes.
-const UNREAD_PAUSE: Duration = Duration::from_millis(50);
+const UNREAD_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A connection for a library, which can be looked at from beside.
 #[derive(Debug)]
@@ -40,13 +40,13 @@
     }
 
     /// Returns what tells whether the other side is still there.
-    pub(crate) fn presence(&self) -> PeerPresence {
-        PeerPresence(self.0.clone())
+    pub(crate) fn disconnect_monitor(&self) -> DisconnectMonitor {
+        DisconnectMonitor(self.0.clone())
     }
 
     /// Returns what can reset the connection, for as long as it is open.
-    pub(crate) fn abort(&self) -> StreamAbort {
-        StreamAbort(Arc::downgrade(&self.0))
+    pub(crate) fn abort_handle(&self) -> StreamAbortHandle {
+        StreamAbortHandle(Arc::downgrade(&self.0))
     }
 
     /// Reads what has come; a read that leaves room has taken everything, and the runtime is told so, which
@@ -126,22 +126,22 @@
 /// One that has ended its sending counts as gone, whether it would still read or not: a caller that leaves
 /// closes its connection, and the end of what it sends is all that is seen of that.
 #[derive(Debug, Clone)]
-pub(crate) struct PeerPresence(Arc<TcpStream>);
+pub(crate) struct DisconnectMonitor(Arc<TcpStream>);
 
-impl PeerPresence {
+impl DisconnectMonitor {
     /// Tells whether the other side has left, as the system knows it at this moment.
-    pub(crate) fn has_left(&self) -> bool {
+    pub(crate) fn is_disconnected(&self) -> bool {
         let mut byte = [MaybeUninit::uninit()];
         match SockRef::from(&*self.0).peek(&mut byte) {
             Ok(0) => true,
-            Ok(_) => self.ends_behind_bytes(),
-            Err(error) => !is_pause(&error),
+            Ok(_) => self.is_closed_after_unread_bytes(),
+            Err(error) => !is_retryable(&error),
         }
     }
 
     /// Tells whether the other side has left behind bytes that nobody has read.
     #[cfg(any(target_os = "linux", target_os = "android"))]
-    fn ends_behind_bytes(&self) -> bool {
+    fn is_closed_after_unread_bytes(&self) -> bool {
         let mut polled = [PollFd::new(&*self.0, PollFlags::RDHUP)];
         let asked = poll(&mut polled, Some(&Timespec::default()));
         // A failure of the connection is told whether it is asked for or not.
@@ -150,17 +150,17 @@
 
     /// Tells whether the other side has left behind bytes that nobody has read, as far as the runtime knows.
     #[cfg(not(any(target_os = "linux", target_os = "android")))]
-    fn ends_behind_bytes(&self) -> bool {
-        let noted = self.0.ready(END).now_or_never();
+    fn is_closed_after_unread_bytes(&self) -> bool {
+        let noted = self.0.ready(CLOSE_INTEREST).now_or_never();
         noted.is_some_and(|ready| ready.is_ok_and(|ready| ready.is_read_closed()))
     }
 
     /// Waits until the other side has left, whatever it has sent before that nobody reads.
-    pub(crate) async fn left(&self) {
+    pub(crate) async fn disconnected(&self) {
         loop {
-            match self.0.ready(END).await {
+            match self.0.ready(CLOSE_INTEREST).await {
                 Ok(ready) if ready.is_read_closed() => return,
-                Ok(_) => tokio::time::sleep(UNREAD_PAUSE).await,
+                Ok(_) => tokio::time::sleep(UNREAD_POLL_INTERVAL).await,
                 Err(_) => return,
             }
         }
@@ -168,15 +168,15 @@
 }
 
 /// Tells whether a call found nothing to do, in place of a failure.
-fn is_pause(error: &io::Error) -> bool {
+fn is_retryable(error: &io::Error) -> bool {
     matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted)
 }
 
 /// Resets a connection that somebody else holds; it does not keep it open.
 #[derive(Debug)]
-pub(crate) struct StreamAbort(Weak<TcpStream>);
+pub(crate) struct StreamAbortHandle(Weak<TcpStream>);
 
-impl StreamAbort {
+impl StreamAbortHandle {
     /// Has the connection reset when it closes, so that what the system has not delivered yet never is.
     pub(crate) fn reset_on_close(&self) {
         let Some(stream) = self.0.upgrade() else {
--- a/dockgate/src/shared_stream/tests.rs
+++ b/dockgate/src/shared_stream/tests.rs
@@ -47,11 +47,11 @@
 #[test_macro(tokio::test)]
 async fn who_leaves_is_known_to_have_left(leaving: Leaving) {
     let (caller, stream) = pair().await;
-    let presence = stream.presence();
-    assert!(!presence.has_left());
+    let monitor = stream.disconnect_monitor();
+    assert!(!monitor.is_disconnected());
     let _kept = leave(caller, leaving).await;
     settle();
-    assert!(presence.has_left());
+    assert!(monitor.is_disconnected());
 }
 
 #[parameterized(
@@ -62,13 +62,13 @@
 #[test_macro(tokio::test)]
 async fn bytes_that_nobody_reads_do_not_hide_that_somebody_has_left(leaving: Leaving) {
     let (mut caller, stream) = pair().await;
-    let presence = stream.presence();
+    let monitor = stream.disconnect_monitor();
     caller.write_all(&[0; 40_000]).await.unwrap();
     settle();
-    assert!(!presence.has_left(), "it has only sent");
+    assert!(!monitor.is_disconnected(), "it has only sent");
     let _kept = leave(caller, leaving).await;
     settle();
-    assert!(presence.has_left());
+    assert!(monitor.is_disconnected());
 }
 
 #[tokio::test]
