--- a/dockgate/src/gateway/events.rs
+++ b/dockgate/src/gateway/events.rs
@@ -1,4 +1,4 @@
-//! What a gateway logs: one typed line for each decision, with what decided it.
+//! Log events of a gateway: one typed line per decision, with the data that it was based on.
 
 use super::gateway_metrics::GATEWAY_METRICS;
 use super::settings::GatewaySettings;
@@ -9,42 +9,42 @@
 use serde::Serialize;
 use std::sync::{Mutex, PoisonError};
 
-/// An engine that was asked to take a prompt and declined.
+/// An engine that declined to admit a prompt.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub(super) struct DeclinedEngine {
-    /// Its lifetime id.
+    /// Id of the endpoint's lifetime.
     pub(super) endpoint: String,
-    /// After how many milliseconds the first event would have come.
+    /// Predicted time to the first event, in milliseconds.
     pub(super) first_event_ms: u32,
-    /// The box that decided, or that the entry did alone.
+    /// Name of the box that made the decision.
     pub(super) decided_by: String,
 }
 
-/// Something that happened in a gateway.
+/// An event that a gateway logs.
 #[derive(Debug, Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub(super) enum GatewayEvent<'a> {
-    /// The process has begun, with these settings.
+    /// The process has started with these settings.
     Started { settings: &'a GatewaySettings },
-    /// The box was suspended for so long: its steady clock does not count that time.
+    /// The box resumed after a suspension, which its monotonic clock does not count.
     Woke { away_ms: u64 },
-    /// A task that runs for as long as the process panicked; it is begun anew.
+    /// A supervised task panicked and will be restarted.
     TaskPanicked {
         task: &'a str,
         problem: &'a str,
         again_ms: u64,
     },
-    /// It was told to stop, with so many connections open.
+    /// The process received a stop signal; `open` connections are open.
     Stopping { open: usize },
-    /// It ends; `cut` requests were still being answered.
+    /// The process ends; `cut` requests are aborted.
     Stopped { in_time: bool, cut: usize },
-    /// It read its settings again, on a signal or as the file had changed.
+    /// The settings were reloaded, on a signal or because the file changed.
     Reloaded {
         signal: bool,
         changed: bool,
         problem: Option<&'a str>,
     },
-    /// A configuration came into force.
+    /// A configuration took effect.
     RoutesInForce {
         old: u64,
         version: u64,
@@ -52,87 +52,88 @@
         routes: usize,
         workspaces: usize,
     },
-    /// A stored value cannot be read; what was in force stays.
+    /// A stored value is invalid; the previous one stays in effect.
     Unreadable { what: &'a str, problem: String },
-    /// An endpoint takes work.
+    /// An endpoint accepts requests.
     EndpointReady {
         endpoint: &'a str,
-        /// When this lifetime of it started, in Unix milliseconds by its own clock, where it says so.
+        /// Start of this lifetime in Unix milliseconds by the endpoint's clock, if it is recorded.
         born_ms: Option<u64>,
         service: &'a str,
         domain: &'a str,
         revision: u64,
         source: &'a str,
     },
-    /// An endpoint takes no new work.
+    /// An endpoint accepts no new requests.
     EndpointDraining {
         endpoint: &'a str,
         revision: u64,
         source: &'a str,
     },
-    /// The record of an endpoint names none to use any more; it takes no new work until it has written its own
-    /// again.
+    /// The record of an endpoint is invalid; the endpoint gets no new requests until it has
+    /// rewritten the record.
     EndpointUnusable {
         endpoint: &'a str,
         revision: u64,
         source: &'a str,
     },
-    /// An answer says that its endpoint leaves, for the first time at this box.
+    /// A response announced for the first time at this box that its endpoint is leaving.
     EndpointLeaves { endpoint: &'a str, request: &'a str },
-    /// An answer turns a request away, and asks this box to send nothing for so long.
+    /// A response rejected a request and asked this box to back off from the endpoint.
     EndpointRests {
         endpoint: &'a str,
         request: &'a str,
         for_ms: u64,
     },
-    /// An endpoint is gone.
+    /// An endpoint was removed.
     EndpointGone { endpoint: &'a str, source: &'a str },
-    /// The endpoints were listed whole, and something differed from what was believed.
+    /// A full listing of the endpoints differed from the known state.
     EndpointsListed {
         count: usize,
         revision: u64,
         source: &'a str,
     },
-    /// Another box was asked for what it knows beyond this one, and did not answer.
+    /// Another box did not answer a request for newer state.
     StateUnanswered {
         peer: &'a str,
         what: &'a str,
         took_ms: u64,
         problem: String,
     },
-    /// A call to the store failed, after it had answered.
+    /// A call to the store failed after the store was reachable.
     StoreLost { step: &'a str, problem: String },
-    /// The store answers again.
+    /// The store is reachable again.
     StoreBack { step: &'a str, away_ms: u64 },
-    /// The store has come back from an older copy: all that it has is listed anew. Up to `revision` of the era before
-    /// the endpoints were known here.
+    /// The store was restored from an older copy and all its contents are listed again. The
+    /// endpoints were known up to `revision` of the previous era.
     StoreEra {
         from: u64,
         to: u64,
         revision: u64,
         source: &'a str,
     },
-    /// The store has forgotten changes; what is there is listed anew.
+    /// The store no longer has the changes since a revision; its contents are listed again.
     StoreHistoryLost { what: &'a str, since: u64 },
-    /// Work has waited too long for the processor; callers are asked to go elsewhere.
+    /// Tasks wait too long for the processor; new callers are diverted to other boxes.
     Overloaded { lag_ms: u64 },
-    /// It does not any more.
+    /// The overload is over.
     CaughtUp { lag_ms: u64, for_ms: u64 },
-    /// A box is heard that was not before.
+    /// A first heartbeat of another box was received.
     BoxSeen { peer: &'a str, domain: &'a str },
-    /// A box has fallen silent.
+    /// The heartbeats of a box have ceased.
     BoxGone { peer: &'a str },
-    /// No endpoint of a failure domain can be reached; it gets nothing until one answers.
+    /// No endpoint of a failure domain is reachable; it gets no requests until one answers.
     DomainCut { domain: &'a str },
-    /// A failure domain is reached again.
+    /// A failure domain is reachable again.
     DomainBack { domain: &'a str, for_ms: u64 },
-    /// What workspaces asked for and were given here since the last such line, where something was refused.
+    /// Demand and admissions of workspaces at this box since the previous event, logged after
+    /// refusals only.
     Shares {
-        /// How long ago a coordinator told the sums that decide; none where this box adds them up.
+        /// Age of the fleet's totals from the coordinator; `None` if this box computes them.
         told_ms: Option<u64>,
         workspaces: &'a [WorkspaceReport],
     },
-    /// So many lines about requests were not written, as there were too many in a second.
+    /// The number of request lines that exceeded the rate limit and were not written.
     LinesHeldBack { count: u64 },
     /// A request was sent to an endpoint.
     Sent {
@@ -143,53 +144,53 @@
         tokens: Option<u32>,
         endpoint: &'a str,
         attempt: u32,
-        /// When the first event is expected, for engines.
+        /// Predicted time to the first event, for engines.
         expected_ms: Option<u32>,
-        /// Who decided: the owner's name, or this box alone.
+        /// Name of the box that made the decision; `entry` for services without engines.
         decided_by: &'a str,
         config: u64,
         config_age_ms: u64,
         revision: u64,
         endpoints_age_ms: u64,
     },
-    /// An endpoint has ended while requests ran there: nobody listens at its address any more.
+    /// An endpoint ended while it ran requests: its address refuses connections.
     EndpointEnded {
         endpoint: &'a str,
-        /// The prints of the requests whose answers it broke off here.
+        /// Fingerprints of the requests that it interrupted at this box.
         under: &'a [String],
     },
-    /// A request goes to no endpoint any more: these lifetimes have ended under it, as far as this box knows;
-    /// others are told by `source`.
+    /// A request was quarantined because these endpoint lifetimes ended while they ran it.
+    /// `source` names the origin of the information.
     RequestQuarantined {
         print: &'a str,
         endpoints: &'a [String],
         source: &'a str,
     },
-    /// A request in quarantine is let through once.
+    /// A quarantined request is sent once as a trial.
     RequestTried { print: &'a str, trials: u8 },
-    /// A request is out of quarantine: it completed, or an operator released it.
+    /// A request left quarantine after it completed or an operator released it.
     RequestReleased { print: &'a str, source: &'a str },
-    /// A send to an endpoint gave no answer that can be passed on.
+    /// An attempt at an endpoint gave no response that can be forwarded.
     SendFailed {
         request: &'a str,
-        /// What the request has in common with all its sends, where the answer broke off.
+        /// Fingerprint of the request, if the response was interrupted.
         print: Option<String>,
         endpoint: &'a str,
         attempt: u32,
         ran: &'a str,
         problem: &'a str,
-        /// When the first event was expected, for engines.
+        /// Predicted time to the first event, for engines.
         expected_ms: Option<u32>,
         took_ms: u64,
     },
-    /// A stream goes on at another endpoint.
+    /// A stream was resumed at another endpoint.
     Resumed {
         request: &'a str,
         endpoint: &'a str,
         after_event: u64,
         problem: &'a str,
     },
-    /// A request was refused or given up.
+    /// A request was refused or abandoned.
     Refused {
         request: &'a str,
         route: &'a str,
@@ -201,9 +202,9 @@
         ran: &'a str,
         waited_ms: u64,
         retry_after_ms: Option<u64>,
-        /// For prompts: the engines that were asked, and what each predicted.
+        /// For prompts: the engines that declined, with their predictions.
         asked: &'a [DeclinedEngine],
-        /// For prompts: how many times its share the workspace has had.
+        /// For prompts: usage of the workspace as a multiple of its share.
         share: Option<f64>,
         config: u64,
         config_age_ms: u64,
@@ -220,24 +221,24 @@
         events: u64,
         attempts: u32,
     },
-    /// The caller left before its answer was whole; what the request caused has ended.
+    /// The caller disconnected before its response was complete; its request was aborted.
     CallerLeft {
         request: &'a str,
         route: &'a str,
         workspace: &'a str,
-        /// How far it had come: `placing`, `sent` or `answering`.
+        /// Stage of the request: `placing`, `sent` or `answering`.
         stage: &'a str,
-        /// How many times it was sent to an endpoint.
+        /// Number of attempts that were sent to endpoints.
         sends: u32,
-        /// How long after its arrival the box noticed.
+        /// Time from its arrival until the disconnect was detected.
         waited_ms: u64,
-        /// For how long work waits for the processor here.
+        /// Time for which tasks wait for the processor at this box.
         lag_ms: u64,
     },
-    /// An answer was broken off.
+    /// A response was interrupted.
     BrokenOff {
         request: &'a str,
-        /// What the request has in common with all its sends.
+        /// Fingerprint of the request.
         print: String,
         endpoint: &'a str,
         events: u64,
@@ -247,7 +248,7 @@
 }
 
 impl<'a> GatewayEvent<'a> {
-    /// Makes the event for a change of an endpoint.
+    /// Creates the event for a change of an endpoint.
     pub(super) fn endpoint(change: &'a EndpointChange, source: &'a str) -> Self {
         match change {
             EndpointChange::Put(record, revision)
@@ -290,11 +291,11 @@
         }
     }
 
-    /// Tells whether there may be any number of such events in a second.
+    /// Returns whether the rate of such events is unbounded, so that it has to be limited.
     fn is_frequent(&self) -> bool {
         match self.request() {
             Some(request) => !is_sampled(request),
-            // Whoever writes there may do so as often as it likes.
+            // The rate depends on the processes that write to the store.
             None => matches!(self, Self::Unreadable { .. }),
         }
     }
@@ -314,8 +315,9 @@
     }
 }
 
-/// Tells whether all lines of a request are kept, however it goes and however many there are: one in
-/// so many, by its id, so that all boxes keep the same.
+/// Returns whether all lines of a request are exempt from the rate limit.
+///
+/// A fixed fraction of requests is sampled by a hash of the id, so that all boxes sample the same.
 pub(super) fn is_sampled(request: &str) -> bool {
     const ONE_IN: u64 = 16;
     name_hash(request).is_multiple_of(ONE_IN)
@@ -323,17 +325,17 @@
 
 /// Writes an event as one line.
 ///
-/// What a box believes is always written, and so is all about a sampled request; lines about others, and about
-/// values of the store that cannot be read, are written up to a rate, and beyond it counted.
+/// Changes of the box's state and lines about sampled requests are always written. Lines about
+/// other requests and about invalid values in the store are rate-limited, and the excess is counted.
 pub(super) fn log_gateway(event: &GatewayEvent) {
     static BUDGET: Mutex<LineRateLimiter> = Mutex::new(LineRateLimiter::new());
-    let limited = event.is_frequent();
+    let is_frequent = event.is_frequent();
     let mut budget = BUDGET.lock().unwrap_or_else(PoisonError::into_inner);
-    if limited && !budget.take(now_ms()) {
+    if is_frequent && !budget.take(now_ms()) {
         GATEWAY_METRICS.lines_held_back.inc();
         return;
     }
-    if limited {
+    if is_frequent {
         let count = budget.take_held_back();
         if count > 0 {
             log_line(&GatewayEvent::LinesHeldBack { count });
--- a/dockgate/src/gateway/events/tests.rs
+++ b/dockgate/src/gateway/events/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use yare::parameterized;
 
-/// What operators and `dockgatectl explain` rely on: the fields of each line, by name.
+/// Guards the field names that operators and `dockgatectl explain` rely on.
 #[parameterized(
     sent = {
         GatewayEvent::Sent {
--- a/dockgate/src/gateway/gateway_gauges.rs
+++ b/dockgate/src/gateway/gateway_gauges.rs
@@ -1,4 +1,4 @@
-//! What a gateway believes, as gauges that are read when somebody asks for them.
+//! Gauges of a gateway's state, updated whenever the metrics are collected.
 
 use super::gateway_state::GatewayState;
 use crate::clock::now_ms;
@@ -7,7 +7,7 @@
 use prometheus::{IntGauge, IntGaugeVec, Opts};
 use std::sync::LazyLock;
 
-/// Every gauge of the gateway.
+/// The gauges of a gateway.
 pub(super) struct GatewayGauges {
     endpoints: IntGaugeVec,
     is_coordinator: IntGauge,
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Reads what is believed now into the gauges.
+    /// Sets the gauges to the present state.
     pub(super) fn update(&self, state: &GatewayState) {
         let now = now_ms();
         self.connections.set(state.pools.open() as i64);
--- a/dockgate/src/gateway/gateway_metrics.rs
+++ b/dockgate/src/gateway/gateway_metrics.rs
@@ -1,4 +1,5 @@
-//! What a gateway counts beside the daemon's own metrics; what it believes is in `gateway_gauges`.
+//! Counters and histograms of a gateway, in addition to the daemon's metrics. Its gauges are in
+//! `gateway_gauges`.
 
 use crate::metrics::METRICS;
 use dockgate_core::gateway::EndpointNotice;
@@ -6,36 +7,36 @@
 use std::sync::LazyLock;
 use std::time::Duration;
 
-/// Upper bounds of the buckets of times, in seconds: around the objectives of 0.1 to 1 s, and the
-/// 10 ms within which a refusal is usual.
+/// Upper bounds of the time buckets, in seconds. They are dense around the latency objectives of
+/// 0.1 to 1 s and around 10 ms, where most refusals are.
 const TIME_BUCKETS_S: [f64; 11] = [0.002, 0.005, 0.01, 0.03, 0.1, 0.2, 0.3, 0.6, 1.0, 2.0, 6.0];
 
-/// Every metric of the gateway.
+/// The counters and histograms of a gateway.
 pub(super) struct GatewayMetrics {
-    /// Requests that ended, by service and outcome.
+    /// Completed requests by service and outcome.
     pub(super) outcomes: IntCounterVec,
-    /// Time from arrival to the first event, or to a whole answer, by service.
+    /// Time from arrival to the first event or complete response, by service.
     pub(super) first_event: HistogramVec,
-    /// Time from arrival to the decision where a request goes, by service.
+    /// Time from arrival to the routing decision, by service.
     pub(super) decision: HistogramVec,
-    /// Tokens of admitted prompts, by whether they were believed to be cached.
+    /// Tokens of admitted prompts, by whether they are assumed to be cached.
     prompt_tokens: IntCounterVec,
-    /// Streams that went on at another endpoint.
+    /// Streams that were resumed at another endpoint.
     pub(super) resumed_streams: IntCounter,
-    /// Verdicts that did not come in time.
+    /// Admission verdicts that did not arrive in time.
     pub(super) missed_verdicts: IntCounter,
-    /// Prompts that were declined for one engine without asking the box that decides for it.
+    /// Prompts that were declined for an engine without a request to the box that decides for it.
     pub(super) declined_locally: IntCounter,
     withheld_sends: IntCounterVec,
-    /// Lines about requests that were not written, as there were too many.
+    /// Log lines about requests that exceeded the rate limit.
     pub(super) lines_held_back: IntCounter,
-    /// Times that the store came back from an older copy.
+    /// Restores of the store from an older copy.
     pub(super) store_eras: IntCounter,
-    /// Calls to the store, by what is followed and outcome.
+    /// Calls to the store by followed data and outcome.
     pub(super) store_calls: IntCounterVec,
-    /// Questions to other boxes for what they know, by what was asked for and outcome.
+    /// Requests for the state of other boxes, by kind of state and outcome.
     pub(super) state_requests: IntCounterVec,
-    /// How long such a question took, by what was asked for.
+    /// Duration of these requests by kind of state.
     pub(super) state_request_times: HistogramVec,
     suspensions: Histogram,
     panics: IntCounterVec,
@@ -176,32 +177,32 @@
         }
     }
 
-    /// Counts a request that ended.
+    /// Counts a completed request.
     pub(super) fn record_outcome(&self, service: &str, outcome: &str) {
         self.outcomes.with_label_values(&[service, outcome]).inc();
     }
 
-    /// Counts a time in which this box was suspended.
+    /// Records the duration of a suspension of this box.
     pub(super) fn record_suspension(&self, suspended: Duration) {
         self.suspensions.observe(suspended.as_secs_f64());
     }
 
-    /// Counts a panic of a task that is begun anew.
+    /// Counts a panic of a supervised task.
     pub(super) fn record_panic(&self, task: &str) {
         self.panics.with_label_values(&[task]).inc();
     }
 
-    /// Counts a request that went into quarantine or was released from it.
+    /// Counts a request that entered or left quarantine.
     pub(super) fn record_quarantine_change(&self, change: &str) {
         self.quarantine_changes.with_label_values(&[change]).inc();
     }
 
-    /// Counts a record that names no endpoint to use.
+    /// Counts an endpoint record that is invalid.
     pub(super) fn record_unusable_record(&self, reason: &str) {
         self.unusable_records.with_label_values(&[reason]).inc();
     }
 
-    /// Counts an answer that says something of its endpoint.
+    /// Counts the notices that a response carries about its endpoint.
     pub(super) fn record_notice(&self, notice: EndpointNotice) {
         let fields = [
             ("leaves", notice.is_leaving),
@@ -212,18 +213,18 @@
         }
     }
 
-    /// Counts another box's word that an endpoint leaves.
+    /// Counts an announcement by another box that an endpoint is leaving.
     pub(super) fn record_announced_notice(&self, is_accepted: bool) {
         let notice = if is_accepted { "told" } else { "not_believed" };
         self.notices.with_label_values(&[notice]).inc();
     }
 
-    /// Counts a request that was not written to an endpoint.
+    /// Counts a send that was cancelled before the request was written to the endpoint.
     pub(super) fn record_withheld_send(&self, reason: &str) {
         self.withheld_sends.with_label_values(&[reason]).inc();
     }
 
-    /// Counts a datagram of so many bytes.
+    /// Counts a datagram and its size.
     pub(super) fn record_datagram(&self, kind: &str, direction: &str, bytes: usize) {
         let labels = [kind, direction];
         self.datagrams.with_label_values(&labels).inc();
@@ -231,7 +232,7 @@
         counter.inc_by(bytes as u64);
     }
 
-    /// Counts a question to another box.
+    /// Counts a request for the state of another box, and records its duration.
     pub(super) fn record_state_request(&self, what: &str, answered: bool, took: Duration) {
         let outcome = if answered { "answered" } else { "unanswered" };
         let counter = self.state_requests.with_label_values(&[what, outcome]);
@@ -240,14 +241,14 @@
         times.observe(took.as_secs_f64());
     }
 
-    /// Counts the time to a first event or whole answer.
+    /// Records the time to the first event or complete response.
     pub(super) fn record_first_event(&self, service: &str, after: Duration) {
         self.first_event
             .with_label_values(&[service])
             .observe(after.as_secs_f64());
     }
 
-    /// Counts the tokens of a prompt that was admitted, of which so many are to be read.
+    /// Counts the tokens of an admitted prompt, of which `uncached` have to be processed.
     pub(super) fn record_admitted_prompt(&self, input: u32, uncached: u32) {
         let tokens = |cached: &str| self.prompt_tokens.with_label_values(&[cached]);
         tokens("no").inc_by(u64::from(uncached));
--- a/dockgate/src/gateway/gateway_runtime.rs
+++ b/dockgate/src/gateway/gateway_runtime.rs
@@ -1,26 +1,25 @@
-//! The runtime of a gateway, and the signal that must find it listening from the first moment.
+//! The runtime of a gateway, with a handler for SIGHUP that is installed at startup.
 
 use crate::error::DaemonError;
 use tokio::runtime::{Builder, Runtime};
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-/// One thread, which already listens for SIGHUP.
+/// A single-threaded runtime that handles SIGHUP.
 ///
-/// It is made before anything is read: a SIGHUP that comes while a box starts would end the process,
-/// as that is what it does where nothing listens. One that comes meanwhile is kept, so that the
-/// settings are read again as soon as the gateway runs.
+/// It is created before the settings are read, since SIGHUP ends a process that has no handler. A
+/// signal during startup is kept, so that the settings are reloaded once the gateway runs.
 pub(crate) struct GatewayRuntime {
     pub(super) runtime: Runtime,
-    /// None where the system gives no handler.
+    /// SIGHUP signals; `None` if the handler could not be installed.
     pub(super) reload_signals: Option<Signal>,
 }
 
 impl GatewayRuntime {
-    /// Makes the runtime and begins to listen.
+    /// Creates the runtime and installs the signal handler.
     ///
     /// # Errors
     ///
-    /// Returns an error where the system gives no runtime.
+    /// Returns an error if the runtime cannot be created.
     pub(crate) fn new() -> Result<Self, DaemonError> {
         let runtime = Builder::new_current_thread()
             .enable_all()
@@ -28,7 +27,7 @@
             .map_err(DaemonError::Runtime)?;
         let guard = runtime.enter();
         let reload_signals = signal(SignalKind::hangup())
-            .inspect_err(|error| eprintln!("listen for SIGHUP: {error}"))
+            .inspect_err(|error| eprintln!("cannot install the SIGHUP handler: {error}"))
             .ok();
         drop(guard);
         Ok(Self {
--- a/dockgate/src/gateway/overload.rs
+++ b/dockgate/src/gateway/overload.rs
@@ -1,4 +1,4 @@
-//! Watches whether this box keeps up with its work.
+//! Overload detection of this box by the delay of timers and the busy time of its thread.
 
 use super::events::{GatewayEvent, log_gateway};
 use super::gateway_state::GatewayState;
@@ -9,10 +9,10 @@
 use std::time::Duration;
 use tokio::runtime::Handle;
 
-/// How often work and delay are measured: each time is a wake-up, and overload takes three.
+/// Interval of the measurements. Each one wakes the thread up, and overload is detected after three.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(LoadShedder::SAMPLE_MS);
 
-/// For how long the one thread had work, as of some moment.
+/// Accumulated busy time of the runtime's thread at one instant.
 #[derive(Debug, Clone, Copy)]
 struct BusySample {
     at: ClockInstant,
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Returns the part of the time since an earlier sample in which there was work, 0 to 1.
+    /// Returns the busy fraction of the time since an earlier sample, from 0 to 1.
     fn busy_fraction_since(&self, earlier: &Self) -> f64 {
         let busy = self.busy.saturating_sub(earlier.busy);
         let elapsed = self.at.duration_since(earlier.at);
@@ -35,8 +35,9 @@
     }
 }
 
-/// Measures how late a timer fires until the process ends: everything runs on one thread, so all
-/// that is ready waits as long as the timer does.
+/// Measures how late a timer fires, until the process ends.
+///
+/// All tasks run on one thread, so ready tasks are delayed as long as the timer.
 pub(super) async fn watch_lag(state: Arc<GatewayState>) {
     let mut last_sample = BusySample::now();
     loop {
--- a/dockgate/src/gateway/refusal.rs
+++ b/dockgate/src/gateway/refusal.rs
@@ -1,4 +1,4 @@
-//! Answers that the gateway makes itself.
+//! Responses that the gateway generates itself when it refuses a request.
 
 use super::call_body::{CallBody, whole_body};
 use dockgate_core::Outcome;
@@ -6,55 +6,55 @@
 use http::{HeaderValue, Response, StatusCode, header};
 use std::time::Duration;
 
-/// Why a request gets no endpoint's answer.
+/// The reason why a request gets no response from an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum RefusalReason {
-    /// The head cannot be used.
+    /// The request head is invalid.
     BadHead(HeadProblem),
-    /// The body is larger than allowed.
+    /// The body exceeds the size limit.
     BodyTooLarge,
     /// The body did not arrive in time.
     BodyTooSlow,
-    /// The body broke off.
+    /// The connection failed within the body.
     BodyBroken,
-    /// No route leads there.
+    /// No route matches the request.
     NoRoute,
-    /// The key is missing or unknown.
+    /// The API key is missing or unknown.
     BadKey,
     /// This box has no configuration yet.
     NoConfiguration,
-    /// This box is about to end.
+    /// This box is shutting down.
     Stopping,
-    /// This box has more work than processor.
+    /// This box is overloaded.
     Overloaded,
-    /// This box has more work than processor, and its callers' next connections go to another one.
+    /// This box is overloaded, and new connections of its callers are diverted to other boxes.
     Diverted,
-    /// The service has no endpoint that takes work.
+    /// The service has no endpoint that accepts requests.
     NoEndpoint,
-    /// No engine would begin in time.
+    /// No engine is predicted to send a first event in time.
     WouldBeLate,
-    /// The workspace has had its share, and engines are busy.
+    /// The workspace has used up its share, and the engines are busy.
     BeyondShare,
-    /// Endpoints refused without running it, and no further one may be tried.
+    /// Endpoints rejected the request without running it, and no further one may be tried.
     EndpointsFull,
-    /// All endpoints have asked this box for rest.
+    /// All endpoints have asked this box to back off.
     EndpointsBackingOff,
-    /// No endpoint could be reached.
+    /// No endpoint was reachable.
     Unreachable,
-    /// Endpoints end under it: it is in quarantine.
+    /// The request is quarantined because endpoints ended while they ran it.
     Quarantined,
-    /// The endpoint was lost, or its answer is unusable; the request may have run.
+    /// The endpoint was lost or its response is invalid; the request may have run.
     Lost,
-    /// The caller has left.
+    /// The caller has disconnected.
     CallerLeft,
-    /// The time is over; the request may be running.
+    /// The deadline has passed; the request may be running.
     TimedOut,
-    /// The time is over; nothing was sent.
+    /// The deadline has passed before the request was sent.
     TimedOutUnsent,
 }
 
 impl RefusalReason {
-    /// Returns the word used in logs, metrics and bodies.
+    /// Returns the name used in logs, metrics and response bodies.
     pub(super) const fn as_str(self) -> &'static str {
         match self {
             Self::BadHead(problem) => problem.as_str(),
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Returns the HTTP status; 408, 429 and 503 promise that the request has not run.
+    /// Returns the HTTP status; 408, 429 and 503 guarantee that the request has not run.
     pub(super) const fn status(self) -> StatusCode {
         match self {
             Self::BadHead(_) | Self::BodyBroken => StatusCode::BAD_REQUEST,
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Returns what is said of the request.
+    /// Returns whether the request may have run, as reported to the caller.
     pub(super) const fn outcome(self) -> Outcome {
         match self {
             Self::Lost | Self::CallerLeft | Self::TimedOut => Outcome::Unknown,
@@ -115,7 +115,7 @@
     }
 }
 
-/// Makes the answer.
+/// Creates the response of a refused request.
 pub(super) fn refusal_response(
     id: &str,
     reason: RefusalReason,
--- a/dockgate/src/gateway/settings.rs
+++ b/dockgate/src/gateway/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a gateway: an INI file that the platform fills from a template.
+//! Settings of a gateway, read from an INI file that the platform generates from a template.
 
 use crate::error::DaemonError;
 use dockgate_core::gateway::{AdmissionRule, RetryRule};
@@ -10,63 +10,63 @@
 
 const ADDRESS: &str = "an IP number and a port, such as 10.0.0.7:8000";
 const NUMBER: &str = "a number of at least 0";
-const PROCESSOR: &str = "a part of a core above 0";
+const PROCESSOR: &str = "a fraction of a core above 0";
 const SECTION: &str = "gateway";
 const SECTIONS: [&str; 5] = ["box", "listen", "platform", SECTION, "admission"];
 
-/// Where a gateway listens.
+/// The addresses that a gateway listens on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub(crate) struct GatewayListen {
-    /// For callers.
+    /// Address for callers.
     pub(crate) callers: SocketAddr,
-    /// For the platform's question whether this box is ready.
+    /// Address for the platform's readiness probes.
     pub(crate) readiness: SocketAddr,
-    /// For other boxes that ask what this one knows.
+    /// Address for state requests of other boxes.
     pub(crate) state: SocketAddr,
-    /// For the datagrams of other boxes.
+    /// Address for datagrams of other boxes.
     pub(crate) peers: SocketAddr,
-    /// For those who collect metrics.
+    /// Address for metrics scrapes.
     pub(crate) metrics: SocketAddr,
 }
 
 /// The settings of a gateway.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub(crate) struct GatewaySettings {
-    /// The box's name.
+    /// Name of the box.
     pub(crate) name: String,
-    /// The box's failure domain.
+    /// Failure domain of the box.
     pub(crate) domain: String,
-    /// Its part of a core, in thousandths.
+    /// CPU share of the box, in thousandths of a core.
     pub(crate) processor: u32,
-    /// Where it listens.
+    /// Addresses to listen on.
     pub(crate) listen: GatewayListen,
-    /// Where the platform's store is.
+    /// Address of the platform's store.
     pub(crate) store: SocketAddr,
-    /// Where a few other boxes may be reached for state, for the first contact.
+    /// State addresses of other boxes for the first contact.
     pub(crate) seeds: Vec<SocketAddr>,
-    /// The most descriptors that the process may use.
+    /// Maximum number of file descriptors of the process.
     pub(crate) descriptors: usize,
-    /// How long the process has from the signal to stop until it is killed.
+    /// Time from the stop signal until the process is killed.
     pub(crate) stop_grace: Duration,
-    /// How long an endpoint that drains may still get what is under way.
+    /// Time for which a draining endpoint may still receive requests that are in flight.
     pub(crate) drain: Duration,
-    /// The window in which fair shares are counted.
+    /// Window over which fair shares are computed.
     pub(crate) share_window: Duration,
-    /// How many boxes the fleet may have, so that the slack of its budget is divided safely.
+    /// Maximum number of boxes in the fleet, among which the slack of the retry budget is divided.
     pub(crate) boxes: u32,
-    /// Further sends for each request, over the fleet.
+    /// Retries per request, over the fleet.
     pub(crate) retry_ratio: f64,
-    /// The window in which they are counted.
+    /// Window over which retries are counted.
     pub(crate) retry_window: Duration,
-    /// Further sends on top in each window, over the fleet.
+    /// Additional retries in each window, over the fleet.
     pub(crate) retry_slack: f64,
-    /// How engines admit prompts.
+    /// Rule by which engines admit prompts.
     #[serde(skip)]
     pub(crate) admission: AdmissionRule,
 }
 
 impl GatewaySettings {
-    /// Returns the fleet's budget for further sends.
+    /// Returns the retry budget of the fleet.
     pub(crate) const fn retry_rule(&self) -> RetryRule {
         RetryRule {
             ratio: self.retry_ratio,
@@ -76,11 +76,11 @@
         }
     }
 
-    /// Reads the settings of a file.
+    /// Loads the settings from a file.
     ///
     /// # Errors
     ///
-    /// Returns an error where the file cannot be read, or with every problem that it has.
+    /// Returns an error if the file cannot be read, or lists every invalid setting.
     pub(crate) fn load(path: &Path) -> Result<Self, DaemonError> {
         let name = path.display().to_string();
         let text = std::fs::read_to_string(path)
@@ -89,7 +89,7 @@
     }
 }
 
-/// Tells whether a settings file is that of a gateway; one that cannot be read is not.
+/// Returns whether a settings file has a gateway section; `false` if it cannot be read.
 pub(crate) fn is_gateway_file(path: &Path) -> bool {
     std::fs::read_to_string(path).is_ok_and(|text| has_gateway_section(&text))
 }
@@ -98,11 +98,11 @@
     text.lines().any(|line| line.trim() == "[gateway]")
 }
 
-/// Reads the text of a settings file.
+/// Parses the text of a settings file.
 ///
 /// # Errors
 ///
-/// Returns every problem that it has.
+/// Returns every invalid setting.
 pub(super) fn parse_settings(file: &str, text: &str) -> Result<GatewaySettings, IniProblems> {
     let mut document = IniDocument::parse(file, text)?;
     let mut sections = document.take_sections();
@@ -135,7 +135,7 @@
         document.close(section);
     }
     document.finish()?;
-    // A required key that is missing has been reported by now.
+    // `finish` has already reported missing required keys.
     let settings = settings.ok_or_else(|| IniProblems::Invalid(Vec::new()))?;
     Ok(GatewaySettings {
         admission: admission_rule,
@@ -156,17 +156,17 @@
 ) -> Option<GatewaySettings> {
     let name = identity.take_required("name", "the box's name");
     let domain = identity.take_required("domain", "the box's failure domain");
-    let processor = identity.take_checked("processor", 1.0, PROCESSOR, |part| *part > 0.0);
-    let mut address = |key: &str| listen.take_required::<SocketAddr>(key, ADDRESS);
-    let callers = address("callers");
-    let readiness = address("readiness");
-    let state = address("state");
-    let peers = address("peers");
-    let metrics = address("metrics");
+    let processor = identity.take_checked("processor", 1.0, PROCESSOR, |fraction| *fraction > 0.0);
+    let mut take_address = |key: &str| listen.take_required::<SocketAddr>(key, ADDRESS);
+    let callers = take_address("callers");
+    let readiness = take_address("readiness");
+    let state = take_address("state");
+    let peers = take_address("peers");
+    let metrics = take_address("metrics");
     let store = platform.take_required("store", ADDRESS);
     let seeds = gateway.take_list("seeds");
     let descriptors = gateway.take_checked("descriptors", 4_096, "at least 300", |n| *n >= 300);
-    // Defaults for a file that is written by hand; the platform's template fills all of them.
+    // Defaults for files written by hand; the platform's template sets every key.
     let stop_grace = take_seconds(gateway, "stop_grace_s", 8.0);
     let drain_ms = gateway.take_checked("drain_ms", 2_000, "at least 500", |ms| *ms >= 500);
     let share_window = take_seconds(gateway, "share_window_s", 4.0);
@@ -186,7 +186,7 @@
             metrics: metrics?,
         },
         store: store?,
-        // A seed that cannot be read is no reason not to start: there are others.
+        // An invalid seed does not prevent the start, since there are others.
         seeds: seeds.iter().filter_map(|seed| seed.parse().ok()).collect(),
         descriptors,
         stop_grace,
@@ -201,17 +201,17 @@
 }
 
 fn read_admission(section: &mut SectionReader) -> AdmissionRule {
-    const PART: &str = "a part from 0 to 2";
+    const FRACTION: &str = "a fraction from 0 to 2";
     let default = AdmissionRule::default();
-    let mut part = |key: &str, default: f64| {
-        section.take_checked(key, default, PART, |value| (0.0..=2.0).contains(value))
+    let mut fraction = |key: &str, default: f64| {
+        section.take_checked(key, default, FRACTION, |value| (0.0..=2.0).contains(value))
     };
     AdmissionRule {
-        most_part: part("most_part", default.most_part),
-        beyond_share_part: part("beyond_share_part", default.beyond_share_part),
-        own_read_part: part("own_read_part", default.own_read_part),
-        long_part: part("long_part", default.long_part),
-        memory_part: part("memory_part", default.memory_part),
+        most_part: fraction("most_part", default.most_part),
+        beyond_share_part: fraction("beyond_share_part", default.beyond_share_part),
+        own_read_part: fraction("own_read_part", default.own_read_part),
+        long_part: fraction("long_part", default.long_part),
+        memory_part: fraction("memory_part", default.memory_part),
     }
 }
 
--- a/dockgate/src/gateway/settings/tests.rs
+++ b/dockgate/src/gateway/settings/tests.rs
@@ -18,7 +18,7 @@
 ";
 
 #[test]
-fn what_is_not_set_has_a_default() {
+fn omitted_settings_have_defaults() {
     let settings = parse_settings("f.ini", TEXT).unwrap();
     assert_eq!(settings.seeds.len(), 2);
     assert_eq!(settings.retry_slack, 52.0);
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn every_problem_is_reported_with_its_line() {
+fn invalid_settings_are_reported_together() {
     let text = TEXT
         .replace("name = a1\n", "")
         .replace("retry_slack = 52", "retry_slack = -1");
--- a/dockgate/src/gateway/sockets.rs
+++ b/dockgate/src/gateway/sockets.rs
@@ -1,4 +1,4 @@
-//! Sockets that notice when the other side is gone.
+//! TCP sockets with options that detect a lost peer.
 
 use crate::error::DaemonError;
 use socket2::{SockRef, TcpKeepalive};
@@ -7,20 +7,21 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 
-/// Connections that wait to be accepted: a burst of callers must not lose its first packets, which
-/// are sent again only after seconds.
+/// Length of the accept queue. A full queue drops connection attempts, which are retransmitted only
+/// after seconds.
 const BACKLOG: u32 = 1_024;
-/// After how long without an acknowledgement a connection is given up: a link that is cut says
-/// nothing, and callers stop waiting for a stream after two seconds.
+/// Time without an acknowledgement after which a connection is closed. A cut link sends no reset,
+/// and callers wait two seconds for the next event of a stream.
 const USER_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// How long a connection rests before it is probed.
+/// Idle time before keepalive probes are sent.
 const KEEPALIVE_IDLE: Duration = Duration::from_secs(2);
 
-/// Opens a listener; what it accepts has its options on most systems ([`has_stream_options`]).
+/// Opens a listener. On most systems accepted connections inherit its options, see
+/// [`has_stream_options`].
 ///
 /// # Errors
 ///
-/// Returns an error where the address is taken.
+/// Returns an error if the address is in use.
 pub(super) fn listen(step: &'static str, address: SocketAddr) -> Result<TcpListener, DaemonError> {
     let open = || {
         let socket = TcpSocket::new_v4()?;
@@ -32,11 +33,11 @@
     open().map_err(|cause| DaemonError::Listen(step, address.to_string(), cause))
 }
 
-/// Sets what every connection needs: no delay, and an end when the other side falls silent.
+/// Disables Nagle's algorithm and enables keepalive and the user timeout.
 ///
 /// # Errors
 ///
-/// Returns an error where the system refuses an option.
+/// Returns an error if the system rejects an option.
 pub(super) fn set_stream_options(stream: &TcpStream) -> io::Result<()> {
     set_socket_options(&SockRef::from(stream))
 }
@@ -52,8 +53,9 @@
     Ok(())
 }
 
-/// Tells whether a connection has all that [`prepare`] sets, as it has where an accepted one takes over
-/// the options of its listener: six calls fewer for each caller that connects.
+/// Returns whether a connection has the options of [`set_stream_options`].
+///
+/// If accepted connections inherit them from the listener, setting them again can be skipped.
 pub(super) fn has_stream_options(stream: &TcpStream) -> bool {
     let socket = SockRef::from(stream);
     #[cfg(target_os = "linux")]
@@ -67,11 +69,11 @@
     has_user_timeout && has_keepalive && has_nodelay
 }
 
-/// Opens a connection to an endpoint.
+/// Connects to an endpoint.
 ///
 /// # Errors
 ///
-/// Returns an error where it cannot be reached within `timeout`.
+/// Returns an error if the endpoint cannot be reached within `timeout`.
 pub(super) async fn connect(address: SocketAddr, timeout: Duration) -> io::Result<TcpStream> {
     let stream = tokio::time::timeout(timeout, TcpStream::connect(address))
         .await
--- a/dockgate/src/gateway/sockets/tests.rs
+++ b/dockgate/src/gateway/sockets/tests.rs
@@ -9,6 +9,6 @@
     set_stream_options(&caller).unwrap();
     assert!(has_stream_options(&caller));
     let (accepted, _) = listener.accept().await.unwrap();
-    // A system on which they are not taken over is told by this, and each connection is prepared.
+    // On other systems the options are set on each accepted connection.
     assert_eq!(has_stream_options(&accepted), cfg!(target_os = "linux"));
 }
--- a/dockgate/src/gateway/supervised_task.rs
+++ b/dockgate/src/gateway/supervised_task.rs
@@ -1,8 +1,8 @@
-//! Tasks that run for as long as the process: one that panics is started anew.
+//! Long-running tasks that are restarted after a panic.
 //!
-//! Such a task reads what others wrote: datagrams, values of the store, settings. If one of these makes it
-//! panic, the box must neither go on without it, unaware, nor end: all boxes read the same, and what ended one of
-//! them would end the next one that takes its part over.
+//! These tasks read external input: datagrams, values of the store, settings. If an input causes a
+//! panic, the box must neither continue without the task nor exit: all boxes read the same input,
+//! so one bad value could end them one after the other.
 
 use super::events::{GatewayEvent, log_gateway};
 use super::gateway_metrics::GATEWAY_METRICS;
@@ -10,15 +10,15 @@
 use std::any::Any;
 use std::time::Duration;
 
-/// How long after it panicked a task is started anew at first; twice as long after each further time.
+/// Restart delay after the first panic; it doubles with each further one.
 const MIN_DELAY: Duration = Duration::from_millis(50);
-/// The longest such pause: what made it panic may be overwritten by then. A bound, within which boxes must
-/// know of an endpoint that leaves.
+/// Maximum restart delay. It is bounded by the time within which boxes have to learn that an
+/// endpoint is leaving.
 const MAX_DELAY: Duration = Duration::from_secs(2);
-/// After how long without a panic the next one counts as the first.
+/// Run time without a panic after which the restart delay is reset.
 const RESET_AFTER: Duration = Duration::from_secs(30);
 
-/// Runs a task until it ends by itself; `make_task` makes it, each time that it has to be started.
+/// Spawns the task that `make_task` creates, and restarts it after panics until it returns.
 pub(super) fn spawn_supervised<B, A>(name: &'static str, make_task: B)
 where
     B: Fn() -> A + Send + 'static,
@@ -28,7 +28,7 @@
         let mut delay = MIN_DELAY;
         loop {
             let started = ClockInstant::now();
-            // A task that is cancelled ends with its runtime.
+            // A task is only cancelled when its runtime shuts down.
             let Err(error) = tokio::spawn(make_task()).await else {
                 return;
             };
@@ -50,7 +50,7 @@
     });
 }
 
-/// Returns what a panic says.
+/// Returns the message of a panic.
 fn panic_message(panic: &(dyn Any + Send)) -> &str {
     let text = panic.downcast_ref::<&str>().copied();
     let owned = || panic.downcast_ref::<String>().map(String::as_str);
--- a/dockgate/src/gateway/supervised_task/tests.rs
+++ b/dockgate/src/gateway/supervised_task/tests.rs
@@ -3,7 +3,7 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use tokio::sync::Notify;
 
-/// What was read made the reader panic, and the box went on without one: it knew of no change any more.
+/// Guards against a box that misses all further changes after its reader has panicked once.
 #[tokio::test(start_paused = true)]
 async fn panicking_tasks_are_restarted_until_they_return() {
     let starts = Arc::new(AtomicU32::new(0));
@@ -13,7 +13,7 @@
         let (count, end) = (count.clone(), end.clone());
         async move {
             let times = count.fetch_add(1, Ordering::Relaxed);
-            assert!(times >= 3, "it cannot be read");
+            assert!(times >= 3, "invalid input");
             end.notify_one();
         }
     });
--- a/dockgate/src/gateway/suspension.rs
+++ b/dockgate/src/gateway/suspension.rs
@@ -1,8 +1,8 @@
-//! What a box does that finds that it was suspended.
+//! Handling of suspensions of the box.
 //!
-//! A box that is frozen finds all its timers over when it goes on, so that it asks the store and the other boxes
-//! anew before it serves anybody. The timers of a suspended one go on as if nothing had been: this makes up
-//! for it.
+//! After a mere pause of the process, all timers are due at once and the state is refreshed. During
+//! a suspension of the machine the runtime's timers stand still and continue where they stopped, so
+//! the state has to be marked as outdated explicitly.
 
 use super::events::{GatewayEvent, log_gateway};
 use super::gateway_metrics::GATEWAY_METRICS;
@@ -12,10 +12,10 @@
 use dockgate_core::gateway::ResumeGate;
 use std::time::Duration;
 
-/// How often a request that waits for the box to know the present looks whether it does.
+/// Interval at which a waiting request checks whether the state is up to date.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Looks whether the box was suspended since the last look, and does what is due then.
+/// Marks the state as outdated if the box was suspended since the last call.
 pub(super) fn handle_suspension(state: &GatewayState) {
     let Some(suspended) = detect_suspension() else {
         return;
@@ -27,14 +27,14 @@
         return;
     }
     state.mark_outdated();
-    // Who answers a connection is known once it is made anew: one that rested may be long dead, and what may run
-    // once cannot be sent again where it is.
+    // An idle connection may have died meanwhile, and a request that is not repeatable cannot be
+    // retried after it was written to one.
     state.pools.drop_all_resting();
     send_beat(state);
     state.decide_role();
 }
 
-/// Waits until the box knows the present again, or the deadline comes.
+/// Waits until the state is up to date or the deadline passes.
 pub(super) async fn wait_until_fresh(state: &GatewayState, deadline: ClockInstant) {
     handle_suspension(state);
     while !state.is_fresh() && !deadline.remaining().is_zero() {
@@ -43,7 +43,7 @@
 }
 
 impl GatewayState {
-    /// Tells whether what this box believes was heard since it woke last.
+    /// Returns whether the state was confirmed since the last resume.
     pub(super) fn is_fresh(&self) -> bool {
         let now = now_ms();
         self.with(|beliefs| {
@@ -55,7 +55,7 @@
         })
     }
 
-    /// Forgets that the store or other boxes were heard: the box has been away since.
+    /// Marks the state as outdated after a suspension.
     fn mark_outdated(&self) {
         let now = now_ms();
         self.with(|beliefs| beliefs.forget_reach(now));
