--- a/dockgate/src/clock.rs
+++ b/dockgate/src/clock.rs
@@ -1,9 +1,9 @@
-//! The daemon's clocks: what time has passed, also while the box was suspended.
+//! Clocks of the daemon, which include the time of suspensions.
 //!
-//! The steady clock of the system, and the runtime's timers with it, stand still while a machine is suspended;
-//! callers, endpoints and other boxes go on. So every age, deadline and window is measured by the clock that
-//! counts such a time, here alone, and whoever waits until a moment of it ([`timeout_at`]) is woken when the box
-//! has woken, since its timer would be late by the time away.
+//! The system's monotonic clock and the runtime's timers stand still while the machine is suspended,
+//! but callers, endpoints and other boxes continue. All ages, deadlines and windows are therefore
+//! measured by a clock that includes suspensions. Waits for an instant ([`timeout_at`]) are
+//! re-evaluated after a resume, since their timers would fire late by the suspended time.
 
 #[cfg(debug_assertions)]
 mod simulated_suspension;
@@ -17,49 +17,49 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// The clock that goes on during a suspension; where the system has none, the steady one.
+/// The clock that includes suspensions, or the monotonic one if the system has no such clock.
 #[cfg(target_os = "linux")]
 const BOOT_CLOCK: ClockId = ClockId::Boottime;
 #[cfg(not(target_os = "linux"))]
 const BOOT_CLOCK: ClockId = ClockId::Monotonic;
 
-/// From which growth of the difference between the clocks on the box was suspended: what their readings one
-/// after the other make is less.
+/// The shortest suspension that is detected. It exceeds the inaccuracy from reading the two clocks
+/// one after the other.
 const MIN_SUSPENSION: Duration = Duration::from_millis(20);
 
-/// Counts the suspensions that were noted.
+/// The number of detected suspensions.
 static RESUMES: LazyLock<watch::Sender<u64>> = LazyLock::new(|| watch::channel(0).0);
 
 fn read(clock: ClockId) -> Duration {
     let time = clock_gettime(clock);
-    // Both are times since the start of the system, which are not negative.
+    // The clocks are never negative.
     Duration::new(time.tv_sec as u64, time.tv_nsec as u32)
 }
 
-/// A moment by the clock that goes on while the box is suspended.
+/// An instant of the clock that includes suspensions.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct ClockInstant(Duration);
 
 impl ClockInstant {
-    /// Returns the present moment.
+    /// Returns the present instant.
     pub(crate) fn now() -> Self {
-        let counted = read(BOOT_CLOCK);
+        let boot_time = read(BOOT_CLOCK);
         #[cfg(debug_assertions)]
-        let counted = counted + simulated_suspension::suspended_time();
-        Self(counted)
+        let boot_time = boot_time + simulated_suspension::suspended_time();
+        Self(boot_time)
     }
 
-    /// Returns how long ago the moment was.
+    /// Returns the time since this instant.
     pub(crate) fn elapsed(self) -> Duration {
         Self::now().duration_since(self)
     }
 
-    /// Returns the time from an earlier moment to this one; zero where that one is later.
+    /// Returns the time since an earlier instant, or zero if that one is later.
     pub(crate) const fn duration_since(self, earlier: Self) -> Duration {
         self.0.saturating_sub(earlier.0)
     }
 
-    /// Returns the time until the moment; zero where it has passed.
+    /// Returns the time until this instant, or zero if it has passed.
     pub(crate) fn remaining(self) -> Duration {
         self.duration_since(Self::now())
     }
@@ -73,27 +73,29 @@
     }
 }
 
-/// Returns milliseconds of a clock that never goes back, starting near one at the first call.
+/// Returns milliseconds since the first call, plus one; they never decrease.
 pub(crate) fn now_ms() -> u64 {
     static START: OnceLock<ClockInstant> = OnceLock::new();
     let start = START.get_or_init(ClockInstant::now);
     start.elapsed().as_millis() as u64 + 1
 }
 
-/// Returns milliseconds of Unix time, for people and for what other processes compare.
+/// Returns the Unix time in milliseconds, for logs and for comparison by other processes.
 pub(crate) fn unix_ms() -> u64 {
     read(ClockId::Realtime).as_millis() as u64
 }
 
-/// Returns by how much the clock that counts suspensions is ahead of the steady one, or somewhat less: the time
-/// between the two readings is taken off, however long the process waits for the processor there.
+/// Returns the total suspended time: the lead of the boot clock over the monotonic one.
+///
+/// The result is too low by the time between the two readings, and never too high.
 fn suspended_time() -> Duration {
-    let counted = ClockInstant::now().0;
-    counted.saturating_sub(read(ClockId::Monotonic))
+    let boot_time = ClockInstant::now().0;
+    boot_time.saturating_sub(read(ClockId::Monotonic))
 }
 
-/// Returns for how long the box was suspended since this was asked last, if it was, and wakes all that waits for
-/// moments that may have passed meanwhile.
+/// Returns the duration of a suspension since the last call, if there was one.
+///
+/// Wakes all waits for instants that may have passed meanwhile.
 pub(crate) fn detect_suspension() -> Option<Duration> {
     static LAST_US: OnceLock<AtomicU64> = OnceLock::new();
     let now_us = suspended_time().as_micros() as u64;
@@ -109,7 +111,7 @@
     Some(suspended)
 }
 
-/// Looks again and again whether the box was suspended, until the process ends.
+/// Detects and logs suspensions until the process ends.
 pub(crate) async fn watch_suspensions() {
     const POLL_INTERVAL: Duration = Duration::from_millis(100);
     loop {
@@ -120,22 +122,22 @@
     }
 }
 
-/// Tells of each suspension that is noted from now on.
+/// Subscribes to the suspensions that are detected from now on.
 pub(crate) fn subscribe_resumes() -> watch::Receiver<u64> {
     RESUMES.subscribe()
 }
 
-/// The time for something was over.
+/// The error of an operation that did not complete in time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct TimedOut;
 
-/// Waits for something until a moment, which may pass while the box is suspended.
+/// Waits for a future until a deadline, which may pass during a suspension.
 ///
 /// # Errors
 ///
-/// Returns an error where the moment has come first.
+/// Returns an error if the deadline passes first.
 pub(crate) async fn timeout_at<F: Future>(
-    moment: ClockInstant,
+    deadline: ClockInstant,
     future: F,
 ) -> Result<F::Output, TimedOut> {
     let mut resumes = subscribe_resumes();
@@ -144,18 +146,18 @@
         tokio::select! {
             biased;
             output = &mut future => return Ok(output),
-            () = tokio::time::sleep(moment.remaining()) => return Err(TimedOut),
-            // The channel lives as long as the process.
+            () = tokio::time::sleep(deadline.remaining()) => return Err(TimedOut),
+            // The sender is static, so the channel is never closed.
             _ = resumes.changed() => {}
         }
     }
 }
 
-/// Waits for something for a time, which may pass while the box is suspended.
+/// Waits for a future for a time that includes suspensions.
 ///
 /// # Errors
 ///
-/// Returns an error where the time is over first.
+/// Returns an error if the time has elapsed first.
 pub(crate) async fn timeout<F: Future>(time: Duration, future: F) -> Result<F::Output, TimedOut> {
     timeout_at(ClockInstant::now() + time, future).await
 }
--- a/dockgate/src/clock/tests.rs
+++ b/dockgate/src/clock/tests.rs
@@ -1,9 +1,9 @@
 use super::simulated_suspension::simulate_suspension;
 use super::*;
 
-/// One test, as the clock is that of the whole process.
+/// A single test, since all tests of a process share its clock.
 #[tokio::test]
-async fn what_waits_for_a_moment_is_woken_by_a_suspension() {
+async fn timeouts_include_suspensions() {
     let _ = detect_suspension();
     let start = ClockInstant::now();
     let hour = Duration::from_secs(3_600);
@@ -11,15 +11,15 @@
     let longer = tokio::spawn(timeout(hour * 3, std::future::pending::<()>()));
     tokio::task::yield_now().await;
     simulate_suspension(hour);
-    assert!(start.elapsed() >= hour, "all clocks have gone on");
+    assert!(start.elapsed() >= hour, "the clock includes the suspension");
     let suspended = detect_suspension().unwrap();
     assert!(
         suspended <= hour && suspended + MIN_SUSPENSION >= hour,
         "{suspended:?}"
     );
-    assert_eq!(detect_suspension(), None, "it is told once");
+    assert_eq!(detect_suspension(), None, "a suspension is reported once");
     assert_eq!(waiting.await.unwrap(), Err(TimedOut));
-    assert!(!longer.is_finished(), "its time is not over");
+    assert!(!longer.is_finished(), "its time has not elapsed");
     longer.abort();
     assert_eq!(timeout(hour, async { 7 }).await, Ok(7));
 }
--- a/dockgate/src/gateway/events.rs
+++ b/dockgate/src/gateway/events.rs
@@ -328,15 +328,15 @@
 /// Changes of the box's state and lines about sampled requests are always written. Lines about
 /// other requests and about invalid values in the store are rate-limited, and the excess is counted.
 pub(super) fn log_gateway(event: &GatewayEvent) {
-    static BUDGET: Mutex<LineRateLimiter> = Mutex::new(LineRateLimiter::new());
+    static LIMITER: Mutex<LineRateLimiter> = Mutex::new(LineRateLimiter::new());
     let is_frequent = event.is_frequent();
-    let mut budget = BUDGET.lock().unwrap_or_else(PoisonError::into_inner);
-    if is_frequent && !budget.take(now_ms()) {
+    let mut limiter = LIMITER.lock().unwrap_or_else(PoisonError::into_inner);
+    if is_frequent && !limiter.admit(now_ms()) {
         GATEWAY_METRICS.lines_held_back.inc();
         return;
     }
     if is_frequent {
-        let count = budget.take_held_back();
+        let count = limiter.take_suppressed();
         if count > 0 {
             log_line(&GatewayEvent::LinesHeldBack { count });
         }
--- a/dockgate/src/gateway/readiness.rs
+++ b/dockgate/src/gateway/readiness.rs
@@ -1,4 +1,4 @@
-//! Tells the platform whether callers may be sent here, and others what was counted.
+//! HTTP servers for the platform's readiness probes and for metrics.
 
 use super::gateway_gauges::GATEWAY_GAUGES;
 use super::gateway_state::GatewayState;
@@ -14,7 +14,7 @@
 use std::sync::Arc;
 use tokio::net::TcpListener;
 
-/// Serves small answers on a listener until the process ends.
+/// Serves responses that are made at once, until the process ends.
 async fn serve_responses<F>(listener: TcpListener, respond: F)
 where
     F: Fn(&Request<Incoming>) -> Response<Full<Bytes>> + Clone + Send + Sync + 'static,
@@ -23,13 +23,13 @@
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(error) => {
-                log::warn!("accept: {error}");
+                log::warn!("cannot accept a connection: {error}");
                 tokio::task::yield_now().await;
                 continue;
             }
         };
         if let Err(error) = super::sockets::set_stream_options(&stream) {
-            log::debug!("prepare a connection: {error}");
+            log::debug!("cannot set the options of a connection: {error}");
             continue;
         }
         let respond = respond.clone();
@@ -40,7 +40,7 @@
             });
             let served = Builder::new().serve_connection(TokioIo::new(stream), service);
             if let Err(error) = served.await {
-                log::debug!("small answers: {error}");
+                log::debug!("readiness or metrics connection failed: {error}");
             }
         });
     }
@@ -52,7 +52,7 @@
     response
 }
 
-/// Tells whether callers may be sent here.
+/// Serves readiness probes: 200 if the box accepts new callers, else 503.
 pub(super) async fn serve_readiness(state: Arc<GatewayState>, listener: TcpListener) {
     serve_responses(listener, move |_| {
         let is_ready = state.is_ready();
@@ -65,7 +65,7 @@
     .await;
 }
 
-/// Tells what was counted.
+/// Serves the metrics at `/metrics`.
 pub(super) async fn serve_metrics(state: Arc<GatewayState>, listener: TcpListener) {
     serve_responses(listener, move |request| match request.uri().path() {
         "/metrics" => {
--- a/dockgate/src/gateway/reload.rs
+++ b/dockgate/src/gateway/reload.rs
@@ -1,4 +1,4 @@
-//! Reads the settings again: on SIGHUP, and when the file has changed without one.
+//! Reloads the settings on SIGHUP and when the file has changed.
 
 use super::events::{GatewayEvent, log_gateway};
 use super::gateway_state::GatewayState;
@@ -8,10 +8,10 @@
 use std::time::Duration;
 use tokio::signal::unix::Signal;
 
-/// How often the file is looked at without a signal.
+/// Interval at which the file is checked without a signal.
 const POLL_INTERVAL: Duration = Duration::from_secs(3);
 
-/// Waits for SIGHUP, or for ever where the system gives no handler.
+/// Waits for SIGHUP, or forever if there is no handler.
 async fn recv_signal(signals: &mut Option<Signal>) {
     match signals {
         Some(signals) => {
@@ -21,7 +21,7 @@
     }
 }
 
-/// Follows the settings file until the process ends; what cannot be read changes nothing.
+/// Watches the settings file until the process ends. Invalid settings are logged and ignored.
 pub(super) async fn watch_settings(
     state: Arc<GatewayState>,
     path: PathBuf,
--- a/dockgate/src/gateway/tracked_io.rs
+++ b/dockgate/src/gateway/tracked_io.rs
@@ -1,4 +1,4 @@
-//! A caller's connection, with what is known of it, so that idle and half-sent ones can be closed.
+//! Tracks the activity of callers' connections, so that idle and incomplete ones can be closed.
 
 use crate::clock::now_ms;
 use crate::shared_stream::{DisconnectMonitor, SharedStream};
@@ -11,25 +11,25 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::sync::Notify;
 
-/// How long a connection that is to be closed may take to read what has arrived: the runtime asks
-/// the system for it at least once in that time.
+/// Time for a connection to read received data before it is closed. The runtime polls the socket at
+/// least once in that time.
 const FINAL_READ_TIMEOUT: Duration = Duration::from_millis(1);
 
-/// What is known of one caller's connection.
+/// Activity of a caller's connection.
 #[derive(Debug)]
 pub(super) struct ConnectionState {
-    /// When it was last used, in milliseconds of the daemon's clock.
+    /// Time of the last use, in milliseconds of the daemon's clock.
     last_used_ms: AtomicU64,
-    /// Requests that are being answered.
+    /// Number of requests in progress.
     busy: AtomicU32,
-    /// Whether bytes of a request have come that is not whole yet.
+    /// Whether an incomplete request has been received.
     partial: AtomicBool,
-    /// Tells the connection's task to close it.
+    /// Notifies the connection's task to close the connection.
     pub(super) close: Notify,
 }
 
 impl ConnectionState {
-    /// Makes the state of a connection that has just been accepted.
+    /// Creates the state of a newly accepted connection.
     pub(super) fn new() -> Self {
         Self {
             last_used_ms: AtomicU64::new(now_ms()),
@@ -39,13 +39,13 @@
         }
     }
 
-    /// Notes that a request is whole.
+    /// Records that a request was received completely.
     pub(super) fn begin_request(&self) {
         self.partial.store(false, Ordering::Relaxed);
         self.busy.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Notes that an answer is whole, or that nobody waits for it any more.
+    /// Records that a response is complete or was abandoned.
     pub(super) fn end_request(&self) {
         self.busy.fetch_sub(1, Ordering::Relaxed);
         self.last_used_ms.store(now_ms(), Ordering::Relaxed);
@@ -57,25 +57,24 @@
         }
     }
 
-    /// Returns when the connection was last used.
+    /// Returns the time of the last use, in milliseconds of the daemon's clock.
     pub(super) fn last_used_ms(&self) -> u64 {
         self.last_used_ms.load(Ordering::Relaxed)
     }
 
-    /// Tells whether a request is being answered.
+    /// Returns whether a request is in progress.
     pub(super) fn is_busy(&self) -> bool {
         self.busy.load(Ordering::Relaxed) > 0
     }
 
-    /// Serves the connection until that ends, until its caller has left, or until it is told to close while
-    /// no request is being answered; returns none in both latter cases.
+    /// Serves the connection until it ends, until its caller disconnects, or until `close` is
+    /// notified while no request is in progress; returns `None` in the latter two cases.
     ///
-    /// Who tells it to close has not seen what has arrived since: a request that crosses the close
-    /// is read, and answered, first.
+    /// A request that was received before the close is read and answered first.
     ///
-    /// The library that serves it does not see its caller leave behind bytes that it has no use for yet, such as
-    /// the next request: work went on for 2.9 s after the caller had gone, until the answer was made, and the next
-    /// request was begun then. So the system is asked beside it, and before it.
+    /// The HTTP library does not detect a disconnect behind bytes that it has not read, such as
+    /// the next request. The operating system is therefore polled as well, and first, so that
+    /// no request is processed or started for a caller that has disconnected.
     pub(super) async fn serve_until_closed<F: Future>(
         &self,
         mut connection: Pin<&mut F>,
@@ -100,7 +99,7 @@
         }
     }
 
-    /// Tells whether the connection has rested, or sent a part of a request, for too long.
+    /// Returns whether the connection has been idle or its request incomplete for too long.
     pub(super) fn is_overdue(&self, now_ms: u64, head_ms: u64, idle_ms: u64) -> bool {
         let idle_time_ms = now_ms.saturating_sub(self.last_used_ms.load(Ordering::Relaxed));
         let limit = if self.partial.load(Ordering::Relaxed) {
@@ -112,7 +111,7 @@
     }
 }
 
-/// A stream that notes what is read from it.
+/// A stream that records reads in its connection's state.
 pub(super) struct TrackedIo {
     stream: SharedStream,
     state: Arc<ConnectionState>,
--- a/dockgate/src/gateway/tracked_io/disconnect_tests.rs
+++ b/dockgate/src/gateway/tracked_io/disconnect_tests.rs
@@ -1,4 +1,4 @@
-//! What a caller sends, and when it leaves, in any order: nothing goes on for it afterwards.
+//! Callers send requests and disconnect in any order: no work continues afterwards.
 
 use super::*;
 use crate::shared_stream::tests::pair;
@@ -14,27 +14,27 @@
 use tokio::io::AsyncWriteExt;
 use tokio::sync::Semaphore;
 
-/// What a caller does, or what is done for it.
+/// A step of the simulated caller or its service.
 #[derive(Debug, Clone)]
 enum CallerStep {
-    /// It sends a whole request with a body of so many bytes.
+    /// The caller sends a complete request with a body of this size.
     Send { body: usize, is_chunked: bool },
-    /// It sends the first bytes of one.
+    /// The caller sends the first bytes of a request.
     SendPart { bytes: usize },
-    /// It sends an empty line.
-    SendLine,
-    /// Its oldest request is answered.
+    /// The caller sends an empty line.
+    SendEmptyLine,
+    /// The service answers the oldest request.
     Answer,
-    /// Everybody gets a turn.
-    Turn,
+    /// All tasks run.
+    RunTasks,
 }
 
-/// How it leaves in the end.
+/// How the caller disconnects.
 #[derive(Debug, Clone, Copy)]
-enum CallerEnd {
-    Closes,
-    Resets,
-    EndsSending,
+enum DisconnectKind {
+    Close,
+    Reset,
+    HalfClose,
 }
 
 fn step() -> impl Strategy<Value = CallerStep> {
@@ -42,17 +42,17 @@
         4 => (0_usize..3_000, any::<bool>())
             .prop_map(|(body, is_chunked)| CallerStep::Send { body, is_chunked }),
         1 => (1_usize..60).prop_map(|bytes| CallerStep::SendPart { bytes }),
-        1 => Just(CallerStep::SendLine),
+        1 => Just(CallerStep::SendEmptyLine),
         2 => Just(CallerStep::Answer),
-        2 => Just(CallerStep::Turn),
+        2 => Just(CallerStep::RunTasks),
     ]
 }
 
-fn end() -> impl Strategy<Value = CallerEnd> {
+fn end() -> impl Strategy<Value = DisconnectKind> {
     prop_oneof![
-        Just(CallerEnd::Closes),
-        Just(CallerEnd::Resets),
-        Just(CallerEnd::EndsSending)
+        Just(DisconnectKind::Close),
+        Just(DisconnectKind::Reset),
+        Just(DisconnectKind::HalfClose)
     ]
 }
 
@@ -70,72 +70,78 @@
     .into_bytes()
 }
 
-/// What a service has seen.
+/// Counters of the service.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-struct WorkSeen {
-    /// Requests that went on to an endpoint, as their caller was there.
+struct WorkCounters {
+    /// Requests whose caller was connected, so that they were sent to an endpoint.
     sent: usize,
-    /// Those that are not answered, and not dropped.
-    working: usize,
+    /// Requests that are neither answered nor dropped.
+    in_progress: usize,
 }
 
-/// Counts a request while it is worked on.
-struct WorkGuard(Arc<Mutex<WorkSeen>>);
+/// Counts a request while it is processed.
+struct InProgressGuard(Arc<Mutex<WorkCounters>>);
 
-impl WorkGuard {
-    fn new(seen: &Arc<Mutex<WorkSeen>>) -> Self {
-        let mut counts = seen.lock().unwrap();
-        counts.sent += 1;
-        counts.working += 1;
-        Self(seen.clone())
+impl InProgressGuard {
+    fn new(counters: &Arc<Mutex<WorkCounters>>) -> Self {
+        let mut service_counters = counters.lock().unwrap();
+        service_counters.sent += 1;
+        service_counters.in_progress += 1;
+        Self(counters.clone())
     }
 }
 
-impl Drop for WorkGuard {
+impl Drop for InProgressGuard {
     fn drop(&mut self) {
-        self.0.lock().unwrap().working -= 1;
+        self.0.lock().unwrap().in_progress -= 1;
     }
 }
 
-/// Works on a request as a call does: reads it, looks for its caller before it goes on, and is answered later.
-async fn work(
+/// Processes a request as a call does: reads it, checks its caller, and waits for the answer.
+async fn process(
     request: Request<Incoming>,
     caller: DisconnectMonitor,
-    seen: Arc<Mutex<WorkSeen>>,
+    counters: Arc<Mutex<WorkCounters>>,
     answers: Arc<Semaphore>,
 ) -> Response<Full<Bytes>> {
     let body = request.into_body().collect().await;
     if body.is_ok() && !caller.is_disconnected() {
-        let _guard = WorkGuard::new(&seen);
+        let _guard = InProgressGuard::new(&counters);
         answers.acquire().await.unwrap().forget();
     }
     Response::new(Full::new(Bytes::from_static(b"done")))
 }
 
-async fn turn() {
+async fn run_tasks() {
     tokio::time::sleep(Duration::from_millis(1)).await;
 }
 
-/// Plays what a caller does until it has left; `is_answered` tells whether its oldest request is answered then.
-async fn play(
+/// Simulates a caller until it has disconnected; `is_answered` answers its oldest request then.
+async fn simulate_caller(
     steps: Vec<CallerStep>,
-    end: CallerEnd,
+    end: DisconnectKind,
     is_answered: bool,
 ) -> Result<(), TestCaseError> {
     let (mut caller, stream) = pair().await;
     let monitor = stream.disconnect_monitor();
     let connection = Arc::new(ConnectionState::new());
-    let seen = Arc::<Mutex<WorkSeen>>::default();
+    let counters = Arc::<Mutex<WorkCounters>>::default();
     let answers = Arc::new(Semaphore::new(0));
-    let (state, counts, permits) = (connection.clone(), seen.clone(), answers.clone());
+    let (state, service_counters, permits) =
+        (connection.clone(), counters.clone(), answers.clone());
     let served = tokio::spawn(async move {
         let io = TokioIo::new(TrackedIo::new(stream, state.clone()));
         let service = service_fn(|request| {
             state.begin_request();
-            let worked = work(request, monitor.clone(), counts.clone(), permits.clone());
+            let processed = process(
+                request,
+                monitor.clone(),
+                service_counters.clone(),
+                permits.clone(),
+            );
             let state = state.clone();
             async move {
-                let response = worked.await;
+                let response = processed.await;
                 state.end_request();
                 Ok::<_, Infallible>(response)
             }
@@ -154,64 +160,70 @@
                 let text = request_text(40, false);
                 let _ = caller.write_all(&text[..bytes.min(text.len() - 1)]).await;
             }
-            CallerStep::SendLine => {
+            CallerStep::SendEmptyLine => {
                 let _ = caller.write_all(b"\r\n").await;
             }
             CallerStep::Answer => answers.add_permits(1),
-            CallerStep::Turn => turn().await,
+            CallerStep::RunTasks => run_tasks().await,
         }
         let _ = caller.try_read(&mut answer);
     }
-    let _kept = match end {
-        CallerEnd::Closes => {
+    let _half_closed = match end {
+        DisconnectKind::Close => {
             drop(caller);
             None
         }
-        CallerEnd::Resets => {
+        DisconnectKind::Reset => {
             caller.set_zero_linger().unwrap();
             drop(caller);
             None
         }
-        CallerEnd::EndsSending => {
+        DisconnectKind::HalfClose => {
             caller.shutdown().await.unwrap();
             Some(caller)
         }
     };
-    // No task runs meanwhile, but the system hears of the end: from here on the box could have seen it.
+    // No task runs meanwhile, but the system receives the end of the connection.
     std::thread::sleep(Duration::from_millis(2));
-    let sent = seen.lock().unwrap().sent;
+    let sent = counters.lock().unwrap().sent;
     answers.add_permits(usize::from(is_answered));
     for _ in 0..500 {
         if served.is_finished() {
             break;
         }
-        turn().await;
+        run_tasks().await;
     }
-    prop_assert!(served.is_finished(), "it is served on");
-    let ended = *seen.lock().unwrap();
-    prop_assert_eq!(ended, WorkSeen { sent, working: 0 });
+    prop_assert!(served.is_finished(), "the connection is still served");
+    let final_counters = *counters.lock().unwrap();
+    prop_assert_eq!(
+        final_counters,
+        WorkCounters {
+            sent,
+            in_progress: 0
+        }
+    );
     Ok(())
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(200))]
 
-    /// Once the system knows that a caller has left, nothing more is sent for it, and all that runs ends.
+    /// Guards against work for a caller whose disconnect the system has already seen.
     #[test]
-    fn nothing_is_begun_or_goes_on_for_a_caller_who_has_left(
+    fn no_request_starts_or_continues_after_a_disconnect(
         steps in prop::collection::vec(step(), 1..14),
         end in end(),
         is_answered in any::<bool>(),
     ) {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-        runtime.block_on(play(steps, end, is_answered))?;
+        runtime.block_on(simulate_caller(steps, end, is_answered))?;
     }
 }
 
-/// The library had read some of the requests and not the rest when the caller left; the next one was sent, as the
-/// runtime had not asked the system yet and bytes stood before the end.
+/// Guards against sending a pipelined request when unread bytes precede the disconnect and the
+/// runtime has not polled the socket yet.
 #[tokio::test]
-async fn an_end_behind_bytes_is_seen_before_the_runtime_has_asked_for_it() {
+async fn disconnects_behind_unread_bytes_are_detected_before_a_poll() {
     let sends = [
         (1_324, false),
         (2_430, true),
@@ -221,5 +233,7 @@
         (1_236, true),
     ];
     let steps = sends.map(|(body, is_chunked)| CallerStep::Send { body, is_chunked });
-    play(steps.to_vec(), CallerEnd::Closes, true).await.unwrap();
+    simulate_caller(steps.to_vec(), DisconnectKind::Close, true)
+        .await
+        .unwrap();
 }
--- a/dockgate/src/gateway/tracked_io/tests.rs
+++ b/dockgate/src/gateway/tracked_io/tests.rs
@@ -5,16 +5,16 @@
 const IDLE_MS: u64 = 15_000;
 
 #[test]
-fn a_connection_is_not_overdue_before_its_task_has_run() {
-    // The clock counts from the start of the process, which may be long ago.
-    let born_ms = now_ms();
+fn new_connections_are_not_overdue() {
+    // The clock starts with the process, long before the connection.
+    let started_ms = now_ms();
     let state = ConnectionState::new();
-    assert!(state.last_used_ms() >= born_ms);
-    assert!(!state.is_overdue(born_ms + IDLE_MS - 1, HEAD_MS, IDLE_MS));
+    assert!(state.last_used_ms() >= started_ms);
+    assert!(!state.is_overdue(started_ms + IDLE_MS - 1, HEAD_MS, IDLE_MS));
 }
 
 #[test]
-fn rest_and_half_a_head_are_bounded_and_work_is_not() {
+fn idle_time_and_incomplete_heads_are_bounded_unlike_busy_time() {
     let state = ConnectionState::new();
     let now = now_ms();
     assert!(state.is_overdue(now + IDLE_MS + 100, HEAD_MS, IDLE_MS));
@@ -26,9 +26,8 @@
     assert!(!state.is_overdue(now_ms() + HEAD_MS + 100, HEAD_MS, IDLE_MS));
 }
 
-/// Reads a request a moment after it is first polled, and answers it a while later, as a connection
-/// does whose request has arrived and was not read yet.
-async fn answer_one(connection: &ConnectionState) -> &'static str {
+/// Simulates a connection whose received request is read after the first poll.
+async fn answer_one_request(connection: &ConnectionState) -> &'static str {
     tokio::task::yield_now().await;
     connection.begin_request();
     tokio::time::sleep(Duration::from_millis(30)).await;
@@ -36,31 +35,30 @@
     "answered"
 }
 
-/// On a day of 64 boxes a box that was short of processor closed a connection 370 ms after a request
-/// had been sent on it.
+/// Guards against a close that drops a request which was received but not read yet.
 #[tokio::test]
-async fn a_request_that_crosses_the_close_is_answered() {
+async fn requests_received_before_the_close_are_answered() {
     let (_caller, stream) = pair().await;
     let connection = ConnectionState::new();
     connection.close.notify_one();
-    let served = std::pin::pin!(answer_one(&connection));
+    let request = std::pin::pin!(answer_one_request(&connection));
     assert_eq!(
         connection
-            .serve_until_closed(served, &stream.disconnect_monitor())
+            .serve_until_closed(request, &stream.disconnect_monitor())
             .await,
         Some("answered")
     );
 }
 
 #[tokio::test]
-async fn a_connection_at_rest_is_closed_when_it_is_told_to() {
+async fn idle_connections_are_closed_on_notification() {
     let (_caller, stream) = pair().await;
     let connection = ConnectionState::new();
     connection.close.notify_one();
-    let served = std::pin::pin!(std::future::pending::<()>());
+    let request = std::pin::pin!(std::future::pending::<()>());
     assert_eq!(
         connection
-            .serve_until_closed(served, &stream.disconnect_monitor())
+            .serve_until_closed(request, &stream.disconnect_monitor())
             .await,
         None
     );
--- a/dockgate/src/logging.rs
+++ b/dockgate/src/logging.rs
@@ -1,4 +1,4 @@
-//! Logs as JSON lines: one object a line, and one line for each decision.
+//! Logging as JSON lines, with one line for each decision.
 
 mod line_rate_limiter;
 mod line_writer;
@@ -12,7 +12,7 @@
 use serde::Serialize;
 use std::io::Write;
 
-/// The target of lines whose message is already a JSON object.
+/// Log target of records whose message is a JSON object.
 const EVENT_TARGET: &str = "event";
 
 #[derive(Serialize)]
@@ -29,12 +29,12 @@
     event: Option<Box<serde_json::value::RawValue>>,
 }
 
-/// Starts logging; `DOCKGATE_LOG` filters as `env_logger` says, `info` by default.
+/// Initializes logging. `DOCKGATE_LOG` sets the `env_logger` filter, which is `info` by default.
 pub(crate) fn init(name: &str) {
     let name = name.to_owned();
     let target = match LineWriter::start(std::io::stdout()) {
         Ok(writer) => Target::Pipe(Box::new(writer)),
-        // Without a thread the lines are written in place.
+        // If the thread cannot be started, the lines are written synchronously.
         Err(_) => Target::Stdout,
     };
     Builder::from_env(Env::new().filter_or("DOCKGATE_LOG", "info,jsonrpsee=error"))
@@ -59,11 +59,11 @@
         .init();
 }
 
-/// Something that happened, as typed fields of one log line.
+/// An event, logged as typed fields of one line.
 #[derive(Debug, Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub(crate) enum LogEvent<'a> {
-    /// A request was bound to an endpoint.
+    /// A request was assigned to an endpoint.
     Routed {
         request: &'a str,
         workspace: &'a str,
@@ -83,7 +83,7 @@
         cost: u64,
         took_ms: u64,
     },
-    /// A slot was given to a workspace.
+    /// A slot was granted to a workspace.
     Granted {
         grant: String,
         pool: u32,
@@ -91,11 +91,11 @@
         endpoint: u32,
         entry: String,
     },
-    /// A running stream was asked to give its slot up for a while.
+    /// A running stream was asked to release its slot temporarily.
     PauseAsked { grant: String, entry: String },
-    /// A configuration came into force.
+    /// A configuration took effect.
     Configured { version: u64, source: &'a str },
-    /// The endpoints that this box schedules changed.
+    /// The set of endpoints that this box schedules changed.
     Owned { endpoints: usize, boxes: usize },
     /// A link to a peer opened or closed.
     Link {
@@ -103,19 +103,19 @@
         up: bool,
         reason: String,
     },
-    /// A caller, peer or operator was turned away at a door.
+    /// A connection of a caller, peer or operator was rejected by a listener.
     TurnedAway {
         door: &'a str,
         peer: String,
         reason: &'a str,
     },
-    /// A peer's message named something unknown here.
+    /// A peer's message with an unknown reference was ignored.
     Ignored {
         step: &'a str,
         peer: String,
         reason: &'a str,
     },
-    /// The daemon goes from one state to another.
+    /// The daemon changed its lifecycle state.
     Lifecycle { state: &'a str },
 }
 
@@ -124,7 +124,7 @@
     log_line(event);
 }
 
-/// Writes typed fields as one line.
+/// Writes a serializable value as one line.
 pub(crate) fn log_line(event: &impl Serialize) {
     if log::log_enabled!(target: EVENT_TARGET, log::Level::Info) {
         let text = serde_json::to_string(event).unwrap_or_default();
--- a/dockgate/src/logging/line_rate_limiter.rs
+++ b/dockgate/src/logging/line_rate_limiter.rs
@@ -1,49 +1,46 @@
-//! How many lines about requests are written in a second.
+//! Rate limit of log lines about requests.
 //!
-//! A flood of refusals must not become a flood of lines: each costs processor time that the refusals
-//! need, and whoever keeps the logs pays for all of them.
+//! It bounds the processor time and the log volume when many requests are refused at once.
 
-/// Lines about requests within the current second.
+/// Limits the lines about requests in each second, and counts the suppressed ones.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct LineRateLimiter {
     second: u64,
-    taken: u64,
-    held_back: u64,
+    admitted: u64,
+    suppressed: u64,
 }
 
 impl LineRateLimiter {
-    /// The most lines about requests that are written in a second, beside those of sampled requests.
-    /// At 400 bytes each a box writes 80 KB a second; on the users' loaded days a box refuses up to
-    /// 60 requests a second, and one that has a flood refuses thousands.
-    pub(crate) const MOST_A_SECOND: u64 = 200;
+    /// Maximum number of lines per second, excluding those of sampled requests.
+    pub(crate) const MAX_PER_SECOND: u64 = 200;
 
-    /// Creates the budget of a process that has written nothing.
+    /// Creates a limiter that has admitted no lines.
     pub(crate) const fn new() -> Self {
         Self {
             second: 0,
-            taken: 0,
-            held_back: 0,
+            admitted: 0,
+            suppressed: 0,
         }
     }
 
-    /// Takes a line from the budget; returns whether it may be written.
-    pub(crate) const fn take(&mut self, now_ms: u64) -> bool {
+    /// Returns whether a line may be written now, and counts it.
+    pub(crate) const fn admit(&mut self, now_ms: u64) -> bool {
         let second = now_ms / 1_000;
         if second != self.second {
             self.second = second;
-            self.taken = 0;
+            self.admitted = 0;
         }
-        let free = self.taken < Self::MOST_A_SECOND;
-        match free {
-            true => self.taken += 1,
-            false => self.held_back += 1,
+        let is_admitted = self.admitted < Self::MAX_PER_SECOND;
+        match is_admitted {
+            true => self.admitted += 1,
+            false => self.suppressed += 1,
         }
-        free
+        is_admitted
     }
 
-    /// Returns how many lines were held back since this was asked last.
-    pub(crate) const fn take_held_back(&mut self) -> u64 {
-        std::mem::replace(&mut self.held_back, 0)
+    /// Returns the number of lines that were suppressed since the last call.
+    pub(crate) const fn take_suppressed(&mut self) -> u64 {
+        std::mem::replace(&mut self.suppressed, 0)
     }
 }
 
--- a/dockgate/src/logging/line_writer.rs
+++ b/dockgate/src/logging/line_writer.rs
@@ -1,4 +1,4 @@
-//! Writes log lines on a thread of its own, so that a reader who stops reading holds nobody up.
+//! Writes log lines on a separate thread, so that a reader that stalls does not block the daemon.
 
 use crate::clock::ClockInstant;
 use std::io::{self, Write};
@@ -6,33 +6,33 @@
 use std::sync::mpsc::{Receiver, SyncSender, TrySendError, sync_channel};
 use std::time::Duration;
 
-/// How many lines wait at most; more are dropped and counted. At 300 bytes each, 600 KB.
-const MOST_LINES: usize = 2_048;
-/// How long the thread waits for more lines after the first one: a box has a part of one core, and lines
-/// that come together share one wake-up and one call.
-const GATHER: Duration = Duration::from_millis(20);
-/// How many lines are written with one call at most.
-const MOST_TOGETHER: usize = 256;
+/// Capacity of the queue. Further lines are dropped and counted.
+const QUEUE_CAPACITY: usize = 2_048;
+/// Time for which the thread collects further lines after the first one, so that they share a
+/// wake-up and a write.
+const BATCH_DELAY: Duration = Duration::from_millis(20);
+/// Maximum number of further lines in one write.
+const MAX_BATCH: usize = 256;
 
 static DROPPED: AtomicU64 = AtomicU64::new(0);
-/// Lines that were taken and not written yet.
+/// Lines that are queued and not written yet.
 static PENDING: AtomicU64 = AtomicU64::new(0);
 
-/// Waits until what was logged is written, or the time is over.
-pub(crate) fn flush_lines(within: Duration) {
-    const LOOK: Duration = Duration::from_millis(2);
+/// Waits until all queued lines are written, for at most `timeout`.
+pub(crate) fn flush_lines(timeout: Duration) {
+    const POLL_INTERVAL: Duration = Duration::from_millis(2);
     let started = ClockInstant::now();
-    while PENDING.load(Ordering::Acquire) > 0 && started.elapsed() < within {
-        std::thread::sleep(LOOK);
+    while PENDING.load(Ordering::Acquire) > 0 && started.elapsed() < timeout {
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
 
-/// Returns how many lines were dropped since the start.
+/// Returns the number of lines that were dropped since the start.
 pub(crate) fn dropped_lines() -> u64 {
     DROPPED.load(Ordering::Relaxed)
 }
 
-/// Takes whole lines without ever waiting.
+/// Queues complete lines without blocking.
 #[derive(Debug, Clone)]
 pub(crate) struct LineWriter(SyncSender<Vec<u8>>);
 
@@ -41,9 +41,9 @@
     ///
     /// # Errors
     ///
-    /// Returns an error where the system starts no thread.
+    /// Returns an error if the thread cannot be started.
     pub(crate) fn start(target: impl Write + Send + 'static) -> io::Result<Self> {
-        let (sender, receiver) = sync_channel(MOST_LINES);
+        let (sender, receiver) = sync_channel(QUEUE_CAPACITY);
         std::thread::Builder::new()
             .name("log".to_owned())
             .spawn(move || write_lines(&receiver, target))?;
@@ -69,26 +69,26 @@
     }
 }
 
-/// Writes what comes, lines that wait together with one call; says how many were dropped.
+/// Writes queued lines in batches, and reports the number of dropped ones.
 fn write_lines(receiver: &Receiver<Vec<u8>>, mut target: impl Write) {
-    let mut told = 0;
+    let mut reported = 0;
     while let Ok(mut bytes) = receiver.recv() {
-        std::thread::sleep(GATHER);
+        std::thread::sleep(BATCH_DELAY);
         let mut count = 1;
-        for line in receiver.try_iter().take(MOST_TOGETHER) {
+        for line in receiver.try_iter().take(MAX_BATCH) {
             bytes.extend(line);
             count += 1;
         }
         let dropped = dropped_lines();
-        if dropped > told {
+        if dropped > reported {
             let line = format!(
                 "{{\"event\":\"lines_dropped\",\"count\":{}}}\n",
-                dropped - told
+                dropped - reported
             );
             bytes.extend(line.as_bytes());
-            told = dropped;
+            reported = dropped;
         }
-        // Nobody is left to be told that the log cannot be written.
+        // A failure of the log cannot be logged.
         if target
             .write_all(&bytes)
             .and_then(|()| target.flush())
--- a/dockgate/src/probed_wait.rs
+++ b/dockgate/src/probed_wait.rs
@@ -1,39 +1,37 @@
-//! Waits for a long answer of the platform's store, and probes the store meanwhile.
+//! Waits for responses of the platform's store to long polls, while probing the store.
 
 use dockgate_core::gateway::ProbeTiming;
 use dockgate_platform::{PlatformClient, PlatformError, QUARANTINES};
 use std::future::Future;
 use std::time::Duration;
 
-/// Within which time a change of the configuration has to be in force everywhere, in milliseconds: the
-/// users' bound at the size that is designed for.
-const IN_FORCE_MS: u64 = 7_000;
+/// Time within which a new configuration has to take effect on all boxes, in milliseconds.
+const MAX_PROPAGATION_MS: u64 = 7_000;
 
-/// Waits for an answer of the store that may take long, as that of a watch.
+/// Waits for a response of the store that may take long, such as that of a watch.
 ///
-/// Without probes beside it, a store that fell silent was found out when the watch was over: after 21.5 s
-/// with the usual settings, in which an accepted configuration was not put in force.
+/// The probes detect a silent store well before the watch times out.
 ///
 /// # Errors
 ///
-/// Returns the answer's error, or that of a probe which was not answered in time.
+/// Returns the error of the response, or that of a probe that was not answered in time.
 pub(crate) async fn wait_with_probes<T>(
     client: &PlatformClient,
-    answer: impl Future<Output = Result<T, PlatformError>>,
+    response: impl Future<Output = Result<T, PlatformError>>,
 ) -> Result<T, PlatformError> {
     tokio::select! {
-        answer = answer => answer,
-        silence = notice_silence(client) => Err(silence),
+        response = response => response,
+        error = probe_until_failure(client) => Err(error),
     }
 }
 
-async fn notice_silence(client: &PlatformClient) -> PlatformError {
-    let rule = ProbeTiming::within(IN_FORCE_MS);
+async fn probe_until_failure(client: &PlatformClient) -> PlatformError {
+    let timing = ProbeTiming::within(MAX_PROPAGATION_MS);
     loop {
-        tokio::time::sleep(Duration::from_millis(rule.interval_ms)).await;
-        let patience = Duration::from_millis(rule.timeout_ms);
-        if let Err(silence) = client.probe(QUARANTINES, patience).await {
-            return silence;
+        tokio::time::sleep(Duration::from_millis(timing.interval_ms)).await;
+        let timeout = Duration::from_millis(timing.timeout_ms);
+        if let Err(error) = client.probe(QUARANTINES, timeout).await {
+            return error;
         }
     }
 }
--- a/dockgate/src/probed_wait/tests.rs
+++ b/dockgate/src/probed_wait/tests.rs
@@ -5,8 +5,8 @@
 
 const TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Starts a store that takes calls, and answers probes or nothing at all.
-async fn store(answers: bool) -> PlatformClient {
+/// Starts a store that accepts connections, and answers every probe or none.
+async fn start_store(answers_probes: bool) -> PlatformClient {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.unwrap();
     let address = listener.local_addr().unwrap();
     tokio::spawn(async move {
@@ -19,7 +19,7 @@
                 );
                 let mut bytes = vec![0; 4_096];
                 while let Ok(1..) = stream.read(&mut bytes).await {
-                    if answers && stream.write_all(answer.as_bytes()).await.is_err() {
+                    if answers_probes && stream.write_all(answer.as_bytes()).await.is_err() {
                         return;
                     }
                 }
@@ -29,11 +29,10 @@
     PlatformClient::new(address, TIMEOUT)
 }
 
-/// The same cause as with endpoints that leave: a store that fell silent was taken for one in which
-/// nothing changes.
+/// Guards against mistaking a silent store for one without changes.
 #[tokio::test]
-async fn a_watch_is_given_up_once_the_store_says_nothing() {
-    let client = store(false).await;
+async fn watches_fail_if_the_store_is_silent() {
+    let client = start_store(false).await;
     let watch = std::future::pending::<Result<(), PlatformError>>();
     let error = wait_with_probes(&client, watch).await.unwrap_err();
     assert!(
@@ -43,8 +42,8 @@
 }
 
 #[tokio::test]
-async fn a_watch_that_waits_for_long_is_left_alone_while_the_store_answers() {
-    let client = store(true).await;
+async fn long_watches_continue_while_the_store_answers_probes() {
+    let client = start_store(true).await;
     let watch = async {
         tokio::time::sleep(Duration::from_millis(2_000)).await;
         Ok(9)
--- a/dockgate/src/shared_stream.rs
+++ b/dockgate/src/shared_stream.rs
@@ -1,8 +1,7 @@
-//! A TCP connection that an HTTP library reads and writes while the box looks at it from beside.
+//! A TCP connection that an HTTP library reads and writes while the daemon monitors it.
 //!
-//! A library looks for the end of a connection only when it reads, and it reads only when it has a use
-//! for what comes. So whoever has to know whether the other side is still there asks the system, through
-//! a [`DisconnectMonitor`].
+//! The library detects the end of a connection only when it reads, and it reads only when it needs
+//! data. A [`DisconnectMonitor`] detects a disconnect independently of reads.
 
 #[cfg(not(any(target_os = "linux", target_os = "android")))]
 use futures::FutureExt;
@@ -19,42 +18,41 @@
 use tokio::io::{AsyncRead, AsyncWrite, Interest, ReadBuf};
 use tokio::net::TcpStream;
 
-/// What wakes whoever waits for the end of a connection: not the bytes before it.
+/// Readiness that signals the end of a connection, but not the bytes before it.
 #[cfg(any(target_os = "linux", target_os = "android"))]
 const CLOSE_INTEREST: Interest = Interest::PRIORITY;
-/// Other systems tell of the end and of bytes alike.
+/// Other systems signal the end of a connection and received bytes alike.
 #[cfg(not(any(target_os = "linux", target_os = "android")))]
 const CLOSE_INTEREST: Interest = Interest::READABLE;
-/// How long to wait where bytes that nobody reads would wake the same waiter again and again. A bound, for
-/// systems that do not tell the end from bytes.
+/// Poll interval on systems where unread bytes would wake a waiting task continuously.
 const UNREAD_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A connection for a library, which can be looked at from beside.
+/// A connection that can be monitored and aborted while a library uses it.
 #[derive(Debug)]
 pub(crate) struct SharedStream(Arc<TcpStream>);
 
 impl SharedStream {
-    /// Takes a connection over.
+    /// Wraps a connection.
     pub(crate) fn new(stream: TcpStream) -> Self {
         Self(Arc::new(stream))
     }
 
-    /// Returns what tells whether the other side is still there.
+    /// Returns a monitor that detects a disconnect of the peer.
     pub(crate) fn disconnect_monitor(&self) -> DisconnectMonitor {
         DisconnectMonitor(self.0.clone())
     }
 
-    /// Returns what can reset the connection, for as long as it is open.
+    /// Returns a handle that can reset the connection while it is open.
     pub(crate) fn abort_handle(&self) -> StreamAbortHandle {
         StreamAbortHandle(Arc::downgrade(&self.0))
     }
 
-    /// Reads what has come; a read that leaves room has taken everything, and the runtime is told so, which
-    /// saves the call that would find nothing.
+    /// Reads received bytes. A read that does not fill the buffer clears the readiness, which saves a
+    /// further call that would block.
     fn try_read(&self, buffer: &mut ReadBuf<'_>) -> io::Result<()> {
         let before = buffer.remaining();
         let mut has_read = false;
-        let tried = self.0.try_io(Interest::READABLE, || {
+        let result = self.0.try_io(Interest::READABLE, || {
             let length = self.0.try_read_buf(buffer)?;
             has_read = true;
             match length > 0 && length < before {
@@ -64,7 +62,7 @@
         });
         match has_read {
             true => Ok(()),
-            false => tried,
+            false => result,
         }
     }
 }
@@ -121,15 +119,15 @@
     }
 }
 
-/// Tells whether the other side of a connection is still there.
+/// Detects whether the peer of a connection has disconnected.
 ///
-/// One that has ended its sending counts as gone, whether it would still read or not: a caller that leaves
-/// closes its connection, and the end of what it sends is all that is seen of that.
+/// A peer that has shut down its sending side counts as disconnected, even if it could still read:
+/// a full close looks the same on the receiving side.
 #[derive(Debug, Clone)]
 pub(crate) struct DisconnectMonitor(Arc<TcpStream>);
 
 impl DisconnectMonitor {
-    /// Tells whether the other side has left, as the system knows it at this moment.
+    /// Returns whether the operating system has seen a disconnect of the peer.
     pub(crate) fn is_disconnected(&self) -> bool {
         let mut byte = [MaybeUninit::uninit()];
         match SockRef::from(&*self.0).peek(&mut byte) {
@@ -139,23 +137,24 @@
         }
     }
 
-    /// Tells whether the other side has left behind bytes that nobody has read.
+    /// Returns whether the peer has disconnected after bytes that are still unread.
     #[cfg(any(target_os = "linux", target_os = "android"))]
     fn is_closed_after_unread_bytes(&self) -> bool {
         let mut polled = [PollFd::new(&*self.0, PollFlags::RDHUP)];
-        let asked = poll(&mut polled, Some(&Timespec::default()));
-        // A failure of the connection is told whether it is asked for or not.
-        asked.is_ok() && !polled[0].revents().is_empty()
+        let result = poll(&mut polled, Some(&Timespec::default()));
+        // Errors are always reported in addition to the requested events.
+        result.is_ok() && !polled[0].revents().is_empty()
     }
 
-    /// Tells whether the other side has left behind bytes that nobody has read, as far as the runtime knows.
+    /// Returns whether the peer has disconnected after bytes that are still unread, as far as the
+    /// runtime knows.
     #[cfg(not(any(target_os = "linux", target_os = "android")))]
     fn is_closed_after_unread_bytes(&self) -> bool {
-        let noted = self.0.ready(CLOSE_INTEREST).now_or_never();
-        noted.is_some_and(|ready| ready.is_ok_and(|ready| ready.is_read_closed()))
+        let readiness = self.0.ready(CLOSE_INTEREST).now_or_never();
+        readiness.is_some_and(|ready| ready.is_ok_and(|ready| ready.is_read_closed()))
     }
 
-    /// Waits until the other side has left, whatever it has sent before that nobody reads.
+    /// Waits until the peer has disconnected, even after unread bytes.
     pub(crate) async fn disconnected(&self) {
         loop {
             match self.0.ready(CLOSE_INTEREST).await {
@@ -167,23 +166,23 @@
     }
 }
 
-/// Tells whether a call found nothing to do, in place of a failure.
+/// Returns whether a call has to be repeated and has not failed.
 fn is_retryable(error: &io::Error) -> bool {
     matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted)
 }
 
-/// Resets a connection that somebody else holds; it does not keep it open.
+/// Resets a connection without keeping it open.
 #[derive(Debug)]
 pub(crate) struct StreamAbortHandle(Weak<TcpStream>);
 
 impl StreamAbortHandle {
-    /// Has the connection reset when it closes, so that what the system has not delivered yet never is.
+    /// Resets the connection when it is closed, so that undelivered bytes are discarded.
     pub(crate) fn reset_on_close(&self) {
         let Some(stream) = self.0.upgrade() else {
             return;
         };
         if let Err(error) = stream.set_zero_linger() {
-            log::debug!("have a connection reset: {error}");
+            log::debug!("cannot set a connection to reset on close: {error}");
         }
     }
 }
--- a/dockgate/src/shared_stream/tests.rs
+++ b/dockgate/src/shared_stream/tests.rs
@@ -4,15 +4,15 @@
 use tokio::net::TcpListener;
 use yare::parameterized;
 
-/// How the other side of a connection leaves.
+/// How the peer of a connection disconnects.
 #[derive(Debug, Clone, Copy)]
-enum Leaving {
-    Closes,
-    Resets,
-    EndsSending,
+enum DisconnectKind {
+    Close,
+    Reset,
+    HalfClose,
 }
 
-/// Makes a connection: the other side, and the own one.
+/// Connects a caller and returns both sides.
 pub(crate) async fn pair() -> (TcpStream, SharedStream) {
     let listener = TcpListener::bind(("127.0.0.1", 0)).await.unwrap();
     let caller = TcpStream::connect(listener.local_addr().unwrap());
@@ -20,59 +20,59 @@
     (caller.unwrap(), SharedStream::new(accepted.unwrap().0))
 }
 
-async fn leave(mut caller: TcpStream, leaving: Leaving) -> Option<TcpStream> {
-    match leaving {
-        Leaving::Closes => None,
-        Leaving::Resets => {
+async fn disconnect(mut caller: TcpStream, kind: DisconnectKind) -> Option<TcpStream> {
+    match kind {
+        DisconnectKind::Close => None,
+        DisconnectKind::Reset => {
             caller.set_zero_linger().unwrap();
             None
         }
-        Leaving::EndsSending => {
+        DisconnectKind::HalfClose => {
             caller.shutdown().await.unwrap();
             Some(caller)
         }
     }
 }
 
-/// Waits for what the system has on its way on loopback; the runtime does not ask it meanwhile.
-fn settle() {
+/// Waits for the delivery on loopback, without polls of the runtime.
+fn wait_for_delivery() {
     std::thread::sleep(Duration::from_millis(20));
 }
 
 #[parameterized(
-    closes = { Leaving::Closes },
-    resets = { Leaving::Resets },
-    ends_sending = { Leaving::EndsSending },
+    closes = { DisconnectKind::Close },
+    resets = { DisconnectKind::Reset },
+    ends_sending = { DisconnectKind::HalfClose },
 )]
 #[test_macro(tokio::test)]
-async fn who_leaves_is_known_to_have_left(leaving: Leaving) {
+async fn disconnects_are_detected(kind: DisconnectKind) {
     let (caller, stream) = pair().await;
     let monitor = stream.disconnect_monitor();
     assert!(!monitor.is_disconnected());
-    let _kept = leave(caller, leaving).await;
-    settle();
+    let _half_closed = disconnect(caller, kind).await;
+    wait_for_delivery();
     assert!(monitor.is_disconnected());
 }
 
 #[parameterized(
-    closes = { Leaving::Closes },
-    resets = { Leaving::Resets },
-    ends_sending = { Leaving::EndsSending },
+    closes = { DisconnectKind::Close },
+    resets = { DisconnectKind::Reset },
+    ends_sending = { DisconnectKind::HalfClose },
 )]
 #[test_macro(tokio::test)]
-async fn bytes_that_nobody_reads_do_not_hide_that_somebody_has_left(leaving: Leaving) {
+async fn disconnects_are_detected_behind_unread_bytes(kind: DisconnectKind) {
     let (mut caller, stream) = pair().await;
     let monitor = stream.disconnect_monitor();
     caller.write_all(&[0; 40_000]).await.unwrap();
-    settle();
-    assert!(!monitor.is_disconnected(), "it has only sent");
-    let _kept = leave(caller, leaving).await;
-    settle();
+    wait_for_delivery();
+    assert!(!monitor.is_disconnected(), "the caller has only sent bytes");
+    let _half_closed = disconnect(caller, kind).await;
+    wait_for_delivery();
     assert!(monitor.is_disconnected());
 }
 
 #[tokio::test]
-async fn bytes_pass_both_ways_in_pieces_of_any_size() {
+async fn bytes_are_transferred_in_both_directions() {
     let (mut caller, mut stream) = pair().await;
     let bytes: Vec<u8> = (0..200_000_u32).map(|number| number as u8).collect();
     let sent = bytes.clone();
--- a/dockgate/src/stop.rs
+++ b/dockgate/src/stop.rs
@@ -1,19 +1,20 @@
-//! The orderly stop: not ready, no new work, requests in flight finish, then the process ends.
+//! Graceful shutdown: the daemon becomes not ready, rejects new requests, and completes those in
+//! flight before it exits.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// Tells every part of the daemon whether it is stopping.
+/// A shared flag that is set once the daemon is stopping.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct StopFlag(Arc<AtomicBool>);
 
 impl StopFlag {
-    /// Begins the stop.
+    /// Starts the shutdown.
     pub(crate) fn set(&self) {
         self.0.store(true, Ordering::Release);
     }
 
-    /// Tells whether the stop has begun.
+    /// Returns whether the shutdown has started.
     pub(crate) fn is_set(&self) -> bool {
         self.0.load(Ordering::Acquire)
     }
@@ -25,7 +26,7 @@
     let mut terminate = match signal(SignalKind::terminate()) {
         Ok(terminate) => terminate,
         Err(error) => {
-            log::error!("listen for SIGTERM: {error}");
+            log::error!("cannot install the SIGTERM handler: {error}");
             return std::future::pending().await;
         }
     };
