--- a/dockgate/src/clock.rs
+++ b/dockgate/src/clock.rs
@@ -1,7 +1,7 @@
 //! Clocks of the daemon, which include the time of suspensions.
 //!
-//! The system's monotonic clock and the runtime's timers stand still while the machine is suspended,
-//! but callers, endpoints and other boxes continue. All ages, deadlines and windows are therefore
+//! The system's monotonic clock and the runtime's timers stop while the machine is suspended, but
+//! callers, endpoints and other boxes continue. All ages, deadlines and windows are therefore
 //! measured by a clock that includes suspensions. Waits for an instant ([`timeout_at`]) are
 //! re-evaluated after a resume, since their timers would fire late by the suspended time.
 
--- a/dockgate/src/gateway/events.rs
+++ b/dockgate/src/gateway/events.rs
@@ -253,7 +253,7 @@
         match change {
             EndpointChange::Put(record, revision)
             | EndpointChange::Deferred(record, revision, _) => {
-                Self::written(record, revision.number, source)
+                Self::endpoint_written(record, revision.number, source)
             }
             EndpointChange::Unusable(id, revision) => Self::EndpointUnusable {
                 endpoint: id,
@@ -267,7 +267,7 @@
         }
     }
 
-    fn written(record: &'a EndpointRecord, revision: u64, source: &'a str) -> Self {
+    fn endpoint_written(record: &'a EndpointRecord, revision: u64, source: &'a str) -> Self {
         let endpoint = &record.id;
         match record.state {
             EndpointState::Ready => Self::EndpointReady {
@@ -319,20 +319,21 @@
 ///
 /// A fixed fraction of requests is sampled by a hash of the id, so that all boxes sample the same.
 pub(super) fn is_sampled(request: &str) -> bool {
-    const ONE_IN: u64 = 16;
-    name_hash(request).is_multiple_of(ONE_IN)
+    const SAMPLING_DIVISOR: u64 = 16;
+    name_hash(request).is_multiple_of(SAMPLING_DIVISOR)
 }
 
 /// Writes an event as one line.
 ///
 /// Changes of the box's state and lines about sampled requests are always written. Lines about
-/// other requests and about invalid values in the store are rate-limited, and the excess is counted.
+/// other requests and about invalid values in the store are rate-limited, and suppressed lines are
+/// counted.
 pub(super) fn log_gateway(event: &GatewayEvent) {
     static LIMITER: Mutex<LineRateLimiter> = Mutex::new(LineRateLimiter::new());
     let is_frequent = event.is_frequent();
     let mut limiter = LIMITER.lock().unwrap_or_else(PoisonError::into_inner);
     if is_frequent && !limiter.admit(now_ms()) {
-        GATEWAY_METRICS.lines_held_back.inc();
+        GATEWAY_METRICS.suppressed_lines.inc();
         return;
     }
     if is_frequent {
--- a/dockgate/src/gateway/gateway_gauges.rs
+++ b/dockgate/src/gateway/gateway_gauges.rs
@@ -99,20 +99,20 @@
                 .set(proof_age_ms.map_or(-1, |age_ms| age_ms as i64));
             self.live_boxes
                 .set(i64::from(beliefs.fleet.live_count(now)));
-            let (mut ready, mut draining, mut resting, mut unusable) = (0, 0, 0, 0);
+            let (mut ready, mut draining, mut backing_off, mut unusable) = (0, 0, 0, 0);
             for (id, entry) in beliefs.endpoints.iter() {
                 match entry.record.state {
                     EndpointState::Draining => draining += 1,
                     EndpointState::Unusable => unusable += 1,
                     EndpointState::Ready if beliefs.endpoints.notices().leaves(id) => draining += 1,
                     EndpointState::Ready if beliefs.endpoints.is_eligible(id, now) => ready += 1,
-                    EndpointState::Ready => resting += 1,
+                    EndpointState::Ready => backing_off += 1,
                 }
             }
             for (name, count) in [
                 ("ready", ready),
                 ("draining", draining),
-                ("resting", resting),
+                ("resting", backing_off),
                 ("unusable", unusable),
             ] {
                 self.endpoints.with_label_values(&[name]).set(count);
--- a/dockgate/src/gateway/gateway_metrics.rs
+++ b/dockgate/src/gateway/gateway_metrics.rs
@@ -29,7 +29,7 @@
     pub(super) declined_locally: IntCounter,
     withheld_sends: IntCounterVec,
     /// Log lines about requests that exceeded the rate limit.
-    pub(super) lines_held_back: IntCounter,
+    pub(super) suppressed_lines: IntCounter,
     /// Restores of the store from an older copy.
     pub(super) store_eras: IntCounter,
     /// Calls to the store by followed data and outcome.
@@ -117,7 +117,7 @@
                 "Requests that were not written to an endpoint once that was decided, by reason",
                 &["reason"],
             ),
-            lines_held_back: counter(
+            suppressed_lines: counter(
                 "dockgate_log_lines_held_back_total",
                 "Lines about requests that were not written, as there were too many in a second",
             ),
--- a/dockgate/src/gateway/overload.rs
+++ b/dockgate/src/gateway/overload.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use tokio::runtime::Handle;
 
-/// Interval of the measurements. Each one wakes the thread up, and overload is detected after three.
+/// Interval of the measurements. Each one wakes the thread, and overload is detected after three.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(LoadShedder::SAMPLE_MS);
 
 /// Accumulated busy time of the runtime's thread at one instant.
--- a/dockgate/src/gateway/supervised_task.rs
+++ b/dockgate/src/gateway/supervised_task.rs
@@ -52,9 +52,9 @@
 
 /// Returns the message of a panic.
 fn panic_message(panic: &(dyn Any + Send)) -> &str {
-    let text = panic.downcast_ref::<&str>().copied();
+    let literal = panic.downcast_ref::<&str>().copied();
     let owned = || panic.downcast_ref::<String>().map(String::as_str);
-    text.or_else(owned).unwrap_or("no message")
+    literal.or_else(owned).unwrap_or("no message")
 }
 
 #[cfg(test)]
--- a/dockgate/src/shared_stream.rs
+++ b/dockgate/src/shared_stream.rs
@@ -47,8 +47,8 @@
         StreamAbortHandle(Arc::downgrade(&self.0))
     }
 
-    /// Reads received bytes. A read that does not fill the buffer clears the readiness, which saves a
-    /// further call that would block.
+    /// Reads received bytes. A read that does not fill the buffer clears the readiness, which saves
+    /// a further call that would block.
     fn try_read(&self, buffer: &mut ReadBuf<'_>) -> io::Result<()> {
         let before = buffer.remaining();
         let mut has_read = false;
@@ -166,7 +166,7 @@
     }
 }
 
-/// Returns whether a call has to be repeated and has not failed.
+/// Returns whether a call could not complete yet, as opposed to a failure.
 fn is_retryable(error: &io::Error) -> bool {
     matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted)
 }
