--- a/dockgate/src/clock/tests.rs
+++ b/dockgate/src/clock/tests.rs
@@ -1,25 +1,25 @@
-use super::away_standin::be_away;
+use super::simulated_suspension::simulate_suspension;
 use super::*;
 
-/// One test, as the clock is that of the whole process.
+/// A single test, since all tests of a process share its clock.
 #[tokio::test]
-async fn what_waits_for_a_moment_is_woken_by_a_suspension() {
-    let _ = note_suspension();
-    let begun = ClockInstant::now();
+async fn timeouts_include_suspensions() {
+    let _ = detect_suspension();
+    let start = ClockInstant::now();
     let hour = Duration::from_secs(3_600);
     let waiting = tokio::spawn(timeout(hour, std::future::pending::<()>()));
     let longer = tokio::spawn(timeout(hour * 3, std::future::pending::<()>()));
     tokio::task::yield_now().await;
-    be_away(hour);
-    assert!(begun.elapsed() >= hour, "all clocks have gone on");
-    let noted = note_suspension().unwrap();
+    simulate_suspension(hour);
+    assert!(start.elapsed() >= hour, "the clock includes the suspension");
+    let suspended = detect_suspension().unwrap();
     assert!(
-        noted <= hour && noted + LEAST_SUSPENSION >= hour,
-        "{noted:?}"
+        suspended <= hour && suspended + MIN_SUSPENSION >= hour,
+        "{suspended:?}"
     );
-    assert_eq!(note_suspension(), None, "it is told once");
-    assert_eq!(waiting.await.unwrap(), Err(TimeOver));
-    assert!(!longer.is_finished(), "its time is not over");
+    assert_eq!(detect_suspension(), None, "a suspension is reported once");
+    assert_eq!(waiting.await.unwrap(), Err(TimedOut));
+    assert!(!longer.is_finished(), "its time has not elapsed");
     longer.abort();
     assert_eq!(timeout(hour, async { 7 }).await, Ok(7));
 }
--- a/dockgate/src/gateway/call.rs
+++ b/dockgate/src/gateway/call.rs
@@ -8,11 +8,11 @@
 mod send_attempts;
 
 use super::call_body::CallBody;
-use super::events::{AskedEngine, GatewayEvent, log_gateway};
+use super::events::{DeclinedEngine, GatewayEvent, log_gateway};
 use super::gateway_metrics::GATEWAY_METRICS;
 use super::gateway_state::GatewayState;
 use super::refusal::{RefusalReason, refusal_response};
-use crate::shared_stream::PeerPresence;
+use crate::shared_stream::DisconnectMonitor;
 use admitted_call::admit;
 pub(super) use admitted_call::{AdmittedCall, CallAttempts};
 use http::{Request, Response};
@@ -28,7 +28,7 @@
     /// The delay after which the caller should retry, if a retry makes sense.
     pub(super) retry_after: Option<Duration>,
     /// The engines that declined, for prompts.
-    pub(super) asked: Vec<AskedEngine>,
+    pub(super) asked: Vec<DeclinedEngine>,
     /// The usage of the workspace as a multiple of its share, for prompts.
     pub(super) share: Option<f64>,
 }
@@ -60,7 +60,7 @@
 pub(super) async fn serve_call(
     state: Arc<GatewayState>,
     request: Request<Incoming>,
-    caller: PeerPresence,
+    caller: DisconnectMonitor,
 ) -> Response<CallBody> {
     match admit(state, request, caller).await {
         Ok(call) => {
@@ -76,7 +76,7 @@
         }
         Err(rejected) => {
             let reason = rejected.refusal.reason;
-            GATEWAY_METRICS.note_outcome("", reason.as_str());
+            GATEWAY_METRICS.record_outcome("", reason.as_str());
             log_gateway(&GatewayEvent::Refused {
                 request: &rejected.id,
                 route: &rejected.route,
@@ -105,7 +105,7 @@
 fn refuse_call(call: &AdmittedCall, refusal: &CallRefusal) -> Response<CallBody> {
     let reason = refusal.reason;
     call.progress.end();
-    GATEWAY_METRICS.note_outcome(&call.service().name, reason.as_str());
+    GATEWAY_METRICS.record_outcome(&call.service().name, reason.as_str());
     log_gateway(&GatewayEvent::Refused {
         request: &call.head.id,
         route: &call.route().name,
--- a/dockgate/src/gateway/call/admitted_call.rs
+++ b/dockgate/src/gateway/call/admitted_call.rs
@@ -4,12 +4,12 @@
 use super::super::gateway_metrics::GATEWAY_METRICS;
 use super::super::gateway_state::GatewayState;
 use super::super::refusal::RefusalReason;
-use super::super::waking::until_fresh;
+use super::super::suspension::wait_until_fresh;
 use super::CallRefusal;
 use super::call_progress::CallProgress;
 use super::quarantine_check::{check_quarantine, fingerprint_of};
 use crate::clock::{ClockInstant, now_ms, timeout};
-use crate::shared_stream::PeerPresence;
+use crate::shared_stream::DisconnectMonitor;
 use bytes::Bytes;
 use dockgate_core::AttemptTrail;
 use dockgate_core::gateway::{
@@ -77,7 +77,7 @@
     pub(in super::super) uri: Uri,
     pub(in super::super) body: Bytes,
     /// Whether the caller is still connected.
-    pub(in super::super) caller: PeerPresence,
+    pub(in super::super) caller: DisconnectMonitor,
     /// How far the request has progressed.
     pub(in super::super) progress: CallProgress,
     table: Arc<RouteTable>,
@@ -123,7 +123,7 @@
 
     /// Returns the time left until the deadline.
     pub(in super::super) fn time_left(&self) -> Duration {
-        self.deadline.left()
+        self.deadline.remaining()
     }
 
     /// Returns the time left until the objective of the route is missed.
@@ -153,7 +153,7 @@
         if self.progress.has_ended() {
             return;
         }
-        GATEWAY_METRICS.note_outcome(&self.service().name, "caller_left");
+        GATEWAY_METRICS.record_outcome(&self.service().name, "caller_left");
         log_gateway(&GatewayEvent::CallerLeft {
             request: &self.head.id,
             route: &self.route().name,
@@ -174,10 +174,10 @@
 pub(super) async fn admit(
     state: Arc<GatewayState>,
     request: Request<Incoming>,
-    caller: PeerPresence,
+    caller: DisconnectMonitor,
 ) -> Result<AdmittedCall, RejectedRequest> {
     let arrived = ClockInstant::now();
-    until_fresh(&state, arrived + MAX_RESUME_WAIT).await;
+    wait_until_fresh(&state, arrived + MAX_RESUME_WAIT).await;
     let (parts, body) = request.into_parts();
     let table = state.table();
     let config = table.config().version;
@@ -273,7 +273,7 @@
         let outcome = ShareOutcome::NoProcessor;
         beliefs.tally.record_outcome(workspace, outcome, units);
         let reason = match shedder.is_out_of_rotation() {
-            true => RefusalReason::SentElsewhere,
+            true => RefusalReason::Diverted,
             false => RefusalReason::Overloaded,
         };
         let after = shedder.retry_after(rand::random());
--- a/dockgate/src/gateway/call/call_placement.rs
+++ b/dockgate/src/gateway/call/call_placement.rs
@@ -3,8 +3,8 @@
 use super::super::engine_placement::{EngineQuery, EngineRefusal, find_engine};
 use super::super::refusal::RefusalReason;
 use super::super::run_guard::RunGuard;
+use super::super::suspension::wait_until_fresh;
 use super::super::upstream::{ConnectionLimits, EndpointTarget};
-use super::super::waking::until_fresh;
 use super::{AdmittedCall, CallAttempts, CallRefusal};
 use crate::clock::now_ms;
 use dockgate_core::gateway::{
@@ -49,7 +49,7 @@
         attempts: &CallAttempts,
         resumed: bool,
     ) -> Result<CallPlacement, CallRefusal> {
-        until_fresh(&self.state, self.deadline()).await;
+        wait_until_fresh(&self.state, self.deadline()).await;
         match (self.service().engine, self.admission_request()) {
             (Some(_), Some(request)) => {
                 let prompt = self.head.prompt.as_ref().unwrap_or(&EMPTY_PROMPT);
@@ -124,7 +124,7 @@
     fn refuse_unavailable(&self) -> CallRefusal {
         let availability = self.availability();
         let reason = match availability {
-            ServiceAvailability::BackingOff(_) => RefusalReason::EndpointsRest,
+            ServiceAvailability::BackingOff(_) => RefusalReason::EndpointsBackingOff,
             ServiceAvailability::Unknown | ServiceAvailability::Leaving => {
                 RefusalReason::NoEndpoint
             }
--- a/dockgate/src/gateway/call/quarantine_check.rs
+++ b/dockgate/src/gateway/call/quarantine_check.rs
@@ -52,5 +52,5 @@
         return Ok(());
     }
     let after = quarantine.retry_after(now);
-    Err(CallRefusal::with_retry(RefusalReason::EndsEndpoints, after))
+    Err(CallRefusal::with_retry(RefusalReason::Quarantined, after))
 }
--- a/dockgate/src/gateway/call/send_attempts.rs
+++ b/dockgate/src/gateway/call/send_attempts.rs
@@ -52,7 +52,7 @@
                 Err(failure) => failure,
             };
             attempts.trail.note(failure.state);
-            if self.caller.has_left() {
+            if self.caller.is_disconnected() {
                 return Err(RefusalReason::CallerLeft.into());
             }
             let verdict = self.after_failure(&attempts, failure.state);
@@ -378,8 +378,8 @@
         attempts: &CallAttempts,
     ) {
         self.progress.end();
-        GATEWAY_METRICS.note_outcome(&self.service().name, "answered");
-        GATEWAY_METRICS.note_first_event(&self.service().name, first);
+        GATEWAY_METRICS.record_outcome(&self.service().name, "answered");
+        GATEWAY_METRICS.record_first_event(&self.service().name, first);
         if status.is_success() {
             quarantine::note_completed(&self.state, || self.fingerprint());
         }
@@ -425,7 +425,7 @@
             head,
             guard: placement.guard,
         };
-        let first_timeout = answer_deadline.left();
+        let first_timeout = answer_deadline.remaining();
         let mut stream = EventStream::new(self.clone(), attempts.clone(), source, parts.status);
         match stream.read_first(first_timeout).await {
             Ok(()) => Ok(forward_answer(
--- a/dockgate/src/gateway/engine_placement.rs
+++ b/dockgate/src/gateway/engine_placement.rs
@@ -8,7 +8,7 @@
 mod pending_slot_request;
 
 use super::datagrams::send_to;
-use super::events::AskedEngine;
+use super::events::DeclinedEngine;
 use super::gateway_metrics::GATEWAY_METRICS;
 use super::gateway_state::{GatewayBeliefs, GatewayState};
 use super::notices::receive_reported_leave;
@@ -55,7 +55,7 @@
 #[derive(Debug, Clone, Default)]
 pub(super) struct EngineRefusal {
     /// The engines that declined, in order.
-    pub(super) asked: Vec<AskedEngine>,
+    pub(super) asked: Vec<DeclinedEngine>,
     /// The shortest possible time to a first event, if it is too late at every engine.
     unattainable_ms: Option<u32>,
 }
@@ -70,7 +70,7 @@
     fn record(&mut self, home: &HomeEngine, decision: HomeDecision) {
         let predicted = decision.verdict.first_event_ms();
         self.asked
-            .extend(predicted.map(|first_event_ms| AskedEngine {
+            .extend(predicted.map(|first_event_ms| DeclinedEngine {
                 endpoint: home.target.name.clone(),
                 first_event_ms,
                 decided_by: decision.decided_by,
@@ -190,7 +190,7 @@
         let load = beliefs.engines.load_mut(endpoint, spec);
         let verdict = rule.decide(load, request, other_senders, now);
         if matches!(verdict, AdmissionVerdict::Granted(_)) {
-            GATEWAY_METRICS.note_admitted(request.input, load.work_of(request).tokens());
+            GATEWAY_METRICS.record_admitted_prompt(request.input, load.work_of(request).tokens());
             load.place(key, request, now);
         }
         Some(verdict)
@@ -333,7 +333,7 @@
         let load = beliefs.engines.load_mut(home.target.id, spec);
         settings.admission.local_decline_ms(load, request, now_ms())
     })?;
-    GATEWAY_METRICS.declined_alone.inc();
+    GATEWAY_METRICS.declined_locally.inc();
     Some(HomeDecision {
         verdict: AdmissionVerdict::Declined(first_ms as u32),
         number,
@@ -406,7 +406,7 @@
         let fastest = beliefs.engines.fastest(spec)?;
         rule.fastest_decline_ms(&fastest, request)
     })?;
-    GATEWAY_METRICS.declined_alone.inc();
+    GATEWAY_METRICS.declined_locally.inc();
     Some(first_ms as u32)
 }
 
--- a/dockgate/src/gateway/events/tests.rs
+++ b/dockgate/src/gateway/events/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
-use crate::gateway::settings::parse_gateway;
+use crate::gateway::settings::parse_settings;
 use yare::parameterized;
 
-/// What operators and `dockgatectl explain` rely on: the fields of each line, by name.
+/// Guards the field names that operators and `dockgatectl explain` rely on.
 #[parameterized(
     sent = {
         GatewayEvent::Sent {
@@ -326,7 +326,7 @@
     let text = "[box]\nname = a1\ndomain = a\n[listen]\ncallers = 10.0.0.1:80\nreadiness = 10.0.0.1:81\n\
                 state = 10.0.0.1:82\npeers = 10.0.0.1:83\nmetrics = 10.0.0.1:84\n[platform]\n\
                 store = 10.0.0.9:80\n[gateway]\nseeds = 10.0.0.2:82\n";
-    let settings = parse_gateway("f.ini", text).unwrap();
+    let settings = parse_settings("f.ini", text).unwrap();
     let events = recorded_events(&settings);
     let lines = events
         .iter()
@@ -337,7 +337,7 @@
 
 #[test]
 fn an_asked_engine_is_written_as_recorded() {
-    let asked = AskedEngine {
+    let asked = DeclinedEngine {
         endpoint: "e".to_owned(),
         first_event_ms: 900,
         decided_by: "b".to_owned(),
--- a/dockgate/src/gateway/gateway_metrics.rs
+++ b/dockgate/src/gateway/gateway_metrics.rs
@@ -1,4 +1,5 @@
-//! What a gateway counts beside the daemon's own metrics; what it believes is in `gateway_gauges`.
+//! Counters and histograms of a gateway, in addition to the daemon's metrics. Its gauges are in
+//! `gateway_gauges`.
 
 use crate::metrics::METRICS;
 use dockgate_core::gateway::EndpointNotice;
@@ -6,40 +7,40 @@
 use std::sync::LazyLock;
 use std::time::Duration;
 
-/// Upper bounds of the buckets of times, in seconds: around the objectives of 0.1 to 1 s, and the
-/// 10 ms within which a refusal is usual.
-const SECONDS: [f64; 11] = [0.002, 0.005, 0.01, 0.03, 0.1, 0.2, 0.3, 0.6, 1.0, 2.0, 6.0];
+/// Upper bounds of the time buckets, in seconds. They are dense around the latency objectives of
+/// 0.1 to 1 s and around 10 ms, where most refusals are.
+const TIME_BUCKETS_S: [f64; 11] = [0.002, 0.005, 0.01, 0.03, 0.1, 0.2, 0.3, 0.6, 1.0, 2.0, 6.0];
 
-/// Every metric of the gateway.
+/// The counters and histograms of a gateway.
 pub(super) struct GatewayMetrics {
-    /// Requests that ended, by service and outcome.
+    /// Completed requests by service and outcome.
     pub(super) outcomes: IntCounterVec,
-    /// Time from arrival to the first event, or to a whole answer, by service.
+    /// Time from arrival to the first event or complete response, by service.
     pub(super) first_event: HistogramVec,
-    /// Time from arrival to the decision where a request goes, by service.
+    /// Time from arrival to the routing decision, by service.
     pub(super) decision: HistogramVec,
-    /// Tokens of admitted prompts, by whether they were believed to be cached.
+    /// Tokens of admitted prompts, by whether they are assumed to be cached.
     prompt_tokens: IntCounterVec,
-    /// Streams that went on at another endpoint.
-    pub(super) resumed: IntCounter,
-    /// Verdicts that did not come in time.
+    /// Streams that were resumed at another endpoint.
+    pub(super) resumed_streams: IntCounter,
+    /// Admission verdicts that did not arrive in time.
     pub(super) missed_verdicts: IntCounter,
-    /// Prompts that were declined for one engine without asking the box that decides for it.
-    pub(super) declined_alone: IntCounter,
+    /// Prompts that were declined for an engine without a request to the box that decides for it.
+    pub(super) declined_locally: IntCounter,
     withheld_sends: IntCounterVec,
-    /// Lines about requests that were not written, as there were too many.
-    pub(super) lines_held_back: IntCounter,
-    /// Times that the store came back from an older copy.
+    /// Log lines about requests that exceeded the rate limit.
+    pub(super) suppressed_lines: IntCounter,
+    /// Restores of the store from an older copy.
     pub(super) store_eras: IntCounter,
-    /// Calls to the store, by what is followed and outcome.
+    /// Calls to the store by followed data and outcome.
     pub(super) store_calls: IntCounterVec,
-    /// Questions to other boxes for what they know, by what was asked for and outcome.
-    pub(super) state_questions: IntCounterVec,
-    /// How long such a question took, by what was asked for.
-    pub(super) state_question_times: HistogramVec,
+    /// Requests for the state of other boxes, by kind of state and outcome.
+    pub(super) state_requests: IntCounterVec,
+    /// Duration of these requests by kind of state.
+    pub(super) state_request_times: HistogramVec,
     suspensions: Histogram,
     panics: IntCounterVec,
-    quarantines: IntCounterVec,
+    quarantine_changes: IntCounterVec,
     unusable_records: IntCounterVec,
     notices: IntCounterVec,
     datagrams: IntCounterVec,
@@ -55,22 +56,22 @@
     metric
 }
 
-fn counters(name: &str, help: &str, labels: &[&str]) -> IntCounterVec {
+fn counter_vec(name: &str, help: &str, labels: &[&str]) -> IntCounterVec {
     let metric = IntCounterVec::new(Opts::new(name, help), labels);
     let metric = metric.expect("a constant name is valid");
     METRICS.add(metric.clone());
     metric
 }
 
-fn histograms(name: &str, help: &str, labels: &[&str]) -> HistogramVec {
-    let options = HistogramOpts::new(name, help).buckets(SECONDS.to_vec());
+fn histogram_vec(name: &str, help: &str, labels: &[&str]) -> HistogramVec {
+    let options = HistogramOpts::new(name, help).buckets(TIME_BUCKETS_S.to_vec());
     let metric = HistogramVec::new(options, labels).expect("a constant name is valid");
     METRICS.add(metric.clone());
     metric
 }
 
 fn histogram(name: &str, help: &str) -> Histogram {
-    let options = HistogramOpts::new(name, help).buckets(SECONDS.to_vec());
+    let options = HistogramOpts::new(name, help).buckets(TIME_BUCKETS_S.to_vec());
     let metric = Histogram::with_opts(options).expect("a constant name is valid");
     METRICS.add(metric.clone());
     metric
@@ -79,27 +80,27 @@
 impl GatewayMetrics {
     fn new() -> Self {
         Self {
-            outcomes: counters(
+            outcomes: counter_vec(
                 "dockgate_gateway_requests_total",
                 "Requests that ended, by service and outcome",
                 &["service", "outcome"],
             ),
-            first_event: histograms(
+            first_event: histogram_vec(
                 "dockgate_first_event_seconds",
                 "Time from arrival to the first event or whole answer, by service",
                 &["service"],
             ),
-            decision: histograms(
+            decision: histogram_vec(
                 "dockgate_decision_seconds",
                 "Time from arrival to the decision where a request goes, by service",
                 &["service"],
             ),
-            prompt_tokens: counters(
+            prompt_tokens: counter_vec(
                 "dockgate_prompt_tokens_total",
                 "Tokens of admitted prompts, by whether they were believed to be cached",
                 &["cached"],
             ),
-            resumed: counter(
+            resumed_streams: counter(
                 "dockgate_streams_resumed_total",
                 "Streams that went on at another endpoint",
             ),
@@ -107,16 +108,16 @@
                 "dockgate_missed_verdicts_total",
                 "Seeks that the deciding box did not answer in time",
             ),
-            declined_alone: counter(
+            declined_locally: counter(
                 "dockgate_declined_alone_total",
                 "Prompts declined for one engine without asking the box that decides",
             ),
-            withheld_sends: counters(
+            withheld_sends: counter_vec(
                 "dockgate_withheld_sends_total",
                 "Requests that were not written to an endpoint once that was decided, by reason",
                 &["reason"],
             ),
-            lines_held_back: counter(
+            suppressed_lines: counter(
                 "dockgate_log_lines_held_back_total",
                 "Lines about requests that were not written, as there were too many in a second",
             ),
@@ -124,17 +125,17 @@
                 "dockgate_store_eras_total",
                 "Times that the store came back from an older copy, as this box heard",
             ),
-            store_calls: counters(
+            store_calls: counter_vec(
                 "dockgate_store_calls_total",
                 "Calls to the platform's store, by what is followed and outcome",
                 &["followed", "outcome"],
             ),
-            state_questions: counters(
+            state_requests: counter_vec(
                 "dockgate_state_questions_total",
                 "Questions to other boxes for what they know, by what was asked for and outcome",
                 &["what", "outcome"],
             ),
-            state_question_times: histograms(
+            state_request_times: histogram_vec(
                 "dockgate_state_question_seconds",
                 "How long a question to another box for what it knows took, by what was asked for",
                 &["what"],
@@ -143,32 +144,32 @@
                 "dockgate_suspension_seconds",
                 "For how long this box was suspended, each time",
             ),
-            panics: counters(
+            panics: counter_vec(
                 "dockgate_task_panics_total",
                 "Panics of tasks that run for as long as the process, by task",
                 &["task"],
             ),
-            quarantines: counters(
+            quarantine_changes: counter_vec(
                 "dockgate_quarantine_changes_total",
                 "Requests that went into quarantine, and that were released from it, by change",
                 &["change"],
             ),
-            unusable_records: counters(
+            unusable_records: counter_vec(
                 "dockgate_unusable_records_total",
                 "Records read from the store that name no endpoint to use, by reason",
                 &["reason"],
             ),
-            notices: counters(
+            notices: counter_vec(
                 "dockgate_endpoint_notices_total",
                 "Answers that say of their endpoint that it leaves or wants rest, and words of other boxes, by notice",
                 &["notice"],
             ),
-            datagrams: counters(
+            datagrams: counter_vec(
                 "dockgate_peer_datagrams_total",
                 "Datagrams between boxes, by kind and direction",
                 &["kind", "direction"],
             ),
-            datagram_bytes: counters(
+            datagram_bytes: counter_vec(
                 "dockgate_peer_datagram_bytes_total",
                 "Bytes of datagrams between boxes, by kind and direction",
                 &["kind", "direction"],
@@ -176,81 +177,81 @@
         }
     }
 
-    /// Counts a request that ended.
-    pub(super) fn note_outcome(&self, service: &str, outcome: &str) {
+    /// Counts a completed request.
+    pub(super) fn record_outcome(&self, service: &str, outcome: &str) {
         self.outcomes.with_label_values(&[service, outcome]).inc();
     }
 
-    /// Counts a time in which this box was suspended.
-    pub(super) fn note_suspension(&self, away: Duration) {
-        self.suspensions.observe(away.as_secs_f64());
+    /// Records the duration of a suspension of this box.
+    pub(super) fn record_suspension(&self, suspended: Duration) {
+        self.suspensions.observe(suspended.as_secs_f64());
     }
 
-    /// Counts a panic of a task that is begun anew.
-    pub(super) fn note_panic(&self, task: &str) {
+    /// Counts a panic of a supervised task.
+    pub(super) fn record_panic(&self, task: &str) {
         self.panics.with_label_values(&[task]).inc();
     }
 
-    /// Counts a request that went into quarantine or was released from it.
-    pub(super) fn note_quarantine(&self, change: &str) {
-        self.quarantines.with_label_values(&[change]).inc();
+    /// Counts a request that entered or left quarantine.
+    pub(super) fn record_quarantine_change(&self, change: &str) {
+        self.quarantine_changes.with_label_values(&[change]).inc();
     }
 
-    /// Counts a record that names no endpoint to use.
-    pub(super) fn note_unusable(&self, reason: &str) {
+    /// Counts an endpoint record that is invalid.
+    pub(super) fn record_unusable_record(&self, reason: &str) {
         self.unusable_records.with_label_values(&[reason]).inc();
     }
 
-    /// Counts an answer that says something of its endpoint.
-    pub(super) fn note_notice(&self, notice: EndpointNotice) {
-        let said = [
+    /// Counts the notices that a response carries about its endpoint.
+    pub(super) fn record_notice(&self, notice: EndpointNotice) {
+        let fields = [
             ("leaves", notice.is_leaving),
             ("rest", notice.backoff.is_some()),
         ];
-        for (name, _) in said.into_iter().filter(|(_, is_said)| *is_said) {
+        for (name, _) in fields.into_iter().filter(|(_, is_set)| *is_set) {
             self.notices.with_label_values(&[name]).inc();
         }
     }
 
-    /// Counts another box's word that an endpoint leaves.
-    pub(super) fn note_told(&self, is_believed: bool) {
-        let notice = if is_believed { "told" } else { "not_believed" };
+    /// Counts an announcement by another box that an endpoint is leaving.
+    pub(super) fn record_announced_notice(&self, is_accepted: bool) {
+        let notice = if is_accepted { "told" } else { "not_believed" };
         self.notices.with_label_values(&[notice]).inc();
     }
 
-    /// Counts a request that was not written to an endpoint.
-    pub(super) fn note_withheld(&self, reason: &str) {
+    /// Counts a send that was cancelled before the request was written to the endpoint.
+    pub(super) fn record_withheld_send(&self, reason: &str) {
         self.withheld_sends.with_label_values(&[reason]).inc();
     }
 
-    /// Counts a datagram of so many bytes.
-    pub(super) fn note_datagram(&self, kind: &str, direction: &str, bytes: usize) {
+    /// Counts a datagram and its size.
+    pub(super) fn record_datagram(&self, kind: &str, direction: &str, bytes: usize) {
         let labels = [kind, direction];
         self.datagrams.with_label_values(&labels).inc();
         let counter = self.datagram_bytes.with_label_values(&labels);
         counter.inc_by(bytes as u64);
     }
 
-    /// Counts a question to another box.
-    pub(super) fn note_question(&self, what: &str, answered: bool, took: Duration) {
+    /// Counts a request for the state of another box, and records its duration.
+    pub(super) fn record_state_request(&self, what: &str, answered: bool, took: Duration) {
         let outcome = if answered { "answered" } else { "unanswered" };
-        let counter = self.state_questions.with_label_values(&[what, outcome]);
+        let counter = self.state_requests.with_label_values(&[what, outcome]);
         counter.inc();
-        let times = self.state_question_times.with_label_values(&[what]);
+        let times = self.state_request_times.with_label_values(&[what]);
         times.observe(took.as_secs_f64());
     }
 
-    /// Counts the time to a first event or whole answer.
-    pub(super) fn note_first_event(&self, service: &str, after: Duration) {
+    /// Records the time to the first event or complete response.
+    pub(super) fn record_first_event(&self, service: &str, after: Duration) {
         self.first_event
             .with_label_values(&[service])
             .observe(after.as_secs_f64());
     }
 
-    /// Counts the tokens of a prompt that was admitted, of which so many are to be read.
-    pub(super) fn note_admitted(&self, input: u32, unread: u32) {
+    /// Counts the tokens of an admitted prompt, of which `uncached` have to be processed.
+    pub(super) fn record_admitted_prompt(&self, input: u32, uncached: u32) {
         let tokens = |cached: &str| self.prompt_tokens.with_label_values(&[cached]);
-        tokens("no").inc_by(u64::from(unread));
-        tokens("yes").inc_by(u64::from(input.saturating_sub(unread)));
+        tokens("no").inc_by(u64::from(uncached));
+        tokens("yes").inc_by(u64::from(input.saturating_sub(uncached)));
     }
 }
--- a/dockgate/src/gateway/readiness.rs
+++ b/dockgate/src/gateway/readiness.rs
@@ -1,4 +1,4 @@
-//! Tells the platform whether callers may be sent here, and others what was counted.
+//! HTTP servers for the platform's readiness probes and for metrics.
 
 use super::gateway_gauges::GATEWAY_GAUGES;
 use super::gateway_state::GatewayState;
@@ -14,8 +14,8 @@
 use std::sync::Arc;
 use tokio::net::TcpListener;
 
-/// Serves small answers on a listener until the process ends.
-async fn serve_small<F>(listener: TcpListener, answer: F)
+/// Serves responses that are made at once, until the process ends.
+async fn serve_responses<F>(listener: TcpListener, respond: F)
 where
     F: Fn(&Request<Incoming>) -> Response<Full<Bytes>> + Clone + Send + Sync + 'static,
 {
@@ -23,56 +23,56 @@
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(error) => {
-                log::warn!("accept: {error}");
+                log::warn!("cannot accept a connection: {error}");
                 tokio::task::yield_now().await;
                 continue;
             }
         };
-        if let Err(error) = super::sockets::prepare(&stream) {
-            log::debug!("prepare a connection: {error}");
+        if let Err(error) = super::sockets::set_stream_options(&stream) {
+            log::debug!("cannot set the options of a connection: {error}");
             continue;
         }
-        let answer = answer.clone();
+        let respond = respond.clone();
         tokio::spawn(async move {
             let service = service_fn(|request| {
-                let response = answer(&request);
+                let response = respond(&request);
                 async move { Ok::<_, Infallible>(response) }
             });
             let served = Builder::new().serve_connection(TokioIo::new(stream), service);
             if let Err(error) = served.await {
-                log::debug!("small answers: {error}");
+                log::debug!("readiness or metrics connection failed: {error}");
             }
         });
     }
 }
 
-fn small(status: StatusCode, text: impl Into<Bytes>) -> Response<Full<Bytes>> {
+fn response(status: StatusCode, text: impl Into<Bytes>) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(text.into()));
     *response.status_mut() = status;
     response
 }
 
-/// Tells whether callers may be sent here.
+/// Serves readiness probes: 200 if the box accepts new callers, else 503.
 pub(super) async fn serve_readiness(state: Arc<GatewayState>, listener: TcpListener) {
-    serve_small(listener, move |_| {
+    serve_responses(listener, move |_| {
         let is_ready = state.is_ready();
         state.with(|beliefs| beliefs.shed.record_readiness(is_ready));
         match is_ready {
-            true => small(StatusCode::OK, ""),
-            false => small(StatusCode::SERVICE_UNAVAILABLE, ""),
+            true => response(StatusCode::OK, ""),
+            false => response(StatusCode::SERVICE_UNAVAILABLE, ""),
         }
     })
     .await;
 }
 
-/// Tells what was counted.
+/// Serves the metrics at `/metrics`.
 pub(super) async fn serve_metrics(state: Arc<GatewayState>, listener: TcpListener) {
-    serve_small(listener, move |request| match request.uri().path() {
+    serve_responses(listener, move |request| match request.uri().path() {
         "/metrics" => {
-            GATEWAY_GAUGES.read(&state);
-            small(StatusCode::OK, METRICS.render())
+            GATEWAY_GAUGES.update(&state);
+            response(StatusCode::OK, METRICS.render())
         }
-        _ => small(StatusCode::NOT_FOUND, "only /metrics is here\n"),
+        _ => response(StatusCode::NOT_FOUND, "only /metrics is here\n"),
     })
     .await;
 }
--- a/dockgate/src/gateway/upstream/endpoint_io.rs
+++ b/dockgate/src/gateway/upstream/endpoint_io.rs
@@ -6,7 +6,7 @@
 //! condition is checked directly before the write.
 
 use super::super::gateway_metrics::GATEWAY_METRICS;
-use crate::shared_stream::{PeerPresence, SharedStream};
+use crate::shared_stream::{DisconnectMonitor, SharedStream};
 use std::io::{self, ErrorKind, IoSlice};
 use std::pin::Pin;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -16,14 +16,14 @@
 /// The condition on which a request may be sent.
 #[derive(Clone)]
 pub(in super::super) struct SendCondition {
-    caller: PeerPresence,
+    caller: DisconnectMonitor,
     is_accepted: Arc<dyn Fn() -> bool + Send + Sync>,
 }
 
 impl SendCondition {
     /// Creates a condition that holds while `caller` is connected and `is_accepted` returns `true`.
     pub(in super::super) fn new(
-        caller: &PeerPresence,
+        caller: &DisconnectMonitor,
         is_accepted: impl Fn() -> bool + Send + Sync + 'static,
     ) -> Self {
         Self {
@@ -34,7 +34,7 @@
 
     fn withheld(&self) -> Option<WithheldReason> {
         match () {
-            () if self.caller.has_left() => Some(WithheldReason::CallerLeft),
+            () if self.caller.is_disconnected() => Some(WithheldReason::CallerLeft),
             () if !(self.is_accepted)() => Some(WithheldReason::Unwanted),
             () => None,
         }
@@ -89,7 +89,7 @@
             return Ok(());
         };
         *locked(&self.withheld) = Some(reason);
-        GATEWAY_METRICS.note_withheld(reason.as_str());
+        GATEWAY_METRICS.record_withheld_send(reason.as_str());
         Err(io::Error::new(
             ErrorKind::ConnectionAborted,
             reason.as_str(),
--- a/dockgate/src/gateway/upstream/tests.rs
+++ b/dockgate/src/gateway/upstream/tests.rs
@@ -74,7 +74,7 @@
     };
     let endpoint = tokio::spawn(answer_first(listener));
     let (caller, accepted) = pair().await;
-    let condition = SendCondition::new(&accepted.presence(), || true);
+    let condition = SendCondition::new(&accepted.disconnect_monitor(), || true);
     let pools = Arc::<EndpointPools>::default();
     let request = || Request::new(Full::new(Bytes::new()));
     let (response, connection) = send(&pools, &target, request(), &condition).await.unwrap();
@@ -110,7 +110,7 @@
     let (_caller, accepted) = pair().await;
     let accepts = Arc::new(AtomicBool::new(true));
     let is_accepted = accepts.clone();
-    let condition = SendCondition::new(&accepted.presence(), move || {
+    let condition = SendCondition::new(&accepted.disconnect_monitor(), move || {
         is_accepted.load(Ordering::Relaxed)
     });
     let pools = Arc::<EndpointPools>::default();
