--- a/dockgate/src/gateway.rs
+++ b/dockgate/src/gateway.rs
@@ -2,11 +2,12 @@
 //!
 //! One thread serves everything, since a box has a part of one core. [`GatewayState`] holds what
 //! the box believes; the tasks around it do the I/O: callers in `front`, endpoints in `upstream`,
-//! the platform's store in `follow`, other boxes in `membership`, `peer_net` and
+//! the platform's store in `follow`, other boxes in `membership`, `datagram_receiver` and
 //! `peer_state`.
 
 mod call;
 mod call_body;
+mod datagram_receiver;
 mod datagrams;
 mod domain_watch;
 mod end_check;
@@ -23,10 +24,9 @@
 mod membership;
 mod notices;
 mod overload;
-mod peer_net;
 mod peer_state;
 mod quarantine;
-mod quarantine_door;
+mod quarantine_rpc;
 mod quarantine_store;
 mod readiness;
 mod refusal;
@@ -127,12 +127,12 @@
 ) -> Result<(), DaemonError> {
     tokio::spawn(readiness::serve_readiness(state.clone(), readiness));
     tokio::spawn(readiness::serve_metrics(state.clone(), metrics));
-    keep(state, "store role", store_probe::keep_role);
-    keep(state, "store probes", store_probe::keep_probing);
+    keep(state, "store role", store_probe::update_role_periodically);
+    keep(state, "store probes", store_probe::run_probes);
     keep(state, "routes", follow::follow_routes);
     keep(state, "endpoints", follow::follow_endpoints);
-    keep(state, "datagrams", peer_net::receive);
-    keep(state, "beats", membership::beat);
+    keep(state, "datagrams", datagram_receiver::receive_datagrams);
+    keep(state, "beats", membership::send_heartbeats);
     keep(state, "lag", overload::watch_lag);
     keep(state, "domains", domain_watch::watch_domains);
     for (name, what) in [
@@ -146,7 +146,7 @@
     let (stop, server) = jsonrpsee::server::stop_channel();
     // The door serves until the process ends.
     std::mem::forget(server);
-    tokio::spawn(peer_state::state_door(state.clone())?.serve(state_listener, stop));
+    tokio::spawn(peer_state::state_rpc(state.clone())?.serve(state_listener, stop));
     Ok(())
 }
 
@@ -166,7 +166,7 @@
     let grace = state.settings().stop_grace.saturating_sub(END_MARGIN);
     state.begin_stop(grace);
     front.begin_stop();
-    membership::send_beat(state);
+    membership::send_heartbeat(state);
     let ended = timeout(grace, async {
         while front.busy() > 0 || (front.open() > 0 && !front.is_quiet(QUIET_BEFORE_END)) {
             tokio::time::sleep(DRAIN_POLL).await;
--- a/dockgate/src/gateway/call/admitted.rs
+++ b/dockgate/src/gateway/call/admitted.rs
@@ -165,7 +165,7 @@
             stage: self.progress.stage().as_str(),
             sends: self.progress.sends(),
             waited_ms: self.age().as_millis() as u64,
-            lag_ms: self.state.with(|beliefs| beliefs.lag.lag_ms()),
+            lag_ms: self.state.with(|view| view.lag.lag_ms()),
         });
     }
 }
@@ -221,23 +221,21 @@
     keep_from_endpoints(&state, print)
         .await
         .map_err(found_away)?;
-    if state.with(|beliefs| beliefs.lag.is_too_late_for(objective_ms)) {
+    if state.with(|view| view.lag.is_too_late_for(objective_ms)) {
         let refusal = CallRefusal::come_back(RefusalReason::Overloaded, COME_BACK_SOON);
         return Err(found_away(refusal));
     }
     let engine = table.service(service).engine;
     let prompt = head.prompt.as_ref().filter(|_| engine.is_some());
     let units = prompt.map_or(0, PromptShape::units);
-    state.with(|beliefs| beliefs.tally.record_request(name_hash(name), name, units));
+    state.with(|view| view.tally.record_request(name_hash(name), name, units));
     shed(&state, name_hash(name), units).map_err(found_away)?;
     let timeout = route_spec.timeout;
     let budget = head.budget.unwrap_or(timeout).min(timeout);
-    state.with(|beliefs| {
+    state.with(|view| {
         let service = &table.service(service).name;
-        beliefs.retries.record_request(service, now_ms());
-        beliefs
-            .shares
-            .record_request(name_hash(name), units, now_ms());
+        view.retries.record_request(service, now_ms());
+        view.shares.record_request(name_hash(name), units, now_ms());
     });
     Ok(AdmittedCall {
         state,
@@ -263,8 +261,8 @@
 ///
 /// Returns a refusal where this box has no processor for it.
 fn shed(state: &GatewayState, workspace: u64, units: u64) -> Result<(), CallRefusal> {
-    state.with(|beliefs| {
-        let shed = &mut beliefs.shed;
+    state.with(|view| {
+        let shed = &mut view.shedder;
         shed.record_request(workspace);
         let part = shed.refused_fraction(workspace);
         if part <= 0.0 || !rand::random_bool(part) {
@@ -272,7 +270,7 @@
         }
         shed.record_refusal();
         let outcome = ShareOutcome::NoProcessor;
-        beliefs.tally.record_outcome(workspace, outcome, units);
+        view.tally.record_outcome(workspace, outcome, units);
         let reason = match shed.is_out_of_rotation() {
             true => RefusalReason::SentElsewhere,
             false => RefusalReason::Overloaded,
--- a/dockgate/src/gateway/call/placing.rs
+++ b/dockgate/src/gateway/call/placing.rs
@@ -65,11 +65,11 @@
                 let ask = ask.level(wish.level);
                 let found = find_engine(&self.state, wish, &ask).await;
                 let found = found.map_err(|none| self.refuse_prompt(none, &ask, units))?;
-                self.state.with(|beliefs| {
-                    let shares = &mut beliefs.shares;
+                self.state.with(|view| {
+                    let shares = &mut view.shares;
                     shares.record_admission(ask.workspace, units, ask.level, now_ms());
                     let outcome = ShareOutcome::Admitted;
-                    beliefs.tally.record_outcome(ask.workspace, outcome, units);
+                    view.tally.record_outcome(ask.workspace, outcome, units);
                 });
                 Ok(CallPlace {
                     target: found.target,
@@ -84,7 +84,7 @@
 
     fn share_level(&self, workspace: u64, units: u64) -> ShareLevel {
         self.state
-            .with(|beliefs| beliefs.shares.level(workspace, units, now_ms()))
+            .with(|view| view.shares.level(workspace, units, now_ms()))
     }
 
     fn refuse_prompt(&self, none: NoPlace, ask: &EngineAsk, units: u64) -> CallRefusal {
@@ -103,7 +103,7 @@
             false => (RefusalReason::WouldBeLate, ShareOutcome::WouldBeLate),
         };
         self.state
-            .with(|beliefs| beliefs.tally.record_outcome(workspace, outcome, units));
+            .with(|view| view.tally.record_outcome(workspace, outcome, units));
         CallRefusal {
             reason,
             retry_after: Some(retry_delay(cause, self.left(), rand::random())),
@@ -128,7 +128,7 @@
     pub(super) fn outlook(&self) -> ServiceAvailability {
         let service = &self.service().name;
         self.state
-            .with(|beliefs| beliefs.endpoints.availability(service, now_ms()))
+            .with(|view| view.endpoints.availability(service, now_ms()))
     }
 
     /// Returns when a request that found no endpoint should come back.
@@ -160,24 +160,24 @@
             held + far + doubt
         };
         let name = &self.service().name;
-        let target = self.state.with(|beliefs| {
+        let target = self.state.with(|view| {
             let fresh = |id| !tries.endpoints.contains(&id);
-            let open = beliefs
+            let open = view
                 .endpoints
                 .eligible(name, now)
                 .filter(|(id, _)| fresh(*id));
             let best = open.min_by(|(_, a), (_, b)| load(a).total_cmp(&load(b)));
-            let notices = beliefs.endpoints.notices();
+            let notices = view.endpoints.notices();
             // Where all rest after failures, one of them is still better than none; not so where they ask for it.
             let resting = || {
-                let ready = beliefs
+                let ready = view
                     .endpoints
                     .ready_entries(name)
                     .filter(|(id, _)| fresh(*id) && notices.may_send(*id, now));
                 ready.min_by(|(_, a), (_, b)| load(a).total_cmp(&load(b)))
             };
             let (id, entry) = best.or_else(resting)?;
-            let boxes = beliefs.fleet.live_count(now);
+            let boxes = view.fleet.live_count(now);
             Some(EndpointTarget {
                 id,
                 name: entry.record.id.clone(),
--- a/dockgate/src/gateway/call/quarantined.rs
+++ b/dockgate/src/gateway/call/quarantined.rs
@@ -45,7 +45,7 @@
     state: &GatewayState,
     print: impl FnOnce() -> RequestFingerprint,
 ) -> Result<(), CallRefusal> {
-    let Some((print, quarantine)) = quarantine::find(state, print) else {
+    let Some((print, quarantine)) = quarantine::find_quarantine(state, print) else {
         return Ok(());
     };
     let now = now_ms();
--- a/dockgate/src/gateway/call/sending.rs
+++ b/dockgate/src/gateway/call/sending.rs
@@ -1,7 +1,7 @@
 //! Sends a request to endpoints until one answers, or nothing more may be tried.
 
 use super::super::call_body::{CallBody, whole_body};
-use super::super::end_check::{note_break, note_gone};
+use super::super::end_check::{note_interruption, note_stopped};
 use super::super::event_stream::{EventStream, StreamSource};
 use super::super::events::{GatewayEvent, is_sampled, log_gateway};
 use super::super::gateway_metrics::GATEWAY_METRICS;
@@ -85,14 +85,14 @@
         }
         let allowed = tries.sent < self.route().attempts
             && !self.left().is_zero()
-            && quarantine::find(&self.state, || self.print()).is_none();
+            && quarantine::find_quarantine(&self.state, || self.print()).is_none();
         // The fleet's budget is asked last, so that it is not spent in vain.
         let wanted = state.after_loss(repeatable, allowed) == RetryVerdict::Retry;
         let service = &self.service().name;
         let left = wanted
             && self
                 .state
-                .with(|beliefs| beliefs.retries.try_take(service, now_ms()));
+                .with(|view| view.retries.try_take(service, now_ms()));
         if left {
             METRICS.retries.inc();
         }
@@ -190,8 +190,8 @@
     /// Takes from a loss what it says of the life of the endpoint.
     fn note_loss(&self, target: &EndpointTarget, loss: &SendLoss) {
         match loss.life {
-            LifeSign::BrokeOff => note_break(&self.state, target, self.print()),
-            LifeSign::Gone => note_gone(&self.state, target),
+            LifeSign::BrokeOff => note_interruption(&self.state, target, self.print()),
+            LifeSign::Gone => note_stopped(&self.state, target),
             LifeSign::None => {}
         }
     }
@@ -202,9 +202,7 @@
     }
 
     fn log_sent(&self, place: &CallPlace, attempt: u32) {
-        let revision = self
-            .state
-            .with(|beliefs| beliefs.endpoints.revision().number);
+        let revision = self.state.with(|view| view.endpoints.revision().number);
         log_gateway(&GatewayEvent::Sent {
             request: &self.head.id,
             route: &self.route().name,
--- a/dockgate/src/gateway/peer_net.rs
+++ b/dockgate/src/gateway/datagram_receiver.rs
@@ -6,7 +6,7 @@
 use super::engine_seek::{decide_here, hear_engine, note_cached_here, place_here};
 use super::gateway_metrics::GATEWAY_METRICS;
 use super::gateway_state::GatewayState;
-use super::membership::{hear_beat, hear_digest};
+use super::membership::{receive_digest, receive_heartbeat};
 use super::notices::hear_told;
 use super::quarantine;
 use crate::clock::now_ms;
@@ -17,11 +17,11 @@
 use std::sync::Arc;
 
 /// The largest datagram that is taken in, in bytes; larger ones would be cut into pieces.
-const MOST_BYTES: usize = 16_384;
+const MAX_DATAGRAM_BYTES: usize = 16_384;
 
 /// Takes datagrams in until the process ends.
-pub(super) async fn receive(state: Arc<GatewayState>) {
-    let mut buffer = vec![0; MOST_BYTES];
+pub(super) async fn receive_datagrams(state: Arc<GatewayState>) {
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         match state.datagrams.recv_from(&mut buffer).await {
             Ok((length, from)) => match GatewayDatagram::decode(&buffer[..length]) {
@@ -54,10 +54,10 @@
     };
     match message {
         GatewayMessage::Heartbeat { heartbeat, shares } => {
-            hear_beat(state, from, heartbeat, incarnation, &shares);
+            receive_heartbeat(state, from, heartbeat, incarnation, &shares);
         }
         GatewayMessage::Digest { digest, shares } => {
-            hear_digest(state, digest, incarnation, &shares);
+            receive_digest(state, digest, incarnation, &shares);
         }
         GatewayMessage::SlotRequest {
             run,
@@ -65,7 +65,7 @@
             request,
         } => {
             let key = run_of(run);
-            if let Some(verdict) = answer_seek(state, run, endpoint, key, &request) {
+            if let Some(verdict) = answer_slot_request(state, run, endpoint, key, &request) {
                 send_datagram(state, from, verdict);
             }
         }
@@ -77,7 +77,7 @@
             speed,
         } => {
             hear_engine(state, endpoint, backlog_ms, speed);
-            let waiting = state.with(|beliefs| beliefs.seeks.remove(&run));
+            let waiting = state.with(|view| view.slot_requests.remove(&run));
             let taken = waiting.is_some_and(|waiting| waiting.send(verdict).is_ok());
             // Too late: the prompt has gone elsewhere by now.
             if !taken && matches!(verdict, EngineVerdict::Granted(_)) {
@@ -93,7 +93,7 @@
             let key = run_of(run);
             place_here(state, endpoint, key, &request);
             if started {
-                state.with(|beliefs| beliefs.engines.start(endpoint, key, now, true));
+                state.with(|view| view.engines.start(endpoint, key, now, true));
             }
         }
         GatewayMessage::PartsRead { endpoint, parts } => {
@@ -101,19 +101,19 @@
         }
         GatewayMessage::Started { run, endpoint } => {
             let key = run_of(run);
-            state.with(|beliefs| beliefs.engines.start(endpoint, key, now, true));
+            state.with(|view| view.engines.start(endpoint, key, now, true));
         }
         GatewayMessage::Ended { run, endpoint } => {
             let key = run_of(run);
-            state.with(|beliefs| beliefs.engines.end(endpoint, key));
+            state.with(|view| view.engines.end(endpoint, key));
         }
         GatewayMessage::EndpointLeaving { endpoint } => hear_told(state, endpoint),
-        GatewayMessage::Suspects { rows } => quarantine::hear(state, from, &rows),
+        GatewayMessage::Suspects { rows } => quarantine::receive_reports(state, from, &rows),
     }
 }
 
 /// Decides on another box's seek, and makes the answer with what that box may want to know.
-fn answer_seek(
+fn answer_slot_request(
     state: &GatewayState,
     run: u32,
     endpoint: EndpointId,
@@ -121,8 +121,8 @@
     ask: &EngineAsk,
 ) -> Option<GatewayMessage> {
     let verdict = decide_here(state, endpoint, key, ask, 0)?;
-    state.with(|beliefs| {
-        let load = beliefs.engines.get(endpoint)?;
+    state.with(|view| {
+        let load = view.engines.get(endpoint)?;
         Some(GatewayMessage::Verdict {
             run,
             endpoint,
--- a/dockgate/src/gateway/datagrams.rs
+++ b/dockgate/src/gateway/datagrams.rs
@@ -21,7 +21,7 @@
 pub(super) fn encode(state: &GatewayState, message: GatewayMessage) -> Option<EncodedMessage> {
     let kind = message.kind();
     let datagram = GatewayDatagram {
-        from: state.me(),
+        from: state.own_key(),
         incarnation: state.incarnation(),
         message,
     };
@@ -52,7 +52,7 @@
 
 /// Sends a message to a box; one whose address is not known counts as lost.
 pub(super) fn send_to(state: &GatewayState, to: BoxKey, message: GatewayMessage) {
-    match state.with(|beliefs| beliefs.fleet.address(to)) {
+    match state.with(|view| view.fleet.address(to)) {
         Some(address) => send_datagram(state, address, message),
         None => METRICS.ignored.with_label_values(&["send"]).inc(),
     }
--- a/dockgate/src/gateway/domain_watch.rs
+++ b/dockgate/src/gateway/domain_watch.rs
@@ -58,11 +58,11 @@
             let at = self.answered.get(domain);
             at.is_some_and(|at| at + ANSWERED_MS > now)
         };
-        state.with(|beliefs| {
-            let silent = beliefs.fleet.silent_domains(now);
+        state.with(|view| {
+            let silent = view.fleet.silent_domains(now);
             let mut suspects: Vec<String> = silent.into_iter().collect();
             suspects.retain(|domain| !answered(domain));
-            let cut = beliefs.endpoints.reach().unreachable();
+            let cut = view.endpoints.reach().unreachable();
             suspects.extend(cut.map(str::to_owned));
             suspects.sort();
             suspects.dedup();
@@ -80,9 +80,9 @@
             }
         });
         let answers = futures::future::join_all(tried).await;
-        state.with(|beliefs| {
+        state.with(|view| {
             for (probe, answered) in probes.iter().zip(&answers) {
-                beliefs.endpoints.note_reach(probe.endpoint, *answered);
+                view.endpoints.note_reach(probe.endpoint, *answered);
             }
         });
         if answers.contains(&true) {
@@ -93,8 +93,8 @@
     /// Logs what has changed, and closes what rests in domains that are cut off now.
     fn note_changes(&mut self, state: &GatewayState) {
         let now = now_ms();
-        let cut: Vec<String> = state.with(|beliefs| {
-            let cut = beliefs.endpoints.reach().unreachable();
+        let cut: Vec<String> = state.with(|view| {
+            let cut = view.endpoints.reach().unreachable();
             cut.map(str::to_owned).collect()
         });
         self.cut_since.retain(|domain, since| {
@@ -117,8 +117,8 @@
 }
 
 fn endpoints_of(state: &GatewayState, domain: &str) -> Vec<EndpointId> {
-    state.with(|beliefs| {
-        let endpoints = beliefs.endpoints.iter();
+    state.with(|view| {
+        let endpoints = view.endpoints.iter();
         let endpoints = endpoints.filter(|(_, entry)| entry.record.domain == domain);
         endpoints.map(|(id, _)| id).collect()
     })
@@ -132,9 +132,9 @@
     let chosen = endpoints.iter().cycle().skip(start);
     // As many as must be silent for a cut.
     let chosen = chosen.take(DomainReachability::MIN_SILENT_ENDPOINTS.min(endpoints.len()));
-    state.with(|beliefs| {
+    state.with(|view| {
         let probes = chosen.filter_map(|endpoint| {
-            let entry = beliefs.endpoints.get(*endpoint)?;
+            let entry = view.endpoints.get(*endpoint)?;
             Some(DomainProbe {
                 endpoint: *endpoint,
                 address: entry.record.address,
--- a/dockgate/src/gateway/end_check.rs
+++ b/dockgate/src/gateway/end_check.rs
@@ -25,27 +25,27 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// Notes that an endpoint broke an answer off, and has somebody look whether it has ended.
-pub(super) fn note_break(
+pub(super) fn note_interruption(
     state: &Arc<GatewayState>,
     target: &EndpointTarget,
-    print: RequestFingerprint,
+    fingerprint: RequestFingerprint,
 ) {
     let now = now_ms();
-    let news = state.with(|beliefs| {
-        let broken = &mut beliefs.broken;
-        broken.note_interruption(print, target.id, &target.name, now)
+    let status = state.with(|view| {
+        let interruptions = &mut view.interruptions;
+        interruptions.note_interruption(fingerprint, target.id, &target.name, now)
     });
-    match news {
+    match status {
         InterruptionStatus::Unchecked => drop(tokio::spawn(look(state.clone(), target.clone()))),
         InterruptionStatus::CheckRunning => {}
-        InterruptionStatus::Ended => note_ends(state, target.id, &target.name, &[print]),
+        InterruptionStatus::Ended => note_ends(state, target.id, &target.name, &[fingerprint]),
     }
 }
 
 /// Notes that nobody listens where an endpoint was, or that another one does: where it broke answers off a moment
 /// ago, it has ended.
-pub(super) fn note_gone(state: &GatewayState, target: &EndpointTarget) {
-    let under = state.with(|beliefs| beliefs.broken.note_ended(target.id, now_ms()));
+pub(super) fn note_stopped(state: &GatewayState, target: &EndpointTarget) {
+    let under = state.with(|view| view.interruptions.note_ended(target.id, now_ms()));
     note_ends(state, target.id, &target.name, &under);
 }
 
@@ -54,10 +54,10 @@
     if under.is_empty() {
         return;
     }
-    let prints: Vec<String> = under.iter().map(RequestFingerprint::to_string).collect();
+    let fingerprints: Vec<String> = under.iter().map(RequestFingerprint::to_string).collect();
     log_gateway(&GatewayEvent::EndpointEnded {
         endpoint: name,
-        under: &prints,
+        under: &fingerprints,
     });
     quarantine::note_ends(state, endpoint, under);
 }
@@ -68,7 +68,7 @@
         match connect(target.address, CONNECT_TIMEOUT).await {
             Ok(_) => return note_listens(&state, target.id),
             Err(error) if error.kind() == ErrorKind::ConnectionRefused => {
-                return note_gone(&state, &target);
+                return note_stopped(&state, &target);
             }
             // A link that is cut says nothing of the endpoint.
             Err(_) => {}
@@ -77,15 +77,15 @@
 }
 
 fn note_listens(state: &GatewayState, endpoint: EndpointId) {
-    state.with(|beliefs| beliefs.broken.note_listening(endpoint));
+    state.with(|view| view.interruptions.note_listening(endpoint));
 }
 
 /// Notes the endpoints that have started again under their id since they broke answers off.
 pub(super) fn note_restarts(state: &GatewayState) {
-    let restarted = state.with(|beliefs| {
-        let endpoints = &beliefs.endpoints;
+    let restarted = state.with(|view| {
+        let endpoints = &view.endpoints;
         let life_of = |name| endpoints.current_lifetime(name);
-        beliefs.broken.take_restarted(life_of, now_ms())
+        view.interruptions.take_restarted(life_of, now_ms())
     });
     for (endpoint, under) in restarted {
         note_ends(state, endpoint, &format!("{:016x}", endpoint.0), &under);
--- a/dockgate/src/gateway/engine_seek.rs
+++ b/dockgate/src/gateway/engine_seek.rs
@@ -9,7 +9,7 @@
 use super::datagrams::send_to;
 use super::events::AskedEngine;
 use super::gateway_metrics::GATEWAY_METRICS;
-use super::gateway_state::{GatewayBeliefs, GatewayState};
+use super::gateway_state::{GatewayState, GatewayView};
 use super::notices::hear_told;
 use super::run_guard::RunGuard;
 use super::upstream::{ConnectionLimits, EndpointTarget};
@@ -137,13 +137,12 @@
     homes
 }
 
-fn homes(beliefs: &GatewayBeliefs, wish: &EngineWish) -> Vec<HomeEngine> {
+fn homes(view: &GatewayView, wish: &EngineWish) -> Vec<HomeEngine> {
     let now = now_ms();
-    let ready = beliefs.endpoints.ready(&wish.service.name);
-    let near = DomainKey::from_name(&beliefs.fleet.own().domain);
-    let entry = |id: EndpointId| beliefs.endpoints.get(id);
-    let is_open =
-        |id: EndpointId| beliefs.endpoints.is_eligible(id, now) && !wish.tried.contains(&id);
+    let ready = view.endpoints.ready(&wish.service.name);
+    let near = DomainKey::from_name(&view.fleet.own().domain);
+    let entry = |id: EndpointId| view.endpoints.get(id);
+    let is_open = |id: EndpointId| view.endpoints.is_eligible(id, now) && !wish.tried.contains(&id);
     let is_usable = |id: EndpointId| {
         let doubtful = entry(id).is_none_or(|entry| entry.health.is_unreliable(now));
         is_open(id) && !doubtful
@@ -152,9 +151,9 @@
     if order.is_empty() {
         order = pick_homes(wish, ready, near, is_open);
     }
-    let boxes = beliefs.fleet.live_count(now);
+    let boxes = view.fleet.live_count(now);
     let homes = order.into_iter().filter_map(|id| {
-        let entry = beliefs.endpoints.get(id)?;
+        let entry = view.endpoints.get(id)?;
         Some(HomeEngine {
             target: EndpointTarget {
                 id,
@@ -162,7 +161,7 @@
                 address: entry.record.address,
                 limits: ConnectionLimits::new(wish.service.connections, entry.record.slots, boxes),
             },
-            owner: beliefs.fleet.owner(id, &entry.record.domain, now),
+            owner: view.fleet.owner(id, &entry.record.domain, now),
         })
     });
     homes.collect()
@@ -181,12 +180,12 @@
     let now = now_ms();
     let rule = state.settings().admission;
     let spec = spec_of(state, endpoint)?;
-    state.with(|beliefs| {
-        let notices = beliefs.endpoints.notices();
+    state.with(|view| {
+        let notices = view.endpoints.notices();
         if notices.is_reported_leaving(endpoint, now) {
             return Some(EngineVerdict::Leaving);
         }
-        let load = beliefs.engines.load_mut(endpoint, spec);
+        let load = view.engines.load_mut(endpoint, spec);
         let verdict = rule.decide(load, ask, others, now);
         if matches!(verdict, EngineVerdict::Granted(_)) {
             GATEWAY_METRICS.note_admitted(ask.input, load.work_of(ask).tokens());
@@ -199,9 +198,8 @@
 /// Notes a prompt that is at an engine, whoever decided.
 pub(super) fn place_here(state: &GatewayState, endpoint: EndpointId, key: RunKey, ask: &EngineAsk) {
     if let Some(spec) = spec_of(state, endpoint) {
-        state.with(|beliefs| {
-            beliefs
-                .engines
+        state.with(|view| {
+            view.engines
                 .load_mut(endpoint, spec)
                 .place(key, ask, now_ms());
         });
@@ -226,7 +224,7 @@
 /// Notes what an engine is known to have cached.
 pub(super) fn note_cached_here(state: &GatewayState, endpoint: EndpointId, parts: &[PromptPart]) {
     if let Some(spec) = spec_of(state, endpoint) {
-        state.with(|beliefs| beliefs.engines.load_mut(endpoint, spec).note_cached(parts));
+        state.with(|view| view.engines.load_mut(endpoint, spec).note_cached(parts));
     }
 }
 
@@ -239,8 +237,8 @@
 ) {
     if let Some(spec) = spec_of(state, endpoint) {
         let now = now_ms();
-        state.with(|beliefs| {
-            let load = beliefs.engines.load_mut(endpoint, spec);
+        state.with(|view| {
+            let load = view.engines.load_mut(endpoint, spec);
             load.hear(backlog_ms, speed, now);
         });
     }
@@ -249,8 +247,8 @@
 /// Returns what an engine holds, if it is known.
 fn spec_of(state: &GatewayState, endpoint: EndpointId) -> Option<EngineSpec> {
     let table = state.table();
-    state.with(|beliefs| {
-        let entry = beliefs.endpoints.get(endpoint)?;
+    state.with(|view| {
+        let entry = view.endpoints.get(endpoint)?;
         let service = table.find_service(&entry.record.service)?;
         table.service(service).engine
     })
@@ -265,8 +263,8 @@
 
 /// Asks for one home: its owner, or this box where the owner does not answer in time.
 async fn ask_home(state: &GatewayState, home: &HomeEngine, ask: &EngineAsk) -> Option<AskedHome> {
-    let number = state.next_run();
-    if home.owner == state.me() {
+    let number = state.next_run_number();
+    if home.owner == state.own_key() {
         let decided_by = state.settings().name.clone();
         return ask_here(state, home, ask, 0, number, decided_by);
     }
@@ -277,12 +275,12 @@
     if let Some(verdict) = seek.verdict().await {
         match verdict {
             EngineVerdict::Granted(_) => {
-                place_here(state, home.target.id, state.own_run(number), ask);
+                place_here(state, home.target.id, state.run_key(number), ask);
             }
             EngineVerdict::Leaving => hear_told(state, home.target.id),
             EngineVerdict::Declined(_) => {}
         }
-        let decided_by = state.with(|beliefs| beliefs.fleet.name(home.owner).to_owned());
+        let decided_by = state.with(|view| view.fleet.name(home.owner).to_owned());
         return Some(AskedHome {
             verdict,
             number,
@@ -290,7 +288,7 @@
         });
     }
     GATEWAY_METRICS.missed_verdicts.inc();
-    let others = state.with(|beliefs| beliefs.fleet.live_count(now_ms())) - 1;
+    let others = state.with(|view| view.fleet.live_count(now_ms())) - 1;
     let others = others.min(MOST_UNSEEN);
     let asked = ask_here(state, home, ask, others, number, "entry alone".to_owned())?;
     if is_granted(&asked) {
@@ -312,8 +310,8 @@
 ) -> Option<AskedHome> {
     let settings = state.settings();
     let spec = spec_of(state, home.target.id)?;
-    let first_ms = state.with(|beliefs| {
-        let load = beliefs.engines.load_mut(home.target.id, spec);
+    let first_ms = state.with(|view| {
+        let load = view.engines.load_mut(home.target.id, spec);
         settings.admission.hopeless_ms(load, ask, now_ms())
     })?;
     GATEWAY_METRICS.declined_alone.inc();
@@ -333,7 +331,7 @@
     number: u32,
     decided_by: String,
 ) -> Option<AskedHome> {
-    let key = state.own_run(number);
+    let key = state.run_key(number);
     let verdict = decide_here(state, home.target.id, key, ask, others)?;
     Some(AskedHome {
         verdict,
@@ -358,7 +356,7 @@
             ..NoPlace::default()
         });
     }
-    let homes = state.with(|beliefs| homes(beliefs, &wish));
+    let homes = state.with(|view| homes(view, &wish));
     if let Some(home) = homes.first().filter(|_| wish.resumed) {
         return Ok(force(state, home, ask));
     }
@@ -383,8 +381,8 @@
     let is_open = wish.resumed || !wish.level.is_beyond();
     let spec = wish.service.engine.filter(|_| !is_open)?;
     let rule = state.settings().admission;
-    let first_ms = state.with(|beliefs| {
-        let fastest = beliefs.engines.fastest(spec)?;
+    let first_ms = state.with(|view| {
+        let fastest = view.engines.fastest(spec)?;
         rule.hopeless_anywhere_ms(&fastest, ask)
     })?;
     GATEWAY_METRICS.declined_alone.inc();
@@ -393,9 +391,9 @@
 
 /// Places a prompt whose stream goes on, whatever waits there: most of it is done already.
 fn force(state: &Arc<GatewayState>, home: &HomeEngine, ask: &EngineAsk) -> EnginePlace {
-    let number = state.next_run();
-    place_here(state, home.target.id, state.own_run(number), ask);
-    if home.owner != state.me() {
+    let number = state.next_run_number();
+    place_here(state, home.target.id, state.run_key(number), ask);
+    if home.owner != state.own_key() {
         send_to(
             state,
             home.owner,
--- a/dockgate/src/gateway/engine_seek/pending_seek.rs
+++ b/dockgate/src/gateway/engine_seek/pending_seek.rs
@@ -35,7 +35,7 @@
         ask: &EngineAsk,
     ) -> Self {
         let (sender, verdict) = oneshot::channel();
-        state.with(|beliefs| beliefs.seeks.insert(run, sender));
+        state.with(|view| view.slot_requests.insert(run, sender));
         let seek = GatewayMessage::SlotRequest {
             run,
             endpoint,
@@ -60,7 +60,7 @@
 
 impl Drop for PendingSeek<'_> {
     fn drop(&mut self) {
-        self.state.with(|beliefs| beliefs.seeks.remove(&self.run));
+        self.state.with(|view| view.slot_requests.remove(&self.run));
         if let Ok(EngineVerdict::Granted(_)) = self.verdict.try_recv() {
             let ended = GatewayMessage::Ended {
                 run: self.run,
--- a/dockgate/src/gateway/engine_seek/pending_seek/tests.rs
+++ b/dockgate/src/gateway/engine_seek/pending_seek/tests.rs
@@ -18,11 +18,7 @@
     datagrams.writable().await.unwrap();
     let state = state_with_seed(datagrams, owner);
     let beat = BoxHeartbeat::new("a2", "a", owner);
-    state.with(|beliefs| {
-        beliefs
-            .fleet
-            .receive_heartbeat(beat, Incarnation(1), now_ms())
-    });
+    state.with(|view| view.fleet.receive_heartbeat(beat, Incarnation(1), now_ms()));
     (state, BoxKey::from_name("a2"))
 }
 
@@ -76,7 +72,7 @@
     let socket = UdpSocket::bind("127.0.0.1:0").await.unwrap();
     let (state, owner) = box_beside(socket.local_addr().unwrap()).await;
     let seek = PendingSeek::send(&state, RUN, ENGINE, owner, &ask());
-    let waiting = state.with(|beliefs| beliefs.seeks.remove(&RUN)).unwrap();
+    let waiting = state.with(|view| view.slot_requests.remove(&RUN)).unwrap();
     waiting.send(verdict).unwrap();
     match end {
         SeekEnd::Taken => assert_eq!(seek.verdict().await, Some(verdict)),
--- a/dockgate/src/gateway/event_stream.rs
+++ b/dockgate/src/gateway/event_stream.rs
@@ -2,7 +2,7 @@
 
 use super::call::{AdmittedCall, CallTries};
 use super::call_body::{BrokenAnswer, CallBody};
-use super::end_check::note_break;
+use super::end_check::note_interruption;
 use super::events::{GatewayEvent, log_gateway};
 use super::gateway_metrics::GATEWAY_METRICS;
 use super::run_guard::RunGuard;
@@ -265,7 +265,7 @@
         // The first endpoint must have stopped before another one goes on.
         let lost = self.source.take().map(|source| source.target);
         if let Some(target) = &lost {
-            note_break(&self.call.state, target, self.call.print());
+            note_interruption(&self.call.state, target, self.call.print());
         }
         self.splitter = EventSplitter::default();
         let reason = match self.resume().await {
--- a/dockgate/src/gateway/follow.rs
+++ b/dockgate/src/gateway/follow.rs
@@ -1,14 +1,14 @@
 //! Follows the routes and the endpoints in the platform's store.
 //!
 //! A few boxes of each failure domain do so for all ([`dockgate_core::gateway::StoreFollower`]); the
-//! others learn from them what has changed. Each key is listed once and then watched. A watch that
+//! others learn from them what has changed. Each key is listed once and then outcome. A watch that
 //! fails is made anew on a connection of its own; one whose history is lost lists anew and compares.
 //! What is known stays in force meanwhile.
 
 use super::events::{GatewayEvent, log_gateway};
 use super::gateway_metrics::GATEWAY_METRICS;
 use super::gateway_state::GatewayState;
-use super::membership::send_beat;
+use super::membership::send_heartbeat;
 use super::store_contact::StoreContact;
 use crate::clock::wakings;
 use dockgate_core::gateway::{EndpointChange, StoreRevision};
@@ -21,7 +21,7 @@
 
 /// How long a watch waits. Each is a call that costs something; one whose answer is lost keeps this
 /// box uninformed for as long, unless another box tells it.
-const WATCH: Duration = Duration::from_secs(8);
+const WATCH_TIMEOUT: Duration = Duration::from_secs(8);
 /// How long after a watch has returned the next one begins: changes that come together are then
 /// told together, and the bound for a configuration is seconds.
 const ROUTES_PAUSE: Duration = Duration::from_millis(50);
@@ -29,17 +29,17 @@
 const ENDPOINTS_PAUSE: Duration = Duration::from_millis(300);
 /// How long to wait after a failure; drawn anew each time, so that boxes do not call at once.
 const RETRY_MS: std::ops::Range<u64> = 150..450;
-async fn pause_after_failure() {
+async fn wait_before_retry() {
     let pause = rand::random_range(RETRY_MS);
     tokio::time::sleep(Duration::from_millis(pause)).await;
 }
 
 /// Waits until this box has to follow the store; returns whether it had to wait.
-async fn wait_for_duty(state: &GatewayState, step: &'static str) -> bool {
+async fn wait_for_follower_role(state: &GatewayState, step: &'static str) -> bool {
     if state.follows_store() {
         return false;
     }
-    state.note_store(step, None);
+    state.set_store_revision(step, None);
     let mut roles = state.store_roles();
     // The state that sends it lives as long as this task.
     let _ = roles.wait_for(|role| role.follows).await;
@@ -59,18 +59,18 @@
 {
     let client = state.store_client();
     let prefix = contact.step;
-    let mut returns = state.store_returns();
+    let mut recoveries = state.store_recoveries();
     let mut wakings = wakings();
     loop {
-        if wait_for_duty(state, prefix).await {
-            contact.begin(state.store_unheard_ms());
+        if wait_for_follower_role(state, prefix).await {
+            contact.start_following(state.store_proof_age_ms());
         }
-        returns.mark_unchanged();
+        recoveries.mark_unchanged();
         let listing = client.list(prefix).await;
         let listing = listing.map(|listing| (state.note_era(listing.era, "store"), listing));
         let mut since = match listing {
             Ok((Some(era), listing)) => {
-                contact.answered();
+                contact.note_answer();
                 contact.note_era(era);
                 let revision = StoreRevision::new(era, listing.revision);
                 listed(&contact, listing, era);
@@ -78,26 +78,26 @@
             }
             // It was on its way while the store went back.
             Ok((None, _)) => {
-                pause_after_failure().await;
+                wait_before_retry().await;
                 continue;
             }
             Err(error) => {
-                contact.lost(&error);
-                state.note_store(prefix, None);
-                pause_after_failure().await;
+                contact.note_failure(&error);
+                state.set_store_revision(prefix, None);
+                wait_before_retry().await;
                 continue;
             }
         };
-        note_heard(state, prefix, since);
+        note_revision(state, prefix, since);
         while state.follows_store() {
             // What a watch was answered while the store was silent is lost, so that it is made anew; so is
             // one that hears nothing more while the store changes.
-            let watched = tokio::select! {
-                watched = client.watch(prefix, since.number, WATCH) => watched,
-                Ok(()) = returns.changed() => {
-                    let away_ms = *returns.borrow_and_update();
-                    match state.is_era(since.era) {
-                        true => contact.back(away_ms),
+            let outcome = tokio::select! {
+                outcome = client.watch(prefix, since.number, WATCH_TIMEOUT) => outcome,
+                Ok(()) = recoveries.changed() => {
+                    let away_ms = *recoveries.borrow_and_update();
+                    match state.is_current_era(since.era) {
+                        true => contact.note_recovery(away_ms),
                         false => break,
                     }
                     continue;
@@ -106,12 +106,12 @@
                 _ = wakings.changed() => match state.has_listed(prefix) {
                     true => continue,
                     false => {
-                        contact.woke();
+                        contact.note_resume();
                         break;
                     }
                 }
             };
-            match watched {
+            match outcome {
                 // Changes of another era go on in a history that is not the one that was listed.
                 Ok(WatchOutcome::Changes(changes))
                     if state.note_era(changes.era, "store") != Some(since.era) =>
@@ -119,14 +119,14 @@
                     break;
                 }
                 Ok(WatchOutcome::Changes(changes)) => {
-                    contact.answered();
+                    contact.note_answer();
                     since.number = changes.revision;
                     changed(&contact, changes.events, since.era);
-                    note_heard(state, prefix, since);
+                    note_revision(state, prefix, since);
                     tokio::time::sleep(pause).await;
                 }
                 Ok(WatchOutcome::HistoryLost) => {
-                    contact.answered();
+                    contact.note_answer();
                     log_gateway(&GatewayEvent::StoreHistoryLost {
                         what: prefix,
                         since: since.number,
@@ -134,9 +134,9 @@
                     break;
                 }
                 Err(error) => {
-                    contact.lost(&error);
-                    state.note_store(prefix, None);
-                    pause_after_failure().await;
+                    contact.note_failure(&error);
+                    state.set_store_revision(prefix, None);
+                    wait_before_retry().await;
                 }
             }
         }
@@ -144,34 +144,37 @@
 }
 
 /// Notes that the store has told what it has; a box to which nobody beats says so at once.
-fn note_heard(state: &GatewayState, step: &'static str, revision: StoreRevision) {
-    let began = state.note_store(step, Some(revision));
-    if began || !state.coordinates() {
-        send_beat(state);
+fn note_revision(state: &GatewayState, step: &'static str, revision: StoreRevision) {
+    let began = state.set_store_revision(step, Some(revision));
+    if began || !state.is_coordinator() {
+        send_heartbeat(state);
     }
 }
 
-fn note_unreadable(what: &str, error: &PlatformError) {
+fn log_unreadable(what: &str, error: &PlatformError) {
     log_gateway(&GatewayEvent::Unreadable {
         what,
         problem: error.to_string(),
     });
 }
 
-fn offer(state: &GatewayState, value: &StoredValue) {
+fn apply_routes_value(state: &GatewayState, value: &StoredValue) {
     if value.key != ROUTES {
         return;
     }
     match decode_routes(&value.bytes) {
-        Ok(config) => state.offer_routes(config, "store"),
-        Err(error) => note_unreadable(ROUTES, &error),
+        Ok(config) => state.apply_routes(config, "store"),
+        Err(error) => log_unreadable(ROUTES, &error),
     }
 }
 
 /// Follows the routes.
 pub(super) async fn follow_routes(state: Arc<GatewayState>) {
     let listed = |_: &StoreContact, listing: StoreListing, _| {
-        listing.items.iter().for_each(|value| offer(&state, value));
+        listing
+            .items
+            .iter()
+            .for_each(|value| apply_routes_value(&state, value));
     };
     let changed = |_: &StoreContact, events: Vec<StoreEvent>, _| {
         // Only the newest counts.
@@ -179,14 +182,16 @@
             StoreEvent::Written(value) => Some(value),
             StoreEvent::Removed(..) => None,
         });
-        newest.into_iter().for_each(|value| offer(&state, value));
+        newest
+            .into_iter()
+            .for_each(|value| apply_routes_value(&state, value));
     };
     let contact = StoreContact::new(ROUTES, state.settings().drain);
     follow(&state, contact, ROUTES_PAUSE, listed, changed).await;
 }
 
 /// Notes a record that names no endpoint to use, and returns what is to be believed.
-fn believe(reading: EndpointReading) -> EndpointChange {
+fn accept_reading(reading: EndpointReading) -> EndpointChange {
     let EndpointReading { change, fault } = reading;
     if let Some(fault) = fault {
         GATEWAY_METRICS.note_unusable(fault.as_str());
@@ -206,13 +211,13 @@
 pub(super) async fn follow_endpoints(state: Arc<GatewayState>) {
     let listed = |contact: &StoreContact, listing: StoreListing, era| {
         let readings = listing.items.iter().map(|item| read_endpoint(item, era));
-        let listed = readings.map(believe).collect();
+        let listed = readings.map(accept_reading).collect();
         let revision = StoreRevision::new(era, listing.revision);
         state.replace_endpoints(listed, revision, contact.kept_until_ms());
     };
     let changed = |contact: &StoreContact, events: Vec<StoreEvent>, era| {
         let readings = events.iter().map(|event| read_endpoint_event(event, era));
-        let changes = readings.map(believe).collect();
+        let changes = readings.map(accept_reading).collect();
         state.apply_endpoints(changes, contact.kept_until_ms(), "store");
     };
     let contact = StoreContact::new(ENDPOINTS, state.settings().drain);
--- a/dockgate/src/gateway/gateway_gauges.rs
+++ b/dockgate/src/gateway/gateway_gauges.rs
@@ -88,22 +88,22 @@
         self.connections.set(state.pools.open() as i64);
         self.config_age_ms.set(state.config_age_ms() as i64);
         self.endpoints_age_ms.set(state.endpoints_age_ms() as i64);
-        state.with(|beliefs| {
-            let coordinates = beliefs.fleet.is_coordinator(now);
+        state.with(|view| {
+            let coordinates = view.fleet.is_coordinator(now);
             self.coordinates.set(i64::from(coordinates));
-            let taken_part = beliefs.shed.admitted_fraction();
+            let taken_part = view.shedder.admitted_fraction();
             self.taken_part.set((taken_part * 1_000.0) as i64);
-            let proof_age_ms = beliefs.fleet.store_proof_age_ms(now);
+            let proof_age_ms = view.fleet.store_proof_age_ms(now);
             self.store_proof_age_ms
                 .set(proof_age_ms.map_or(-1, |age_ms| age_ms as i64));
-            self.boxes.set(i64::from(beliefs.fleet.live_count(now)));
+            self.boxes.set(i64::from(view.fleet.live_count(now)));
             let (mut ready, mut draining, mut resting, mut unusable) = (0, 0, 0, 0);
-            for (id, entry) in beliefs.endpoints.iter() {
+            for (id, entry) in view.endpoints.iter() {
                 match entry.record.state {
                     EndpointState::Draining => draining += 1,
                     EndpointState::Unusable => unusable += 1,
-                    EndpointState::Ready if beliefs.endpoints.notices().leaves(id) => draining += 1,
-                    EndpointState::Ready if beliefs.endpoints.is_eligible(id, now) => ready += 1,
+                    EndpointState::Ready if view.endpoints.notices().leaves(id) => draining += 1,
+                    EndpointState::Ready if view.endpoints.is_eligible(id, now) => ready += 1,
                     EndpointState::Ready => resting += 1,
                 }
             }
@@ -115,9 +115,9 @@
             ] {
                 self.endpoints.with_label_values(&[name]).set(count);
             }
-            let quarantined = beliefs.suspects.quarantined_count(now);
+            let quarantined = view.suspects.quarantined_count(now);
             self.quarantined.set(quarantined as i64);
-            let loads = || beliefs.engines.iter();
+            let loads = || view.engines.iter();
             self.unread
                 .set(loads().map(|load| load.unread() as i64).sum());
             self.memory
--- a/dockgate/src/gateway/gateway_state.rs
+++ b/dockgate/src/gateway/gateway_state.rs
@@ -1,6 +1,6 @@
 //! What a gateway believes, and the few things that all its tasks share.
 
-mod store_reach;
+mod store_access;
 
 use super::events::{GatewayEvent, log_gateway};
 use super::membership::DigestCache;
@@ -38,13 +38,13 @@
     /// The box that was told of it.
     pub(super) owner: BoxKey,
     /// The prompt.
-    pub(super) ask: EngineAsk,
+    pub(super) request: EngineAsk,
     /// Whether its first event was seen.
     pub(super) started: bool,
 }
 
 /// Everything that decisions are made on; plain state without I/O.
-pub(super) struct GatewayBeliefs {
+pub(super) struct GatewayView {
     /// The endpoints.
     pub(super) endpoints: EndpointRegistry,
     /// What the engines are busy with.
@@ -64,7 +64,7 @@
     /// This box's prompts at engines, by its own counter.
     pub(super) runs: HashMap<u32, PlacedRun>,
     /// The endpoints that broke answers off lately.
-    pub(super) broken: InterruptionTracker,
+    pub(super) interruptions: InterruptionTracker,
     /// The requests under which endpoints have ended.
     pub(super) suspects: SuspectRegistry,
     /// What this box had read at engines lately.
@@ -72,19 +72,19 @@
     /// Whether this box keeps up with its work.
     pub(super) lag: LoopLag,
     /// Which part of its requests this box takes.
-    pub(super) shed: LoadShedder,
+    pub(super) shedder: LoadShedder,
     /// Seeks that wait for a verdict, by the same counter.
-    pub(super) seeks: HashMap<u32, oneshot::Sender<EngineVerdict>>,
+    pub(super) slot_requests: HashMap<u32, oneshot::Sender<EngineVerdict>>,
     /// Whether this box follows the store by itself.
     pub(super) store: StoreFollower,
     /// Whether the store hears it.
     pub(super) probe: StoreProbe,
     /// What it follows there and was answered the last time, and up to which revision.
-    pub(super) reached: BTreeMap<&'static str, StoreRevision>,
+    pub(super) store_revisions: BTreeMap<&'static str, StoreRevision>,
     /// Whether what is believed was heard since the box was suspended last.
     pub(super) gate: ResumeGate,
     /// Whether what it follows still tells of changes.
-    pub(super) watches: WatchCheck,
+    pub(super) watch_check: WatchCheck,
 }
 
 /// A configuration in the form in which boxes tell it.
@@ -97,18 +97,18 @@
 pub(super) struct GatewayState {
     settings: ArcSwap<GatewaySettings>,
     incarnation: Incarnation,
-    me: BoxKey,
+    own_key: BoxKey,
     table: ArcSwap<RouteTable>,
     /// The configuration in force in the form in which it is told, from the first time that it is.
-    encoded: Mutex<Option<EncodedConfig>>,
-    beliefs: Mutex<GatewayBeliefs>,
+    encoded_config: Mutex<Option<EncodedConfig>>,
+    view: Mutex<GatewayView>,
     role: watch::Sender<StoreRole>,
-    returns: watch::Sender<u64>,
-    counter: AtomicU32,
+    recoveries: watch::Sender<u64>,
+    run_counter: AtomicU32,
     /// When the configuration in force came.
-    config_ms: AtomicU64,
+    config_changed_ms: AtomicU64,
     /// When the last news of an endpoint came.
-    endpoints_ms: AtomicU64,
+    endpoints_changed_ms: AtomicU64,
     /// Whether the requests in quarantine are being written to the store.
     pub(super) writes_quarantine: AtomicBool,
     stop: StopFlag,
@@ -125,7 +125,7 @@
         let own = BoxHeartbeat::new(&settings.name, &settings.domain, settings.listen.peers)
             .state_address(settings.listen.state)
             .status(BoxStatus::new(settings.processor));
-        let beliefs = GatewayBeliefs {
+        let view = GatewayView {
             endpoints: EndpointRegistry::default(),
             engines: EngineBook::default(),
             shares: ShareTracker::new(settings.share_window.as_millis() as u64),
@@ -135,30 +135,30 @@
             fleet: FleetView::new(own),
             digest: DigestCache::default(),
             runs: HashMap::new(),
-            broken: InterruptionTracker::default(),
+            interruptions: InterruptionTracker::default(),
             suspects: SuspectRegistry::default(),
             reads: ReadLog::default(),
             lag: LoopLag::default(),
-            shed: LoadShedder::default(),
-            seeks: HashMap::new(),
+            shedder: LoadShedder::default(),
+            slot_requests: HashMap::new(),
             store: StoreFollower::default(),
             probe: StoreProbe::default(),
-            reached: BTreeMap::new(),
+            store_revisions: BTreeMap::new(),
             gate: ResumeGate::default(),
-            watches: WatchCheck::default(),
+            watch_check: WatchCheck::default(),
         };
         Self {
-            me: BoxKey::from_name(&settings.name),
+            own_key: BoxKey::from_name(&settings.name),
             incarnation: Incarnation(rand::random()),
             table: ArcSwap::default(),
-            encoded: Mutex::new(None),
-            beliefs: Mutex::new(beliefs),
+            encoded_config: Mutex::new(None),
+            view: Mutex::new(view),
             role: watch::channel(StoreRole::default()).0,
-            returns: watch::channel(0).0,
+            recoveries: watch::channel(0).0,
             // Numbers of an earlier life are not met again soon.
-            counter: AtomicU32::new(rand::random()),
-            config_ms: AtomicU64::new(now_ms()),
-            endpoints_ms: AtomicU64::new(now_ms()),
+            run_counter: AtomicU32::new(rand::random()),
+            config_changed_ms: AtomicU64::new(now_ms()),
+            endpoints_changed_ms: AtomicU64::new(now_ms()),
             writes_quarantine: AtomicBool::new(false),
             stop: StopFlag::default(),
             end_ms: AtomicU64::new(0),
@@ -176,10 +176,9 @@
     /// Puts other settings in force; where the box listens stays as it was.
     pub(super) fn set_settings(&self, settings: GatewaySettings) {
         let listen = self.settings().listen;
-        self.with(|beliefs| {
-            beliefs.retries.set_rule(settings.retry_rule());
-            beliefs
-                .shares
+        self.with(|view| {
+            view.retries.set_rule(settings.retry_rule());
+            view.shares
                 .set_window(settings.share_window.as_millis() as u64);
         });
         self.settings
@@ -192,21 +191,21 @@
     }
 
     /// Returns this box.
-    pub(super) const fn me(&self) -> BoxKey {
-        self.me
+    pub(super) const fn own_key(&self) -> BoxKey {
+        self.own_key
     }
 
     /// Names a run of this box.
-    pub(super) const fn own_run(&self, number: u32) -> RunKey {
+    pub(super) const fn run_key(&self, number: u32) -> RunKey {
         RunKey {
-            entry: self.me,
+            entry: self.own_key,
             number,
         }
     }
 
     /// Returns a number for the next run.
-    pub(super) fn next_run(&self) -> u32 {
-        self.counter.fetch_add(1, Ordering::Relaxed)
+    pub(super) fn next_run_number(&self) -> u32 {
+        self.run_counter.fetch_add(1, Ordering::Relaxed)
     }
 
     /// Makes a client of the store, with connections of its own.
@@ -226,7 +225,10 @@
     pub(super) fn encoded_config(&self) -> Option<Box<RawValue>> {
         let table = self.table();
         let version = table.config().version;
-        let mut encoded = self.encoded.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut encoded = self
+            .encoded_config
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
         let is_in_force = encoded.as_ref().is_some_and(|kept| kept.version == version);
         if !is_in_force {
             let json = to_raw_value(table.config())
@@ -238,30 +240,30 @@
 
     /// Returns for how long the configuration has been in force here, in milliseconds.
     pub(super) fn config_age_ms(&self) -> u64 {
-        now_ms().saturating_sub(self.config_ms.load(Ordering::Relaxed))
+        now_ms().saturating_sub(self.config_changed_ms.load(Ordering::Relaxed))
     }
 
     /// Returns how old the last news of an endpoint is here, in milliseconds.
     pub(super) fn endpoints_age_ms(&self) -> u64 {
-        now_ms().saturating_sub(self.endpoints_ms.load(Ordering::Relaxed))
+        now_ms().saturating_sub(self.endpoints_changed_ms.load(Ordering::Relaxed))
     }
 
     /// Reads or changes what is believed; must not wait inside.
-    pub(super) fn with<T>(&self, change: impl FnOnce(&mut GatewayBeliefs) -> T) -> T {
+    pub(super) fn with<T>(&self, change: impl FnOnce(&mut GatewayView) -> T) -> T {
         // No decision leaves its state half changed, so a panic elsewhere spoils nothing.
-        let mut beliefs = self.beliefs.lock().unwrap_or_else(PoisonError::into_inner);
-        change(&mut beliefs)
+        let mut view = self.view.lock().unwrap_or_else(PoisonError::into_inner);
+        change(&mut view)
     }
 
     /// Puts a configuration in force, unless it is not newer than the one that is.
-    pub(super) fn offer_routes(&self, config: RouteConfig, source: &str) {
+    pub(super) fn apply_routes(&self, config: RouteConfig, source: &str) {
         let (old, new) = (self.table.load().config().version, config.version);
         if new <= old {
             return;
         }
         let (routes, workspaces) = (config.routes.len(), config.workspaces.len());
         self.table.store(Arc::new(RouteTable::new(config)));
-        self.config_ms.store(now_ms(), Ordering::Relaxed);
+        self.config_changed_ms.store(now_ms(), Ordering::Relaxed);
         METRICS.config_version.set(new as i64);
         log_gateway(&GatewayEvent::RoutesInForce {
             old,
@@ -270,7 +272,7 @@
             routes,
             workspaces,
         });
-        self.note_known();
+        self.publish_revisions();
     }
 
     /// Takes changes of endpoints in, and closes what belongs to those that are gone.
@@ -280,8 +282,8 @@
         kept_until_ms: Option<u64>,
         source: &str,
     ) {
-        let changed: Vec<EndpointChange> = self.with(|beliefs| {
-            let endpoints = &mut beliefs.endpoints;
+        let changed: Vec<EndpointChange> = self.with(|view| {
+            let endpoints = &mut view.endpoints;
             let changes = changes.into_iter();
             let changed = changes.filter(|change| endpoints.apply(change.clone(), kept_until_ms));
             changed.collect()
@@ -291,12 +293,12 @@
 
     fn note_changes(&self, changes: &[EndpointChange], source: &str) {
         if !changes.is_empty() {
-            self.endpoints_ms.store(now_ms(), Ordering::Relaxed);
+            self.endpoints_changed_ms.store(now_ms(), Ordering::Relaxed);
         }
         for change in changes {
             log_gateway(&GatewayEvent::endpoint(change, source));
         }
-        self.note_known();
+        self.publish_revisions();
     }
 
     /// Takes the store's listing of endpoints in, unless newer changes are known.
@@ -307,46 +309,45 @@
         kept_until_ms: Option<u64>,
     ) {
         let count = listed.len();
-        let changed =
-            self.with(|beliefs| beliefs.endpoints.replace(listed, revision, kept_until_ms));
+        let changed = self.with(|view| view.endpoints.replace(listed, revision, kept_until_ms));
         self.note_listed(changed, count, revision, "store");
     }
 
     /// Takes in what another box told of the endpoints; returns whether both know the same by now.
-    pub(super) fn learn_endpoints(&self, news: EndpointUpdate, source: &str) -> bool {
-        let (count, revision, is_whole) =
-            (news.endpoints.len(), news.revision, news.since.is_none());
+    pub(super) fn merge_endpoints(&self, update: EndpointUpdate, source: &str) -> bool {
+        let (count, revision, is_whole) = (
+            update.endpoints.len(),
+            update.revision,
+            update.since.is_none(),
+        );
         // A box that knows nothing of the store names none.
         self.note_era(Some(revision.era).filter(|era| *era > 0), source);
-        let learned = self.with(|beliefs| beliefs.endpoints.merge(news, now_ms()));
+        let merged = self.with(|view| view.endpoints.merge(update, now_ms()));
         match is_whole {
-            true => self.note_listed(learned.changed, count, revision, source),
-            false => self.note_changes(&learned.changes, source),
+            true => self.note_listed(merged.changed, count, revision, source),
+            false => self.note_changes(&merged.changes, source),
         }
-        learned.agrees
+        merged.agrees
     }
 
     fn note_listed(&self, changed: bool, count: usize, revision: StoreRevision, source: &str) {
         if changed {
-            self.endpoints_ms.store(now_ms(), Ordering::Relaxed);
+            self.endpoints_changed_ms.store(now_ms(), Ordering::Relaxed);
             log_gateway(&GatewayEvent::EndpointsListed {
                 count,
                 revision: revision.number,
                 source,
             });
         }
-        self.note_known();
+        self.publish_revisions();
     }
 
     /// Tells the others' view what this box knows now, and forgets what is gone.
-    pub(super) fn note_known(&self) {
+    pub(super) fn publish_revisions(&self) {
         let version = self.table.load().config().version;
-        let kept = self.with(|beliefs| {
-            beliefs
-                .fleet
-                .set_revisions(version, beliefs.endpoints.revision());
-            beliefs
-                .endpoints
+        let kept = self.with(|view| {
+            view.fleet.set_revisions(version, view.endpoints.revision());
+            view.endpoints
                 .iter()
                 .map(|(id, _)| id)
                 .collect::<Vec<EndpointId>>()
@@ -358,24 +359,24 @@
     pub(super) fn expire(&self, since_ms: u64) {
         let now = now_ms();
         let most_boxes = self.settings().boxes;
-        let (expired, boxes) = self.with(|beliefs| {
-            let GatewayBeliefs {
+        let (expired, boxes) = self.with(|view| {
+            let GatewayView {
                 endpoints,
                 engines,
                 fleet,
                 runs,
                 retries,
-                broken,
+                interruptions,
                 suspects,
                 ..
-            } = beliefs;
-            broken.expire(now);
+            } = view;
+            interruptions.expire(now);
             suspects.expire(now);
             let expired = endpoints.expire(now);
             let gone = fleet.expire(since_ms, now);
             retries.set_boxes(most_boxes.max(fleet.known_count()));
-            let me = self.me;
-            let is_gone = |run: RunKey| match run.entry == me {
+            let own_key = self.own_key;
+            let is_gone = |run: RunKey| match run.entry == own_key {
                 true => !runs.contains_key(&run.number),
                 false => !fleet.is_live(run.entry, now),
             };
@@ -397,7 +398,7 @@
             log_gateway(&GatewayEvent::BoxGone { peer });
         }
         if !expired.is_empty() {
-            self.note_known();
+            self.publish_revisions();
         }
     }
 
@@ -406,7 +407,7 @@
         let end_ms = now_ms() + within.as_millis() as u64;
         self.end_ms.store(end_ms, Ordering::Release);
         self.stop.set();
-        self.with(|beliefs| beliefs.fleet.set_leaving());
+        self.with(|view| view.fleet.set_leaving());
     }
 
     /// Tells whether the daemon is stopping.
@@ -422,15 +423,15 @@
 
     /// Tells whether callers are better served by another box.
     pub(super) fn is_overloaded(&self) -> bool {
-        self.with(|beliefs| beliefs.lag.is_overloaded())
+        self.with(|view| view.lag.is_overloaded())
     }
 
     /// Tells whether callers may be sent here.
     pub(super) fn is_ready(&self) -> bool {
         let configured = self.table.load().config().version > 0;
-        let able = self.with(|beliefs| {
-            let is_busy = beliefs.lag.is_overloaded() || beliefs.shed.diverts_connections(now_ms());
-            beliefs.endpoints.iter().next().is_some() && !is_busy
+        let able = self.with(|view| {
+            let is_busy = view.lag.is_overloaded() || view.shedder.diverts_connections(now_ms());
+            view.endpoints.iter().next().is_some() && !is_busy
         });
         configured && able && !self.is_stopping() && self.is_fresh()
     }
--- a/dockgate/src/gateway/membership.rs
+++ b/dockgate/src/gateway/membership.rs
@@ -10,7 +10,7 @@
 use super::end_check;
 use super::engine_seek::placed;
 use super::events::{GatewayEvent, log_gateway};
-use super::gateway_state::{GatewayBeliefs, GatewayState};
+use super::gateway_state::{GatewayState, GatewayView};
 use super::quarantine;
 use super::workspace_report::{REPORT_INTERVAL_MS, log_shares};
 use crate::clock::now_ms;
@@ -27,38 +27,38 @@
 
 /// How often a box says that it lives, in milliseconds; drawn anew each time, so that boxes that
 /// started together do not beat together. Three that are lost in a row make it gone.
-const BEAT_MS: Range<u64> = 270..330;
-/// How long a box that has heard of no other one of its domain waits after its first beat, in
-/// milliseconds; twice as long after each further one, up to that of a usual beat.
-const FIRST_BEAT_MS: Range<u64> = 15..25;
+const HEARTBEAT_MS: Range<u64> = 270..330;
+/// How long a box that has heard of no other one of its domain waits after its first heartbeat, in
+/// milliseconds; twice as long after each further one, up to that of a usual heartbeat.
+const INITIAL_HEARTBEAT_MS: Range<u64> = 15..25;
 /// How many such beats there are. A bound; boxes that start together are there within some tenths of a
 /// second of each other.
-const FIRST_BEATS: u32 = 10;
+const INITIAL_HEARTBEATS: u32 = 10;
 /// With which part of its beats a coordinator asks the seeds too, so that parts of a fleet that do not
 /// know of each other find together within some seconds.
-const SEEDS_PART: f64 = 0.125;
+const SEED_PROBABILITY: f64 = 0.125;
 /// For how long a digest for the own domain is sent again, in milliseconds: what it says of others'
 /// ages is wrong by as much.
-const DIGEST_KEPT_MS: u64 = 100;
+const DIGEST_CACHE_MS: u64 = 100;
 
 /// The last digest for the own domain.
 #[derive(Debug, Default)]
 pub(super) struct DigestCache {
-    made_ms: u64,
+    built_ms: u64,
     message: Option<EncodedMessage>,
 }
 
 /// Sends a beat to the coordinators of the own domain, and to the seeds where it may be needed.
-pub(super) fn send_beat(state: &GatewayState) {
+pub(super) fn send_heartbeat(state: &GatewayState) {
     let now = now_ms();
     let draw = rand::random_range(0..usize::MAX);
-    let (targets, message) = state.with(|beliefs| {
-        beliefs.fleet.advance_sequence(now);
+    let (targets, message) = state.with(|view| {
+        view.fleet.advance_sequence(now);
         let message = GatewayMessage::Heartbeat {
-            heartbeat: beliefs.fleet.own().clone(),
-            shares: beliefs.shares.rows(now),
+            heartbeat: view.fleet.own().clone(),
+            shares: view.shares.rows(now),
         };
-        (beliefs.fleet.heartbeat_targets(now, draw), message)
+        (view.fleet.heartbeat_targets(now, draw), message)
     });
     let Some(message) = encode(state, message) else {
         return;
@@ -73,11 +73,11 @@
 /// Lists the seeds that this box beats to now: where it hears of nobody in its own domain, or
 /// coordinates without knowing of another one, and now and then where it coordinates.
 fn seeds_due(state: &GatewayState, now_ms: u64) -> Vec<SocketAddr> {
-    let is_due = state.with(|beliefs| {
-        let fleet = &beliefs.fleet;
+    let is_due = state.with(|view| {
+        let fleet = &view.fleet;
         let lonely = !fleet.has_live_domain_peer(now_ms);
         let alone = || fleet.is_coordinator(now_ms) && fleet.remote_coordinators(now_ms).is_empty();
-        let looks = || fleet.is_coordinator(now_ms) && rand::random_bool(SEEDS_PART);
+        let looks = || fleet.is_coordinator(now_ms) && rand::random_bool(SEED_PROBABILITY);
         lonely || alone() || looks()
     });
     if !is_due {
@@ -92,15 +92,15 @@
 }
 
 /// Tells the coordinators of the other domains what this one knows of its own.
-fn send_far_digests(state: &GatewayState, scope: DigestScope) {
+fn send_remote_digests(state: &GatewayState, scope: DigestScope) {
     let now = now_ms();
-    let due = state.with(|beliefs| {
-        if !beliefs.fleet.is_coordinator(now) {
+    let due = state.with(|view| {
+        if !view.fleet.is_coordinator(now) {
             return None;
         }
-        let targets = beliefs.fleet.remote_coordinators(now);
-        let shares = beliefs.shares.domain_rows(now);
-        Some((targets, own_digest(beliefs, scope, shares, now)))
+        let targets = view.fleet.remote_coordinators(now);
+        let shares = view.shares.domain_rows(now);
+        Some((targets, own_digest(view, scope, shares, now)))
     });
     let Some((targets, message)) = due.filter(|(targets, _)| !targets.is_empty()) else {
         return;
@@ -114,46 +114,46 @@
 }
 
 fn own_digest(
-    beliefs: &mut GatewayBeliefs,
+    view: &mut GatewayView,
     scope: DigestScope,
     shares: Vec<UsageRow>,
     now_ms: u64,
 ) -> GatewayMessage {
-    beliefs.fleet.advance_sequence(now_ms);
+    view.fleet.advance_sequence(now_ms);
     GatewayMessage::Digest {
-        digest: beliefs.fleet.digest(scope, now_ms),
+        digest: view.fleet.digest(scope, now_ms),
         shares,
     }
 }
 
 /// Answers another box's beat with what this one knows.
-fn answer_beat(state: &GatewayState, from: SocketAddr, is_near: bool) {
+fn answer_heartbeat(state: &GatewayState, from: SocketAddr, is_same_domain: bool) {
     let now = now_ms();
-    if !is_near {
+    if !is_same_domain {
         let welcome = DigestScope::Introduction;
-        let message = state.with(|beliefs| own_digest(beliefs, welcome, Vec::new(), now));
+        let message = state.with(|view| own_digest(view, welcome, Vec::new(), now));
         return send_datagram(state, from, message);
     }
-    let kept = state.with(|beliefs| {
-        let cache = &beliefs.digest;
-        let is_fresh = cache.made_ms + DIGEST_KEPT_MS > now;
+    let kept = state.with(|view| {
+        let cache = &view.digest;
+        let is_fresh = cache.built_ms + DIGEST_CACHE_MS > now;
         cache.message.clone().filter(|_| is_fresh)
     });
-    let message = kept.or_else(|| make_near_digest(state, now));
+    let message = kept.or_else(|| build_domain_digest(state, now));
     if let Some(message) = message {
         send_encoded(state, from, &message);
     }
 }
 
-fn make_near_digest(state: &GatewayState, now_ms: u64) -> Option<EncodedMessage> {
-    let message = state.with(|beliefs| {
-        let shares = beliefs.shares.fleet_rows(now_ms);
-        own_digest(beliefs, DigestScope::SameDomain, shares, now_ms)
+fn build_domain_digest(state: &GatewayState, now_ms: u64) -> Option<EncodedMessage> {
+    let message = state.with(|view| {
+        let shares = view.shares.fleet_rows(now_ms);
+        own_digest(view, DigestScope::SameDomain, shares, now_ms)
     });
     let message = encode(state, message);
-    state.with(|beliefs| {
-        beliefs.digest = DigestCache {
-            made_ms: now_ms,
+    state.with(|view| {
+        view.digest = DigestCache {
+            built_ms: now_ms,
             message: message.clone(),
         };
     });
@@ -170,19 +170,19 @@
     if let Err(error) = state.datagrams.writable().await {
         log::warn!("send datagrams: {error}");
     }
-    for count in 0..FIRST_BEATS {
-        send_beat(state);
-        let first_ms = rand::random_range(FIRST_BEAT_MS);
-        let wait_ms = (first_ms << count).min(rand::random_range(BEAT_MS));
+    for count in 0..INITIAL_HEARTBEATS {
+        send_heartbeat(state);
+        let first_ms = rand::random_range(INITIAL_HEARTBEAT_MS);
+        let wait_ms = (first_ms << count).min(rand::random_range(HEARTBEAT_MS));
         tokio::time::sleep(Duration::from_millis(wait_ms)).await;
-        if state.with(|beliefs| beliefs.fleet.has_live_domain_peer(now_ms())) {
+        if state.with(|view| view.fleet.has_live_domain_peer(now_ms())) {
             return;
         }
     }
 }
 
 /// Says again and again that this box lives, and lets lapse what has to.
-pub(super) async fn beat(state: Arc<GatewayState>) {
+pub(super) async fn send_heartbeats(state: Arc<GatewayState>) {
     announce(&state).await;
     let mut since_ms = now_ms();
     let mut logged_ms = since_ms;
@@ -191,21 +191,21 @@
         _ => DigestScope::OtherDomain,
     });
     for scope in scopes {
-        let wait_ms = rand::random_range(BEAT_MS);
+        let wait_ms = rand::random_range(HEARTBEAT_MS);
         tokio::time::sleep(Duration::from_millis(wait_ms)).await;
-        send_beat(&state);
-        send_far_digests(&state, scope);
-        quarantine::tell(&state);
+        send_heartbeat(&state);
+        send_remote_digests(&state, scope);
+        quarantine::broadcast_reports(&state);
         let now = now_ms();
         let units_per_s = match state.table().config().limits.units_per_s {
             // Without a stated rate nobody is ever beyond a share.
             rate if rate > 0.0 => rate,
             _ => f64::INFINITY,
         };
-        state.with(|beliefs| {
-            beliefs.shares.tick(now, units_per_s);
-            let behind = beliefs.lag.is_overloaded();
-            beliefs.fleet.set_behind(behind);
+        state.with(|view| {
+            view.shares.tick(now, units_per_s);
+            let behind = view.lag.is_overloaded();
+            view.fleet.set_behind(behind);
         });
         if now >= logged_ms + REPORT_INTERVAL_MS {
             log_shares(&state);
@@ -222,14 +222,14 @@
 /// may not know: `is_due` is given the box that decides now and the one that was told.
 fn report_engines(state: &GatewayState, is_due: impl Fn(BoxKey, BoxKey) -> bool + Copy) {
     let now = now_ms();
-    let (runs, reads) = state.with(|beliefs| {
-        let GatewayBeliefs {
+    let (runs, reads) = state.with(|view| {
+        let GatewayView {
             endpoints,
             fleet,
             runs,
             reads,
             ..
-        } = beliefs;
+        } = view;
         let owner_of = |endpoint: EndpointId| {
             let entry = endpoints.get(endpoint)?;
             Some(fleet.owner(endpoint, &entry.record.domain, now))
@@ -239,7 +239,10 @@
             let owner = owner_of(run.endpoint).filter(|owner| is_due(*owner, run.owner));
             if let Some(owner) = owner {
                 run.owner = owner;
-                due.push((owner, placed(*number, run.endpoint, &run.ask, run.started)));
+                due.push((
+                    owner,
+                    placed(*number, run.endpoint, &run.request, run.started),
+                ));
             }
         }
         (due, reads.take_due(owner_of, is_due))
@@ -253,45 +256,47 @@
         (owner, GatewayMessage::PartsRead { endpoint, parts })
     });
     // What was read goes first: it is older than what runs.
-    let others = reads.chain(runs).filter(|(owner, _)| *owner != state.me());
+    let others = reads
+        .chain(runs)
+        .filter(|(owner, _)| *owner != state.own_key());
     for (owner, message) in others {
         send_to(state, owner, message);
     }
 }
 
 /// Takes in that a box lives, and answers with what this one knows.
-pub(super) fn hear_beat(
+pub(super) fn receive_heartbeat(
     state: &GatewayState,
     from: SocketAddr,
-    beat: BoxHeartbeat,
+    heartbeat: BoxHeartbeat,
     incarnation: Incarnation,
     shares: &[UsageRow],
 ) {
     let now = now_ms();
-    let peer = beat.key();
-    let is_near = beat.domain == state.settings().domain;
-    let teller = ShareHeader {
+    let peer = heartbeat.key();
+    let is_same_domain = heartbeat.domain == state.settings().domain;
+    let header = ShareHeader {
         peer,
         incarnation,
-        sequence: beat.sequence,
+        sequence: heartbeat.sequence,
         scope: ShareScope::Own,
     };
-    let news = state.with(|beliefs| {
+    let change = state.with(|view| {
         // The coordinators of another domain count what its boxes ask for.
-        if is_near {
-            beliefs.shares.merge(teller, shares, now);
+        if is_same_domain {
+            view.shares.merge(header, shares, now);
         }
-        beliefs.fleet.receive_heartbeat(beat, incarnation, now)
+        view.fleet.receive_heartbeat(heartbeat, incarnation, now)
     });
-    take_news(state, &[(peer, news)]);
-    answer_beat(state, from, is_near);
-    if is_near {
-        quarantine::tell_one(state, from, news != BoxChange::None);
+    apply_box_changes(state, &[(peer, change)]);
+    answer_heartbeat(state, from, is_same_domain);
+    if is_same_domain {
+        quarantine::send_reports(state, from, change != BoxChange::None);
     }
 }
 
 /// Takes in what another box passes on.
-pub(super) fn hear_digest(
+pub(super) fn receive_digest(
     state: &GatewayState,
     digest: FleetDigest,
     incarnation: Incarnation,
@@ -306,33 +311,35 @@
         }
         DigestScope::Introduction => None,
     };
-    let teller = scope.map(|scope| ShareHeader {
+    let header = scope.map(|scope| ShareHeader {
         peer: digest.sender.key(),
         incarnation,
         sequence: digest.sender.sequence,
         scope,
     });
-    let news = state.with(|beliefs| {
-        if let Some(teller) = teller {
-            beliefs.shares.merge(teller, shares, now);
+    let changes = state.with(|view| {
+        if let Some(header) = header {
+            view.shares.merge(header, shares, now);
         }
-        beliefs.fleet.receive_digest(digest, incarnation, now)
+        view.fleet.receive_digest(digest, incarnation, now)
     });
-    take_news(state, &news);
+    apply_box_changes(state, &changes);
 }
 
 /// Acts on news of boxes: ends the runs of those that remember none, and tells those that decide for
 /// engines what they may not know.
-fn take_news(state: &GatewayState, news: &[(BoxKey, BoxChange)]) {
+fn apply_box_changes(state: &GatewayState, changes: &[(BoxKey, BoxChange)]) {
     let now = now_ms();
-    let changed = news.iter().filter(|(_, news)| *news != BoxChange::None);
+    let changed = changes
+        .iter()
+        .filter(|(_, change)| *change != BoxChange::None);
     let mut seen = Vec::new();
-    for (peer, news) in changed {
-        let told = state.with(|beliefs| {
-            if *news == BoxChange::Restarted {
-                beliefs.engines.forget_entry(*peer, now);
+    for (peer, change) in changed {
+        let told = state.with(|view| {
+            if *change == BoxChange::Restarted {
+                view.engines.forget_entry(*peer, now);
             }
-            let fleet = &beliefs.fleet;
+            let fleet = &view.fleet;
             let told = fleet.has_heartbeat(*peer);
             told.then(|| (fleet.name(*peer).to_owned(), fleet.domain(*peer).to_owned()))
         });
--- a/dockgate/src/gateway/membership/tests.rs
+++ b/dockgate/src/gateway/membership/tests.rs
@@ -33,15 +33,14 @@
     seed.readable().await.unwrap();
     assert_eq!(
         count_datagrams(&seed),
-        FIRST_BEATS as usize,
+        INITIAL_HEARTBEATS as usize,
         "nobody was heard"
     );
 
-    let beat = BoxHeartbeat::new("a2", "a", seed.local_addr().unwrap());
-    state.with(|beliefs| {
-        beliefs
-            .fleet
-            .receive_heartbeat(beat, Incarnation(1), now_ms())
+    let heartbeat = BoxHeartbeat::new("a2", "a", seed.local_addr().unwrap());
+    state.with(|view| {
+        view.fleet
+            .receive_heartbeat(heartbeat, Incarnation(1), now_ms())
     });
     announce(&state).await;
     seed.readable().await.unwrap();
@@ -64,8 +63,8 @@
         ("a2", "a", DigestScope::SameDomain),
         ("b1", "b", DigestScope::Introduction),
     ] {
-        let beat = BoxHeartbeat::new(name, domain, from);
-        hear_beat(&state, from, beat, Incarnation(1), &[row]);
+        let heartbeat = BoxHeartbeat::new(name, domain, from);
+        receive_heartbeat(&state, from, heartbeat, Incarnation(1), &[row]);
         other.readable().await.unwrap();
         let mut buffer = [0; 2_000];
         let length = other.try_recv(&mut buffer).unwrap();
--- a/dockgate/src/gateway/notices.rs
+++ b/dockgate/src/gateway/notices.rs
@@ -22,10 +22,9 @@
         return;
     }
     GATEWAY_METRICS.note_notice(notice);
-    let news = state.with(|beliefs| {
+    let news = state.with(|view| {
         let draw = rand::random();
-        beliefs
-            .endpoints
+        view.endpoints
             .receive_notice(target.id, notice, now_ms(), draw)
     });
     let endpoint = &target.name;
@@ -45,12 +44,12 @@
 ///
 /// Of hundreds of boxes each sends to one engine every few seconds.
 pub(super) fn tell_owner(state: &GatewayState, target: &EndpointTarget) {
-    let owner = state.with(|beliefs| {
-        let entry = beliefs.endpoints.get(target.id)?;
+    let owner = state.with(|view| {
+        let entry = view.endpoints.get(target.id)?;
         let domain = &entry.record.domain;
-        Some(beliefs.fleet.owner(target.id, domain, now_ms()))
+        Some(view.fleet.owner(target.id, domain, now_ms()))
     });
-    if let Some(owner) = owner.filter(|owner| *owner != state.me()) {
+    if let Some(owner) = owner.filter(|owner| *owner != state.own_key()) {
         let endpoint = target.id;
         send_to(state, owner, GatewayMessage::EndpointLeaving { endpoint });
     }
@@ -58,8 +57,7 @@
 
 /// Takes in another box's word that an endpoint leaves.
 pub(super) fn hear_told(state: &GatewayState, endpoint: EndpointId) {
-    let is_believed =
-        state.with(|beliefs| beliefs.endpoints.receive_reported_leave(endpoint, now_ms()));
+    let is_believed = state.with(|view| view.endpoints.receive_reported_leave(endpoint, now_ms()));
     GATEWAY_METRICS.note_told(is_believed);
 }
 
@@ -73,6 +71,6 @@
 ) -> SendCondition {
     let (state, id) = (state.clone(), target.id);
     SendCondition::new(caller, move || {
-        state.with(|beliefs| beliefs.endpoints.notices().accepts_requests(id, now_ms()))
+        state.with(|view| view.endpoints.notices().accepts_requests(id, now_ms()))
     })
 }
--- a/dockgate/src/gateway/overload.rs
+++ b/dockgate/src/gateway/overload.rs
@@ -47,11 +47,11 @@
         let mark = WorkMark::now();
         let busy_part = mark.busy_part_since(&before);
         before = mark;
-        let (change, lag_ms) = state.with(|beliefs| {
+        let (change, lag_ms) = state.with(|view| {
             let now = now_ms();
-            beliefs.shed.record_sample(busy_part, late_ms, now);
-            let change = beliefs.lag.record(late_ms, now);
-            (change, beliefs.lag.lag_ms())
+            view.shedder.record_sample(busy_part, late_ms, now);
+            let change = view.lag.record(late_ms, now);
+            (change, view.lag.lag_ms())
         });
         match change {
             LagChange::None => {}
--- a/dockgate/src/gateway/peer_state.rs
+++ b/dockgate/src/gateway/peer_state.rs
@@ -10,7 +10,7 @@
 use super::events::{GatewayEvent, log_gateway};
 use super::gateway_metrics::GATEWAY_METRICS;
 use super::gateway_state::GatewayState;
-use super::quarantine_door;
+use super::quarantine_rpc;
 use crate::clock::{now_ms, wakings};
 use crate::door::RpcDoor;
 use crate::error::DaemonError;
@@ -30,22 +30,22 @@
 
 /// How often this box looks whether another one knows more. The watch of the store usually tells
 /// sooner; this bounds how long a watch whose answer was lost matters.
-const LOOK: Duration = Duration::from_millis(150);
+const POLL_INTERVAL: Duration = Duration::from_millis(150);
 /// The same for a box that has no configuration yet: it serves nobody until it has.
-const FIRST_LOOK: Duration = Duration::from_millis(40);
+const INITIAL_POLL_INTERVAL: Duration = Duration::from_millis(40);
 /// How long others must be ahead until a box that follows the store asks, in milliseconds: its own watch
 /// is usually on its way, and pauses for 300 ms between changes.
-const WATCH_PATIENCE_MS: u64 = 700;
+const WATCH_QUERY_DELAY_MS: u64 = 700;
 /// How long a box of another domain must be ahead until it is asked, in milliseconds: a beat and a bit, in
 /// which those of the own domain usually know it too, and telling that costs no bytes between domains.
-const FAR_PATIENCE_MS: u64 = 350;
+const REMOTE_QUERY_DELAY_MS: u64 = 350;
 /// How long connecting may take.
-const CONNECT: Duration = Duration::from_millis(800);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
 /// How long an answer may take at first; twice as long after each one that did not come in time, since how
 /// large the news is, and how busy the other box, is not known before.
-const ANSWER: Duration = Duration::from_millis(800);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(800);
 /// How long an answer may take at most: a bound, beyond which the other box is taken for gone.
-const LONGEST_ANSWER: Duration = Duration::from_millis(3_200);
+const MAX_ANSWER_TIMEOUT: Duration = Duration::from_millis(3_200);
 
 /// Makes the door at which other boxes ask. Whoever reaches it may ask: the platform keeps others
 /// away from the boxes' own ports.
@@ -53,15 +53,15 @@
 /// # Errors
 ///
 /// Returns an error where the method cannot be registered.
-pub(super) fn state_door(
+pub(super) fn state_rpc(
     state: Arc<GatewayState>,
 ) -> Result<RpcDoor<impl Fn(&HeaderMap) -> Result<Extensions, &'static str>>, DaemonError> {
     let mut module = RpcModule::new(state);
     module.register_method(methods::STATE, |params, state, _| {
         let request: StateRequest = params.one()?;
-        Ok::<_, ErrorObjectOwned>(answer(state, request))
+        Ok::<_, ErrorObjectOwned>(answer_query(state, request))
     })?;
-    quarantine_door::register(&mut module)?;
+    quarantine_rpc::register(&mut module)?;
     Ok(RpcDoor {
         name: "state",
         methods: module.into(),
@@ -69,11 +69,11 @@
     })
 }
 
-fn answer(state: &GatewayState, request: StateRequest) -> StateAnswer<Box<RawValue>> {
+fn answer_query(state: &GatewayState, request: StateRequest) -> StateAnswer<Box<RawValue>> {
     let newer = state.table().config().version > request.config_version;
     let config = newer.then(|| state.encoded_config()).flatten();
-    state.with(|beliefs| {
-        let endpoints = &beliefs.endpoints;
+    state.with(|view| {
+        let endpoints = &view.endpoints;
         let newer = endpoints.revision() > request.endpoint_revision;
         StateAnswer {
             config,
@@ -87,7 +87,7 @@
 struct QueryBackoff {
     behind_since_ms: Option<u64>,
     /// The last box that gave no answer.
-    silent: Option<SocketAddr>,
+    unresponsive: Option<SocketAddr>,
     /// How many answers in a row did not come.
     missed: u32,
 }
@@ -96,33 +96,33 @@
     /// Returns which box to ask now, if any.
     fn due(
         &mut self,
-        better: Option<StateSource>,
+        source: Option<StateSource>,
         has_watch: bool,
         now_ms: u64,
     ) -> Option<StateSource> {
-        let Some(better) = better else {
+        let Some(source) = source else {
             self.behind_since_ms = None;
             return None;
         };
         let behind_ms = now_ms - *self.behind_since_ms.get_or_insert(now_ms);
-        let patience_ms = match (has_watch, better.is_same_domain) {
-            (true, _) => WATCH_PATIENCE_MS,
-            (false, false) => FAR_PATIENCE_MS,
+        let delay_ms = match (has_watch, source.is_same_domain) {
+            (true, _) => WATCH_QUERY_DELAY_MS,
+            (false, false) => REMOTE_QUERY_DELAY_MS,
             (false, true) => 0,
         };
-        (behind_ms >= patience_ms).then_some(better)
+        (behind_ms >= delay_ms).then_some(source)
     }
 
     /// Returns how long an answer may take.
-    fn limit(&self) -> Duration {
-        (ANSWER * (1 << self.missed.min(8))).min(LONGEST_ANSWER)
+    fn timeout(&self) -> Duration {
+        (ANSWER_TIMEOUT * (1 << self.missed.min(8))).min(MAX_ANSWER_TIMEOUT)
     }
 
-    fn note(&mut self, peer: SocketAddr, answered: bool) {
+    fn record(&mut self, peer: SocketAddr, answered: bool) {
         match answered {
             true => *self = Self::default(),
             false => {
-                self.silent = Some(peer);
+                self.unresponsive = Some(peer);
                 self.missed += 1;
             }
         }
@@ -134,39 +134,45 @@
     let mut backoff = QueryBackoff::default();
     loop {
         let version = state.table().config().version;
-        let look = if version == 0 { FIRST_LOOK } else { LOOK };
-        tokio::time::sleep(look).await;
+        let interval = if version == 0 {
+            INITIAL_POLL_INTERVAL
+        } else {
+            POLL_INTERVAL
+        };
+        tokio::time::sleep(interval).await;
         let now = now_ms();
-        let better =
-            state.with(|beliefs| beliefs.fleet.find_state_source(what, backoff.silent, now));
+        let source = state.with(|view| {
+            view.fleet
+                .find_state_source(what, backoff.unresponsive, now)
+        });
         // A box that knows nothing yet has no time to wait for its watch.
-        let has_watch = version > 0 && state.hears_store();
-        if let Some(better) = backoff.due(better, has_watch, now) {
-            let peer = better.state_address;
+        let has_watch = version > 0 && state.reaches_store();
+        if let Some(source) = backoff.due(source, has_watch, now) {
+            let peer = source.state_address;
             let mut wakings = wakings();
             let answered = tokio::select! {
-                answered = ask_noted(&state, peer, what, backoff.limit()) => answered,
+                answered = query_logged(&state, peer, what, backoff.timeout()) => answered,
                 // Whoever was asked before the box slept is asked anew.
                 _ = wakings.changed() => continue,
             };
-            backoff.note(peer, answered);
+            backoff.record(peer, answered);
         }
     }
 }
 
 /// Asks, and notes how long that took and what became of it; returns whether it was answered.
-async fn ask_noted(
+async fn query_logged(
     state: &GatewayState,
     peer: SocketAddr,
     what: StateKind,
-    limit: Duration,
+    timeout: Duration,
 ) -> bool {
-    let began_ms = now_ms();
-    let asked = ask(state, peer, what, limit).await;
-    let took_ms = now_ms() - began_ms;
+    let started_ms = now_ms();
+    let result = query(state, peer, what, timeout).await;
+    let took_ms = now_ms() - started_ms;
     let took = Duration::from_millis(took_ms);
-    GATEWAY_METRICS.note_question(what.name(), asked.is_ok(), took);
-    if let Err(error) = &asked {
+    GATEWAY_METRICS.note_question(what.name(), result.is_ok(), took);
+    if let Err(error) = &result {
         log_gateway(&GatewayEvent::StateUnanswered {
             peer: &peer.to_string(),
             what: what.name(),
@@ -174,18 +180,18 @@
             problem: error.to_string(),
         });
     }
-    asked.is_ok()
+    result.is_ok()
 }
 
-async fn ask(
+async fn query(
     state: &GatewayState,
     peer: SocketAddr,
     what: StateKind,
-    limit: Duration,
+    timeout: Duration,
 ) -> Result<(), ClientError> {
     let client = WsClientBuilder::new()
-        .request_timeout(limit)
-        .connection_timeout(CONNECT)
+        .request_timeout(timeout)
+        .connection_timeout(CONNECT_TIMEOUT)
         .build(format!("ws://{peer}"))
         .await?;
     let source = peer.to_string();
@@ -196,21 +202,21 @@
             answer
                 .config
                 .into_iter()
-                .for_each(|config| state.offer_routes(config, &source));
+                .for_each(|config| state.apply_routes(config, &source));
         }
         StateKind::Endpoints => {
-            let known = state.with(|beliefs| beliefs.endpoints.revision());
+            let known = state.with(|view| view.endpoints.revision());
             let answer = request_state(&client, StateRequest::endpoints(known)).await?;
-            let agrees = answer
+            let is_consistent = answer
                 .endpoints
-                .is_none_or(|news| state.learn_endpoints(news, &source));
-            if !agrees {
+                .is_none_or(|update| state.merge_endpoints(update, &source));
+            if !is_consistent {
                 // Something was missed on the way here: all endpoints set it right.
                 let answer =
                     request_state(&client, StateRequest::endpoints(StoreRevision::NONE)).await?;
                 answer
                     .endpoints
-                    .map(|news| state.learn_endpoints(news, &source));
+                    .map(|update| state.merge_endpoints(update, &source));
             }
         }
     }
--- a/dockgate/src/gateway/quarantine_door.rs
+++ b/dockgate/src/gateway/quarantine_rpc.rs
@@ -21,8 +21,8 @@
 ) -> Result<(), RegisterMethodError> {
     module.register_method(methods::QUARANTINE, |params, state, _| {
         let request: QuarantineRequest = params.one()?;
-        if let Some(print) = request.release {
-            release(state, read_print(state, &print)?);
+        if let Some(fingerprint) = request.release {
+            release(state, parse_fingerprint(state, &fingerprint)?);
         }
         Ok::<_, ErrorObjectOwned>(list(state))
     })?;
@@ -30,28 +30,33 @@
 }
 
 /// Reads the print of a request that is in quarantine.
-fn read_print(state: &GatewayState, text: &str) -> Result<RequestFingerprint, ErrorObjectOwned> {
+fn parse_fingerprint(
+    state: &GatewayState,
+    text: &str,
+) -> Result<RequestFingerprint, ErrorObjectOwned> {
     let refuse =
         |problem: String| ErrorObjectOwned::owned(INVALID_PARAMS_CODE, problem, None::<()>);
-    let print = text.parse::<RequestFingerprint>().map_err(|_| {
+    let fingerprint = text.parse::<RequestFingerprint>().map_err(|_| {
         refuse(format!(
             "'{text}' is no print: 32 hexadecimal digits, as log lines have them"
         ))
     })?;
-    let known = state.with(|beliefs| beliefs.suspects.quarantine(print, now_ms()).is_some());
-    known
-        .then_some(print)
-        .ok_or_else(|| refuse(format!("{print} is not in quarantine, as this box knows")))
+    let known = state.with(|view| view.suspects.quarantine(fingerprint, now_ms()).is_some());
+    known.then_some(fingerprint).ok_or_else(|| {
+        refuse(format!(
+            "{fingerprint} is not in quarantine, as this box knows"
+        ))
+    })
 }
 
 fn list(state: &GatewayState) -> QuarantineAnswer {
     let now = now_ms();
-    let known = state.with(|beliefs| beliefs.suspects.quarantines(now));
+    let known = state.with(|view| view.suspects.quarantines(now));
     let held = known
         .into_iter()
         .filter(|(_, quarantine)| quarantine.stage.is_active());
-    let row = |(print, quarantine): (RequestFingerprint, Quarantine)| QuarantineRow {
-        print: print.to_string(),
+    let row = |(fingerprint, quarantine): (RequestFingerprint, Quarantine)| QuarantineRow {
+        print: fingerprint.to_string(),
         age_ms: (now as i64 - quarantine.at_ms).max(0) as u64,
         trials: quarantine.stage.trials,
         next_trial_ms: quarantine
--- a/dockgate/src/gateway/quarantine_store.rs
+++ b/dockgate/src/gateway/quarantine_store.rs
@@ -7,7 +7,7 @@
 
 use super::events::{GatewayEvent, log_gateway};
 use super::gateway_state::GatewayState;
-use super::quarantine::{learn, tell};
+use super::quarantine::{broadcast_reports, merge};
 use crate::clock::{now_ms, unix_ms};
 use dockgate_core::gateway::{Quarantine, QuarantineStage, RequestFingerprint};
 use dockgate_platform::{
@@ -41,7 +41,7 @@
     match decode_quarantines(&stored.bytes, clock()) {
         Ok(known) => {
             let stages = StoredStages::of(&known);
-            learn(state, known, "store");
+            merge(state, known, "store");
             Some(stages)
         }
         Err(error) => {
@@ -62,7 +62,9 @@
 
 impl StoredStages {
     fn of(known: &[(RequestFingerprint, Quarantine)]) -> Self {
-        let stages = known.iter().map(|(print, known)| (*print, known.stage));
+        let stages = known
+            .iter()
+            .map(|(fingerprint, known)| (*fingerprint, known.stage));
         Self {
             stages: stages.collect(),
         }
@@ -79,7 +81,7 @@
 ) {
     let stored = listing.items.iter().find(|item| item.key == QUARANTINE);
     let seen = read(state, stored);
-    let wanted = || state.with(|beliefs| beliefs.suspects.quarantines(now_ms()));
+    let wanted = || state.with(|view| view.suspects.quarantines(now_ms()));
     // Another writer's value is replaced once there is something to say.
     let seen = seen.unwrap_or_default();
     let is_due = writes && seen != StoredStages::of(&wanted());
@@ -102,7 +104,7 @@
 async fn write(state: &GatewayState, client: &PlatformClient) -> Result<(), PlatformError> {
     let stored = client.get(QUARANTINE).await?;
     let seen = read(state, stored.as_ref()).unwrap_or_default();
-    let wanted = state.with(|beliefs| beliefs.suspects.quarantines(now_ms()));
+    let wanted = state.with(|view| view.suspects.quarantines(now_ms()));
     if seen == StoredStages::of(&wanted) {
         return Ok(());
     }
@@ -125,32 +127,35 @@
 
 /// Asks whether this box may send a request in quarantine once: of all boxes that ask, on whichever side of a
 /// cut, the store lets one do so. Where it does not answer, none may.
-pub(super) async fn take_trial(state: &GatewayState, print: RequestFingerprint) -> bool {
-    let asked = tokio::time::timeout(TRIAL_TIMEOUT, ask_trial(state, print)).await;
+pub(super) async fn take_trial(state: &GatewayState, fingerprint: RequestFingerprint) -> bool {
+    let asked = tokio::time::timeout(TRIAL_TIMEOUT, ask_trial(state, fingerprint)).await;
     match asked {
         Ok(Ok(is_granted)) => is_granted,
         Ok(Err(error)) => {
-            log::info!("ask for a trial of {print}: {error}");
+            log::info!("ask for a trial of {fingerprint}: {error}");
             false
         }
         Err(_) => {
-            log::info!("ask for a trial of {print}: no answer in time");
+            log::info!("ask for a trial of {fingerprint}: no answer in time");
             false
         }
     }
 }
 
-async fn ask_trial(state: &GatewayState, print: RequestFingerprint) -> Result<bool, PlatformError> {
+async fn ask_trial(
+    state: &GatewayState,
+    fingerprint: RequestFingerprint,
+) -> Result<bool, PlatformError> {
     let client = state.store_client();
     let stored = client.get(QUARANTINE).await?;
     if read(state, stored.as_ref()).is_none() {
         return Ok(false);
     }
     let now = now_ms();
-    let mut wanted = state.with(|beliefs| beliefs.suspects.quarantines(now));
+    let mut wanted = state.with(|view| view.suspects.quarantines(now));
     let due = wanted
         .iter_mut()
-        .find(|(known, quarantine)| *known == print && quarantine.is_trial_due(now));
+        .find(|(known, quarantine)| *known == fingerprint && quarantine.is_trial_due(now));
     let Some((_, quarantine)) = due else {
         return Ok(false);
     };
@@ -159,10 +164,10 @@
     let outcome = put(&client, stored.as_ref(), &wanted).await?;
     let is_granted = matches!(outcome, PutOutcome::Done(_));
     if is_granted {
-        learn(state, vec![(print, tried)], "trial");
-        tell(state);
+        merge(state, vec![(fingerprint, tried)], "trial");
+        broadcast_reports(state);
         log_gateway(&GatewayEvent::RequestTried {
-            print: &print.to_string(),
+            print: &fingerprint.to_string(),
             trials: tried.stage.trials,
         });
     }
--- a/dockgate/src/gateway/readiness.rs
+++ b/dockgate/src/gateway/readiness.rs
@@ -56,7 +56,7 @@
 pub(super) async fn serve_readiness(state: Arc<GatewayState>, listener: TcpListener) {
     serve_small(listener, move |_| {
         let is_ready = state.is_ready();
-        state.with(|beliefs| beliefs.shed.record_readiness(is_ready));
+        state.with(|view| view.shedder.record_readiness(is_ready));
         match is_ready {
             true => small(StatusCode::OK, ""),
             false => small(StatusCode::SERVICE_UNAVAILABLE, ""),
--- a/dockgate/src/gateway/run_guard.rs
+++ b/dockgate/src/gateway/run_guard.rs
@@ -20,7 +20,7 @@
 impl RunGuard {
     /// Counts a request at a plain service's endpoint.
     pub(super) fn plain(state: &Arc<GatewayState>, endpoint: EndpointId) -> Self {
-        state.with(|beliefs| beliefs.endpoints.note_sent(endpoint, now_ms()));
+        state.with(|view| view.endpoints.note_sent(endpoint, now_ms()));
         Self {
             state: state.clone(),
             endpoint,
@@ -35,18 +35,18 @@
         endpoint: EndpointId,
         number: u32,
         owner: BoxKey,
-        ask: EngineAsk,
+        request: EngineAsk,
     ) -> Self {
         let run = PlacedRun {
             endpoint,
             owner,
-            ask,
+            request,
             started: false,
         };
-        state.with(|beliefs| {
-            beliefs.endpoints.note_sent(endpoint, now_ms());
-            beliefs.reads.note(endpoint, owner, &run.ask.parts);
-            beliefs.runs.insert(number, run);
+        state.with(|view| {
+            view.endpoints.note_sent(endpoint, now_ms());
+            view.reads.note(endpoint, owner, &run.request.parts);
+            view.runs.insert(number, run);
         });
         Self {
             state: state.clone(),
@@ -60,7 +60,7 @@
     pub(super) fn note(&self, sign: EndpointOutcome) {
         let now = now_ms();
         self.state
-            .with(|beliefs| beliefs.endpoints.note_sign(self.endpoint, sign, now));
+            .with(|view| view.endpoints.note_sign(self.endpoint, sign, now));
     }
 
     /// Notes what a lost attempt says of the endpoint, if anything.
@@ -77,16 +77,16 @@
         }
         self.note(EndpointOutcome::Answered);
         let Some(number) = self.number else { return };
-        let key = self.state.own_run(number);
-        let me = self.state.me();
-        let owner = self.state.with(|beliefs| {
-            let run = beliefs.runs.get_mut(&number);
+        let key = self.state.run_key(number);
+        let me = self.state.own_key();
+        let owner = self.state.with(|view| {
+            let run = view.runs.get_mut(&number);
             let owner = run.map(|run| {
                 run.started = true;
                 run.owner
             });
             let decides = owner == Some(me);
-            beliefs.engines.start(self.endpoint, key, now_ms(), decides);
+            view.engines.start(self.endpoint, key, now_ms(), decides);
             owner
         });
         self.tell(
@@ -99,7 +99,7 @@
     }
 
     fn tell(&self, owner: Option<BoxKey>, message: GatewayMessage) {
-        if let Some(owner) = owner.filter(|owner| *owner != self.state.me()) {
+        if let Some(owner) = owner.filter(|owner| *owner != self.state.own_key()) {
             send_to(&self.state, owner, message);
         }
     }
@@ -107,12 +107,12 @@
 
 impl Drop for RunGuard {
     fn drop(&mut self) {
-        let key = self.number.map(|number| self.state.own_run(number));
-        let owner = self.state.with(|beliefs| {
-            beliefs.endpoints.note_request_ended(self.endpoint);
+        let key = self.number.map(|number| self.state.run_key(number));
+        let owner = self.state.with(|view| {
+            view.endpoints.note_request_ended(self.endpoint);
             let key = key?;
-            beliefs.engines.end(self.endpoint, key);
-            beliefs.runs.remove(&key.number).map(|run| run.owner)
+            view.engines.end(self.endpoint, key);
+            view.runs.remove(&key.number).map(|run| run.owner)
         });
         if let Some(run) = self.number {
             self.tell(
--- a/dockgate/src/gateway/store_contact/tests.rs
+++ b/dockgate/src/gateway/store_contact/tests.rs
@@ -2,13 +2,13 @@
 use yare::parameterized;
 
 const DRAIN: Duration = Duration::from_secs(2);
-const AWAY_MS: u64 = 5_000;
+const OUTAGE_MS: u64 = 5_000;
 
 #[test]
 fn a_record_that_goes_as_the_store_returns_is_given_up_within_the_drain_bound() {
     let mut contact = StoreContact::new("test", DRAIN);
-    contact.lost(&PlatformError::TimedOut("watch", "store".to_owned()));
-    contact.back(AWAY_MS);
+    contact.note_failure(&PlatformError::TimedOut("watch", "store".to_owned()));
+    contact.note_recovery(OUTAGE_MS);
     let until = contact.kept_until_ms().expect("it has just come back");
     assert!(
         until < now_ms() + DRAIN.as_millis() as u64 - 300,
@@ -23,16 +23,16 @@
 )]
 fn a_lapsed_record_is_gone_once_living_endpoints_have_written_theirs(drain: Duration) {
     let mut contact = StoreContact::new("test", drain);
-    contact.lost(&PlatformError::TimedOut("watch", "store".to_owned()));
-    contact.back(AWAY_MS);
+    contact.note_failure(&PlatformError::TimedOut("watch", "store".to_owned()));
+    contact.note_recovery(OUTAGE_MS);
     let until = contact.kept_until_ms().expect("it has just come back");
-    assert!(until <= now_ms() + RECORDS_BACK.as_millis() as u64);
+    assert!(until <= now_ms() + RECORD_REWRITE_TIMEOUT.as_millis() as u64);
 }
 
 #[test]
 fn nothing_is_kept_while_the_store_is_steady() {
     let mut contact = StoreContact::new("test", DRAIN);
-    contact.answered();
+    contact.note_answer();
     assert_eq!(contact.kept_until_ms(), None);
 }
 
@@ -40,9 +40,9 @@
 #[test]
 fn nothing_is_kept_after_a_silence_in_which_no_record_can_lapse() {
     let mut contact = StoreContact::new("test", DRAIN);
-    contact.lost(&PlatformError::TimedOut("probe", "store".to_owned()));
-    contact.answered();
-    contact.back(MAY_LAPSE_MS - 1);
+    contact.note_failure(&PlatformError::TimedOut("probe", "store".to_owned()));
+    contact.note_answer();
+    contact.note_recovery(MIN_LAPSE_OUTAGE_MS - 1);
     assert_eq!(contact.kept_until_ms(), None);
 }
 
@@ -52,10 +52,10 @@
     just_now = { Some(1_200), false },
 )]
 fn who_begins_to_follow_keeps_what_may_have_lapsed_since_its_domain_was_heard(
-    unheard_ms: Option<u64>,
-    keeps: bool,
+    proof_age_ms: Option<u64>,
+    is_kept: bool,
 ) {
     let mut contact = StoreContact::new("test", DRAIN);
-    contact.begin(unheard_ms);
-    assert_eq!(contact.kept_until_ms().is_some(), keeps);
+    contact.start_following(proof_age_ms);
+    assert_eq!(contact.kept_until_ms().is_some(), is_kept);
 }
--- a/dockgate/src/gateway/waking.rs
+++ b/dockgate/src/gateway/waking.rs
@@ -7,7 +7,7 @@
 use super::events::{GatewayEvent, log_gateway};
 use super::gateway_metrics::GATEWAY_METRICS;
 use super::gateway_state::GatewayState;
-use super::membership::send_beat;
+use super::membership::send_heartbeat;
 use crate::clock::{ClockInstant, note_suspension, now_ms};
 use dockgate_core::gateway::ResumeGate;
 use std::time::Duration;
@@ -26,12 +26,12 @@
     if away_ms < ResumeGate::MIN_SUSPENSION_MS {
         return;
     }
-    state.forget_reach();
+    state.reset_store_access();
     // Who answers a connection is known once it is made anew: one that rested may be long dead, and what may run
     // once cannot be sent again where it is.
     state.pools.drop_all_resting();
-    send_beat(state);
-    state.decide_role();
+    send_heartbeat(state);
+    state.update_role();
 }
 
 /// Waits until the box knows the present again, or the moment comes.
@@ -46,18 +46,18 @@
     /// Tells whether what this box believes was heard since it woke last.
     pub(super) fn is_fresh(&self) -> bool {
         let now = now_ms();
-        self.with(|beliefs| {
-            if beliefs.gate.is_settled() {
+        self.with(|view| {
+            if view.gate.is_settled() {
                 return true;
             }
-            let proof_ms = beliefs.fleet.agreed_proof_ms(now);
-            beliefs.gate.is_open(proof_ms, now)
+            let proof_ms = view.fleet.agreed_proof_ms(now);
+            view.gate.is_open(proof_ms, now)
         })
     }
 
     /// Forgets that the store or other boxes were heard: the box has been away since.
-    fn forget_reach(&self) {
+    fn reset_store_access(&self) {
         let now = now_ms();
-        self.with(|beliefs| beliefs.forget_reach(now));
+        self.with(|view| view.reset_store_access(now));
     }
 }
--- a/dockgate/src/gateway/workspace_report.rs
+++ b/dockgate/src/gateway/workspace_report.rs
@@ -23,10 +23,10 @@
 /// Logs the workspaces with prompts refused since the last call, if any.
 pub(super) fn log_shares(state: &GatewayState) {
     let now = now_ms();
-    let rows: Vec<WorkspaceReport> = state.with(|beliefs| {
-        let rows = beliefs.tally.take_refused().into_iter();
+    let rows: Vec<WorkspaceReport> = state.with(|view| {
+        let rows = view.tally.take_refused().into_iter();
         let rows = rows.map(|counters| {
-            let level = beliefs.shares.level(counters.key, 0, now);
+            let level = view.shares.level(counters.key, 0, now);
             WorkspaceReport {
                 counters,
                 times: level.share_ratio(),
@@ -38,7 +38,7 @@
     if rows.is_empty() {
         return;
     }
-    let source = state.with(|beliefs| beliefs.shares.source(now));
+    let source = state.with(|view| view.shares.source(now));
     log_gateway(&GatewayEvent::Shares {
         told_ms: match source {
             ShareSource::Reported(age_ms) => Some(age_ms),
