--- a/dockgate/src/gateway.rs
+++ b/dockgate/src/gateway.rs
@@ -1,9 +1,9 @@
-//! The daemon as a gateway: routes requests by host and path to the endpoints of services.
+//! Gateway mode of the daemon: routes requests by host and path to the endpoints of services.
 //!
-//! One thread serves everything, since a box has a part of one core. [`GatewayState`] holds what
-//! the box believes; the tasks around it do the I/O: callers in `front`, endpoints in `upstream`,
-//! the platform's store in `follow`, other boxes in `membership`, `datagram_receiver` and
-//! `peer_state`.
+//! Everything runs on one thread, since a box has a fraction of one core. [`GatewayState`] holds
+//! the shared state; the tasks around it do the I/O: with callers in `front`, with endpoints in
+//! `upstream`, with the platform's store in `follow`, and with other boxes in `membership`,
+//! `datagram_receiver` and `peer_state`.
 
 mod call;
 mod call_body;
@@ -59,26 +59,27 @@
 use tokio::net::{TcpListener, UdpSocket};
 use tokio::signal::unix::Signal;
 
-/// How often the daemon looks whether its last request has been answered.
+/// How often a stopping daemon checks whether all requests are answered.
 const DRAIN_POLL: Duration = Duration::from_millis(50);
-/// For how long after its stop began, and after its last answer, a daemon still takes what crosses the stop.
-const QUIET_BEFORE_END: Duration = Duration::from_millis(1_500);
-/// How long the last log lines may take to be written.
-const LAST_LINES: Duration = Duration::from_millis(200);
-/// How much of the grace is kept for the end itself.
+/// How long a stopping daemon stays idle, after the stop began and after its last answer, before it
+/// closes open connections: requests that were sent before the callers noticed still arrive.
+const QUIET_PERIOD: Duration = Duration::from_millis(1_500);
+/// How long the remaining log lines may take to be written.
+const LOG_FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
+/// The part of the grace period that is reserved for the end of the process.
 const END_MARGIN: Duration = Duration::from_millis(400);
 
-/// Runs until the process is told to stop; `path` is the settings file, which may change.
+/// Runs until the process is asked to stop; `path` is the settings file, which may be reloaded.
 ///
 /// # Errors
 ///
-/// Returns an error where a socket cannot be opened.
+/// Returns an error if a socket cannot be opened.
 pub(crate) fn run(
     runtime: GatewayRuntime,
     settings: GatewaySettings,
     path: &Path,
 ) -> Result<(), DaemonError> {
-    // How far the clocks are apart now is no suspension of this process.
+    // Sets the baseline: the current difference between the clocks is not a suspension.
     note_suspension();
     let GatewayRuntime { runtime, reloads } = runtime;
     runtime.block_on(serve(settings, path, reloads))
@@ -127,31 +128,31 @@
 ) -> Result<(), DaemonError> {
     tokio::spawn(readiness::serve_readiness(state.clone(), readiness));
     tokio::spawn(readiness::serve_metrics(state.clone(), metrics));
-    keep(state, "store role", store_probe::update_role_periodically);
-    keep(state, "store probes", store_probe::run_probes);
-    keep(state, "routes", follow::follow_routes);
-    keep(state, "endpoints", follow::follow_endpoints);
-    keep(state, "datagrams", datagram_receiver::receive_datagrams);
-    keep(state, "beats", membership::send_heartbeats);
-    keep(state, "lag", overload::watch_lag);
-    keep(state, "domains", domain_watch::watch_domains);
+    spawn_kept(state, "store role", store_probe::update_role_periodically);
+    spawn_kept(state, "store probes", store_probe::run_probes);
+    spawn_kept(state, "routes", follow::follow_routes);
+    spawn_kept(state, "endpoints", follow::follow_endpoints);
+    spawn_kept(state, "datagrams", datagram_receiver::receive_datagrams);
+    spawn_kept(state, "beats", membership::send_heartbeats);
+    spawn_kept(state, "lag", overload::watch_lag);
+    spawn_kept(state, "domains", domain_watch::watch_domains);
     for (name, what) in [
         ("configurations of others", StateKind::Config),
         ("endpoints of others", StateKind::Endpoints),
     ] {
-        keep(state, name, move |state| {
+        spawn_kept(state, name, move |state| {
             peer_state::query_peers(state, what)
         });
     }
     let (stop, server) = jsonrpsee::server::stop_channel();
-    // The door serves until the process ends.
+    // Dropping the handle would stop the listener.
     std::mem::forget(server);
     tokio::spawn(peer_state::state_rpc(state.clone())?.serve(state_listener, stop));
     Ok(())
 }
 
-/// Runs a task of this box for as long as the process.
-fn keep<T, A>(state: &Arc<GatewayState>, name: &'static str, task: T)
+/// Spawns a task that is restarted if it panics.
+fn spawn_kept<T, A>(state: &Arc<GatewayState>, name: &'static str, task: T)
 where
     T: Fn(Arc<GatewayState>) -> A + Send + 'static,
     A: Future<Output = ()> + Send + 'static,
@@ -160,7 +161,8 @@
     keep_task(name, move || task(state.clone()));
 }
 
-/// Stops in order: not ready at once, goes on answering, and ends when nothing is open any more.
+/// Stops gracefully: reports not ready at once, and serves requests until none is left or the grace
+/// period is over.
 async fn drain(state: &GatewayState, front: &CallerFront) {
     log_gateway(&GatewayEvent::Stopping { open: front.open() });
     let grace = state.settings().stop_grace.saturating_sub(END_MARGIN);
@@ -168,7 +170,7 @@
     front.begin_stop();
     membership::send_heartbeat(state);
     let ended = timeout(grace, async {
-        while front.busy() > 0 || (front.open() > 0 && !front.is_quiet(QUIET_BEFORE_END)) {
+        while front.busy() > 0 || (front.open() > 0 && !front.is_quiet(QUIET_PERIOD)) {
             tokio::time::sleep(DRAIN_POLL).await;
         }
     })
@@ -178,5 +180,5 @@
         in_time: ended.is_ok(),
         cut,
     });
-    drain_lines(LAST_LINES);
+    drain_lines(LOG_FLUSH_TIMEOUT);
 }
--- a/dockgate/src/gateway/call/quarantined.rs
+++ b/dockgate/src/gateway/call/quarantined.rs
@@ -49,7 +49,7 @@
         return Ok(());
     };
     let now = now_ms();
-    if quarantine.is_trial_due(now) && quarantine_store::take_trial(state, print).await {
+    if quarantine.is_trial_due(now) && quarantine_store::acquire_trial(state, print).await {
         return Ok(());
     }
     let after = quarantine.retry_after(now);
--- a/dockgate/src/gateway/end_check.rs
+++ b/dockgate/src/gateway/end_check.rs
@@ -1,7 +1,7 @@
-//! Finds out whether an endpoint has ended when an answer of it broke off.
+//! Checks whether an endpoint ended when it broke off an answer.
 //!
-//! Answers break off for many reasons while the endpoint lives. Nobody listens at the address of one that
-//! has ended: the next connection is refused. One look serves all requests that broke off together.
+//! An answer may also break off while the endpoint keeps running. If the endpoint ended,
+//! connections to its address are refused. One check covers all answers that broke off together.
 
 use super::events::{GatewayEvent, log_gateway};
 use super::gateway_state::GatewayState;
@@ -14,17 +14,17 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long after an answer broke off the address is tried, and again where nothing is heard. The first
-/// look waits until a process that ends has closed all that it has; bounds.
-const LOOKS: [Duration; 3] = [
+/// The delays before the attempts to connect to the endpoint; the next one follows if the result is
+/// unclear. The first delay gives an ending process the time to close its sockets.
+const CHECK_DELAYS: [Duration; 3] = [
     Duration::from_millis(30),
     Duration::from_millis(300),
     Duration::from_millis(1_000),
 ];
-/// How long opening a connection may take: links take a millisecond.
+/// How long a connection may take to open.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Notes that an endpoint broke an answer off, and has somebody look whether it has ended.
+/// Notes that an endpoint broke off an answer, and starts a check unless one is running.
 pub(super) fn note_interruption(
     state: &Arc<GatewayState>,
     target: &EndpointTarget,
@@ -36,58 +36,71 @@
         interruptions.note_interruption(fingerprint, target.id, &target.name, now)
     });
     match status {
-        InterruptionStatus::Unchecked => drop(tokio::spawn(look(state.clone(), target.clone()))),
+        InterruptionStatus::Unchecked => drop(tokio::spawn(check(state.clone(), target.clone()))),
         InterruptionStatus::CheckRunning => {}
         InterruptionStatus::Ended => note_ends(state, target.id, &target.name, &[fingerprint]),
     }
 }
 
-/// Notes that nobody listens where an endpoint was, or that another one does: where it broke answers off a moment
-/// ago, it has ended.
+/// Notes that nothing, or another endpoint, listens at the address of an endpoint. If it recently
+/// broke off answers, it ended while it was running those requests.
 pub(super) fn note_stopped(state: &GatewayState, target: &EndpointTarget) {
-    let under = state.with(|view| view.interruptions.note_ended(target.id, now_ms()));
-    note_ends(state, target.id, &target.name, &under);
+    let interrupted = state.with(|view| view.interruptions.note_ended(target.id, now_ms()));
+    note_ends(state, target.id, &target.name, &interrupted);
 }
 
-/// Notes the requests under which an endpoint has ended.
-fn note_ends(state: &GatewayState, endpoint: EndpointId, name: &str, under: &[RequestFingerprint]) {
-    if under.is_empty() {
+/// Records the requests that were interrupted by the end of an endpoint.
+fn note_ends(
+    state: &GatewayState,
+    endpoint: EndpointId,
+    name: &str,
+    interrupted: &[RequestFingerprint],
+) {
+    if interrupted.is_empty() {
         return;
     }
-    let fingerprints: Vec<String> = under.iter().map(RequestFingerprint::to_string).collect();
+    let fingerprints: Vec<String> = interrupted
+        .iter()
+        .map(RequestFingerprint::to_string)
+        .collect();
     log_gateway(&GatewayEvent::EndpointEnded {
         endpoint: name,
         under: &fingerprints,
     });
-    quarantine::note_ends(state, endpoint, under);
+    quarantine::note_ends(state, endpoint, interrupted);
 }
 
-async fn look(state: Arc<GatewayState>, target: EndpointTarget) {
-    for wait in LOOKS {
-        tokio::time::sleep(wait).await;
+async fn check(state: Arc<GatewayState>, target: EndpointTarget) {
+    for delay in CHECK_DELAYS {
+        tokio::time::sleep(delay).await;
         match connect(target.address, CONNECT_TIMEOUT).await {
-            Ok(_) => return note_listens(&state, target.id),
+            Ok(_) => return note_listening(&state, target.id),
             Err(error) if error.kind() == ErrorKind::ConnectionRefused => {
                 return note_stopped(&state, &target);
             }
-            // A link that is cut says nothing of the endpoint.
+            // A failed link does not show whether the endpoint ended.
             Err(_) => {}
         }
     }
 }
 
-fn note_listens(state: &GatewayState, endpoint: EndpointId) {
+fn note_listening(state: &GatewayState, endpoint: EndpointId) {
     state.with(|view| view.interruptions.note_listening(endpoint));
 }
 
-/// Notes the endpoints that have started again under their id since they broke answers off.
+/// Notes the endpoints that broke off answers and have restarted under the same name since then.
 pub(super) fn note_restarts(state: &GatewayState) {
     let restarted = state.with(|view| {
         let endpoints = &view.endpoints;
-        let life_of = |name| endpoints.current_lifetime(name);
-        view.interruptions.take_restarted(life_of, now_ms())
+        let lifetime_of = |name| endpoints.current_lifetime(name);
+        view.interruptions.take_restarted(lifetime_of, now_ms())
     });
-    for (endpoint, under) in restarted {
-        note_ends(state, endpoint, &format!("{:016x}", endpoint.0), &under);
+    for (endpoint, interrupted) in restarted {
+        note_ends(
+            state,
+            endpoint,
+            &format!("{:016x}", endpoint.0),
+            &interrupted,
+        );
     }
 }
--- a/dockgate/src/gateway/gateway_state.rs
+++ b/dockgate/src/gateway/gateway_state.rs
@@ -1,4 +1,4 @@
-//! What a gateway believes, and the few things that all its tasks share.
+//! The state that the tasks of a gateway share.
 
 mod store_access;
 
@@ -27,67 +27,67 @@
 use tokio::net::UdpSocket;
 use tokio::sync::{oneshot, watch};
 
-/// How long a call to the store may take: its answers take 4 ms, and sixty times that when slow.
+/// How long a call to the store may take.
 const STORE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// A prompt of this box that is at an engine.
+/// A prompt of this box that runs at an engine.
 #[derive(Debug, Clone)]
 pub(super) struct PlacedRun {
     /// The engine.
     pub(super) endpoint: EndpointId,
-    /// The box that was told of it.
+    /// The box to which the prompt was reported.
     pub(super) owner: BoxKey,
-    /// The prompt.
+    /// The admission request for the prompt.
     pub(super) request: EngineAsk,
-    /// Whether its first event was seen.
+    /// Whether its first event was received.
     pub(super) started: bool,
 }
 
-/// Everything that decisions are made on; plain state without I/O.
+/// One box's view of the fleet, the store and the endpoints, on which it decides; does no I/O.
 pub(super) struct GatewayView {
-    /// The endpoints.
+    /// The known endpoints.
     pub(super) endpoints: EndpointRegistry,
-    /// What the engines are busy with.
+    /// The load of the engines.
     pub(super) engines: EngineBook,
-    /// What the workspaces asked for and were given.
+    /// What the workspaces requested and were granted.
     pub(super) shares: ShareTracker,
-    /// What became of their prompts here, for the log.
+    /// The outcomes of their prompts on this box, for the log.
     pub(super) tally: ShareTally,
-    /// What may be sent to a second endpoint.
+    /// The budget for sending requests to a second endpoint.
     pub(super) retries: RetryBudget,
-    /// Which era the store is in.
+    /// The era of the store.
     pub(super) eras: EraTracker,
-    /// The boxes.
+    /// The boxes of the fleet.
     pub(super) fleet: FleetView,
-    /// What this box passed on of them last.
+    /// The last digest for the boxes of the own domain.
     pub(super) digest: DigestCache,
-    /// This box's prompts at engines, by its own counter.
+    /// This box's prompts at engines, by run number.
     pub(super) runs: HashMap<u32, PlacedRun>,
-    /// The endpoints that broke answers off lately.
+    /// The endpoints that broke off answers recently.
     pub(super) interruptions: InterruptionTracker,
-    /// The requests under which endpoints have ended.
+    /// The requests that are suspected of crashing endpoints.
     pub(super) suspects: SuspectRegistry,
-    /// What this box had read at engines lately.
+    /// The prompt parts that engines recently read for this box.
     pub(super) reads: ReadLog,
-    /// Whether this box keeps up with its work.
+    /// The lag of this box's event loop.
     pub(super) lag: LoopLag,
-    /// Which part of its requests this box takes.
+    /// The fraction of its requests that this box accepts.
     pub(super) shedder: LoadShedder,
-    /// Seeks that wait for a verdict, by the same counter.
+    /// Slot requests that wait for a verdict, by run number.
     pub(super) slot_requests: HashMap<u32, oneshot::Sender<EngineVerdict>>,
-    /// Whether this box follows the store by itself.
+    /// Decides whether this box follows the store itself.
     pub(super) store: StoreFollower,
-    /// Whether the store hears it.
+    /// Whether the store answers this box.
     pub(super) probe: StoreProbe,
-    /// What it follows there and was answered the last time, and up to which revision.
+    /// The key prefixes whose last call was answered, with the revision up to which they are known.
     pub(super) store_revisions: BTreeMap<&'static str, StoreRevision>,
-    /// Whether what is believed was heard since the box was suspended last.
+    /// Whether the view was refreshed since the last suspension of the box.
     pub(super) gate: ResumeGate,
-    /// Whether what it follows still tells of changes.
+    /// Whether the watches still deliver changes.
     pub(super) watch_check: WatchCheck,
 }
 
-/// A configuration in the form in which boxes tell it.
+/// A configuration, encoded for other boxes.
 struct EncodedConfig {
     version: u64,
     json: Box<RawValue>,
@@ -99,20 +99,20 @@
     incarnation: Incarnation,
     own_key: BoxKey,
     table: ArcSwap<RouteTable>,
-    /// The configuration in force in the form in which it is told, from the first time that it is.
+    /// The configuration in force in encoded form, once another box has requested it.
     encoded_config: Mutex<Option<EncodedConfig>>,
     view: Mutex<GatewayView>,
     role: watch::Sender<StoreRole>,
     recoveries: watch::Sender<u64>,
     run_counter: AtomicU32,
-    /// When the configuration in force came.
+    /// When the configuration in force was applied.
     config_changed_ms: AtomicU64,
-    /// When the last news of an endpoint came.
+    /// When the last change of an endpoint was received.
     endpoints_changed_ms: AtomicU64,
-    /// Whether the requests in quarantine are being written to the store.
-    pub(super) writes_quarantine: AtomicBool,
+    /// Whether a task is writing the quarantine to the store.
+    pub(super) is_writing_quarantine: AtomicBool,
     stop: StopFlag,
-    /// When the process ends, once it is stopping.
+    /// When the process ends; valid once it is stopping.
     end_ms: AtomicU64,
     /// The datagram socket to the other boxes.
     pub(super) datagrams: UdpSocket,
@@ -155,11 +155,11 @@
             view: Mutex::new(view),
             role: watch::channel(StoreRole::default()).0,
             recoveries: watch::channel(0).0,
-            // Numbers of an earlier life are not met again soon.
+            // A random start avoids reusing recent run numbers after a restart.
             run_counter: AtomicU32::new(rand::random()),
             config_changed_ms: AtomicU64::new(now_ms()),
             endpoints_changed_ms: AtomicU64::new(now_ms()),
-            writes_quarantine: AtomicBool::new(false),
+            is_writing_quarantine: AtomicBool::new(false),
             stop: StopFlag::default(),
             end_ms: AtomicU64::new(0),
             datagrams,
@@ -173,7 +173,7 @@
         self.settings.load_full()
     }
 
-    /// Puts other settings in force; where the box listens stays as it was.
+    /// Replaces the settings, except for the listen addresses.
     pub(super) fn set_settings(&self, settings: GatewaySettings) {
         let listen = self.settings().listen;
         self.with(|view| {
@@ -185,17 +185,17 @@
             .store(Arc::new(GatewaySettings { listen, ..settings }));
     }
 
-    /// Returns this life of the box.
+    /// Returns the incarnation of this daemon.
     pub(super) const fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// Returns this box.
+    /// Returns the key of this box.
     pub(super) const fn own_key(&self) -> BoxKey {
         self.own_key
     }
 
-    /// Names a run of this box.
+    /// Returns the key of this box's run with this number.
     pub(super) const fn run_key(&self, number: u32) -> RunKey {
         RunKey {
             entry: self.own_key,
@@ -203,12 +203,12 @@
         }
     }
 
-    /// Returns a number for the next run.
+    /// Allocates a run number.
     pub(super) fn next_run_number(&self) -> u32 {
         self.run_counter.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Makes a client of the store, with connections of its own.
+    /// Creates a client of the store with its own connections.
     pub(super) fn store_client(&self) -> PlatformClient {
         PlatformClient::new(self.settings().store, STORE_TIMEOUT)
     }
@@ -218,10 +218,10 @@
         self.table.load_full()
     }
 
-    /// Returns the configuration in force in the form in which other boxes are told it.
+    /// Returns the configuration in force, encoded for other boxes; `None` if encoding failed.
     ///
-    /// It is encoded once: a box that follows the store wrote 1.2 MB anew for each of 14 others, and was
-    /// 1.7 s late with the changes of endpoints meanwhile (one run).
+    /// Each version is encoded once, since a large configuration delays everything else on the
+    /// thread.
     pub(super) fn encoded_config(&self) -> Option<Box<RawValue>> {
         let table = self.table();
         let version = table.config().version;
@@ -238,24 +238,24 @@
         encoded.as_ref().map(|kept| kept.json.clone())
     }
 
-    /// Returns for how long the configuration has been in force here, in milliseconds.
+    /// Returns how long the configuration has been in force on this box, in milliseconds.
     pub(super) fn config_age_ms(&self) -> u64 {
         now_ms().saturating_sub(self.config_changed_ms.load(Ordering::Relaxed))
     }
 
-    /// Returns how old the last news of an endpoint is here, in milliseconds.
+    /// Returns the time since this box received the last change of an endpoint, in milliseconds.
     pub(super) fn endpoints_age_ms(&self) -> u64 {
         now_ms().saturating_sub(self.endpoints_changed_ms.load(Ordering::Relaxed))
     }
 
-    /// Reads or changes what is believed; must not wait inside.
+    /// Locks the view and passes it to `change`, which must not block.
     pub(super) fn with<T>(&self, change: impl FnOnce(&mut GatewayView) -> T) -> T {
-        // No decision leaves its state half changed, so a panic elsewhere spoils nothing.
+        // The view stays consistent even if a previous holder panicked.
         let mut view = self.view.lock().unwrap_or_else(PoisonError::into_inner);
         change(&mut view)
     }
 
-    /// Puts a configuration in force, unless it is not newer than the one that is.
+    /// Puts a configuration in force if it is newer than the current one.
     pub(super) fn apply_routes(&self, config: RouteConfig, source: &str) {
         let (old, new) = (self.table.load().config().version, config.version);
         if new <= old {
@@ -275,7 +275,7 @@
         self.publish_revisions();
     }
 
-    /// Takes changes of endpoints in, and closes what belongs to those that are gone.
+    /// Applies changes of endpoints, and closes the connections of removed endpoints.
     pub(super) fn apply_endpoints(
         &self,
         changes: Vec<EndpointChange>,
@@ -301,7 +301,7 @@
         self.publish_revisions();
     }
 
-    /// Takes the store's listing of endpoints in, unless newer changes are known.
+    /// Applies the store's listing of endpoints, except where newer changes are known.
     pub(super) fn replace_endpoints(
         &self,
         listed: Vec<EndpointChange>,
@@ -313,14 +313,14 @@
         self.note_listed(changed, count, revision, "store");
     }
 
-    /// Takes in what another box told of the endpoints; returns whether both know the same by now.
+    /// Merges the endpoints reported by another box; returns whether both boxes now agree.
     pub(super) fn merge_endpoints(&self, update: EndpointUpdate, source: &str) -> bool {
         let (count, revision, is_whole) = (
             update.endpoints.len(),
             update.revision,
             update.since.is_none(),
         );
-        // A box that knows nothing of the store names none.
+        // A box that has no state of the store reports era 0.
         self.note_era(Some(revision.era).filter(|era| *era > 0), source);
         let merged = self.with(|view| view.endpoints.merge(update, now_ms()));
         match is_whole {
@@ -342,7 +342,8 @@
         self.publish_revisions();
     }
 
-    /// Tells the others' view what this box knows now, and forgets what is gone.
+    /// Updates the revisions in this box's heartbeat, and closes the connections of removed
+    /// endpoints.
     pub(super) fn publish_revisions(&self) {
         let version = self.table.load().config().version;
         let kept = self.with(|view| {
@@ -355,10 +356,10 @@
         self.pools.retain(&kept);
     }
 
-    /// Drops what has lapsed: endpoints, boxes, runs.
+    /// Removes expired endpoints, boxes, runs and suspects.
     pub(super) fn expire(&self, since_ms: u64) {
         let now = now_ms();
-        let most_boxes = self.settings().boxes;
+        let expected_boxes = self.settings().boxes;
         let (expired, boxes) = self.with(|view| {
             let GatewayView {
                 endpoints,
@@ -374,7 +375,7 @@
             suspects.expire(now);
             let expired = endpoints.expire(now);
             let gone = fleet.expire(since_ms, now);
-            retries.set_boxes(most_boxes.max(fleet.known_count()));
+            retries.set_boxes(expected_boxes.max(fleet.known_count()));
             let own_key = self.own_key;
             let is_gone = |run: RunKey| match run.entry == own_key {
                 true => !runs.contains_key(&run.number),
@@ -402,7 +403,7 @@
         }
     }
 
-    /// Begins the orderly stop: the process ends `within` this time.
+    /// Begins the graceful stop; the process ends `within` this time.
     pub(super) fn begin_stop(&self, within: Duration) {
         let end_ms = now_ms() + within.as_millis() as u64;
         self.end_ms.store(end_ms, Ordering::Release);
@@ -410,30 +411,30 @@
         self.with(|view| view.fleet.set_leaving());
     }
 
-    /// Tells whether the daemon is stopping.
+    /// Returns whether the daemon is stopping.
     pub(super) fn is_stopping(&self) -> bool {
         self.stop.is_set()
     }
 
-    /// Tells whether work of this length can end before the process does.
-    pub(super) fn can_finish(&self, takes: Duration) -> bool {
-        let ends_ms = now_ms() + takes.as_millis() as u64;
+    /// Returns whether work of this duration can complete before the process ends.
+    pub(super) fn can_finish(&self, duration: Duration) -> bool {
+        let ends_ms = now_ms() + duration.as_millis() as u64;
         !self.is_stopping() || ends_ms < self.end_ms.load(Ordering::Acquire)
     }
 
-    /// Tells whether callers are better served by another box.
+    /// Returns whether the event loop is overloaded, so that other boxes serve callers better.
     pub(super) fn is_overloaded(&self) -> bool {
         self.with(|view| view.lag.is_overloaded())
     }
 
-    /// Tells whether callers may be sent here.
+    /// Returns whether the box is ready to receive requests of callers.
     pub(super) fn is_ready(&self) -> bool {
-        let configured = self.table.load().config().version > 0;
-        let able = self.with(|view| {
+        let is_configured = self.table.load().config().version > 0;
+        let can_serve = self.with(|view| {
             let is_busy = view.lag.is_overloaded() || view.shedder.diverts_connections(now_ms());
             view.endpoints.iter().next().is_some() && !is_busy
         });
-        configured && able && !self.is_stopping() && self.is_fresh()
+        is_configured && can_serve && !self.is_stopping() && self.is_fresh()
     }
 }
 
--- a/dockgate/src/gateway/gateway_state/store_access.rs
+++ b/dockgate/src/gateway/gateway_state/store_access.rs
@@ -1,4 +1,4 @@
-//! Whether this box follows the platform's store, and whether the store hears it.
+//! Whether this box follows the platform's store, and whether the store answers it.
 
 use super::super::events::{GatewayEvent, log_gateway};
 use super::super::gateway_metrics::GATEWAY_METRICS;
@@ -10,21 +10,21 @@
 use tokio::sync::watch;
 
 impl GatewayView {
-    /// Says to the other boxes whether this one follows the store and is heard.
+    /// Updates the proof of store access in this box's heartbeat.
     fn publish_store_access(&mut self) {
-        /// Routes and endpoints.
-        const FOLLOWED: usize = 2;
-        let follows = self.store_revisions.len() == FOLLOWED;
+        /// The number of followed key prefixes: routes and endpoints.
+        const FOLLOWED_PREFIXES: usize = 2;
+        let follows = self.store_revisions.len() == FOLLOWED_PREFIXES;
         let proof_ms = self.probe.proof_ms().filter(|_| follows);
         let before = self.fleet.own().status.reaches_store;
         self.fleet.set_store_proof(proof_ms);
         if before != proof_ms.is_some() {
-            // What was passed on a moment ago says otherwise.
+            // The cached digest is outdated.
             self.digest = DigestCache::default();
         }
     }
 
-    /// Forgets that the store was heard: the box was away since, and what it follows there is listed anew.
+    /// Discards all proofs of store access after a suspension; the followed keys are listed again.
     pub(in super::super) fn reset_store_access(&mut self, now_ms: u64) {
         self.gate.close(now_ms);
         self.store_revisions.clear();
@@ -33,9 +33,9 @@
         self.digest = DigestCache::default();
     }
 
-    /// Tells whether the store has changes of which its watches should have told, and did not.
+    /// Returns whether the watches have failed to deliver changes up to `revision`.
     ///
-    /// What any of them told last counts for all: each is told of its own keys alone.
+    /// The latest revision of any watch counts, since each watch reports only its own keys.
     fn is_stalled(&mut self, revision: Option<StoreRevision>) -> bool {
         let follows = self.fleet.own().status.reaches_store;
         let known = self.store_revisions.values().max().copied();
@@ -49,22 +49,23 @@
 }
 
 impl GatewayState {
-    /// Tells whether this box has to follow the store by itself.
+    /// Returns whether this box has to follow the store itself.
     pub(in super::super) fn follows_store(&self) -> bool {
         self.role.borrow().follows
     }
 
-    /// Returns this box's part in following the store, as it changes.
+    /// Subscribes to this box's role in following the store.
     pub(in super::super) fn store_roles(&self) -> watch::Receiver<StoreRole> {
         self.role.subscribe()
     }
 
-    /// Returns the times at which the store answers again: each is how long it was away, in milliseconds.
+    /// Subscribes to recoveries of the store; each value is the length of the outage in
+    /// milliseconds.
     pub(in super::super) fn store_recoveries(&self) -> watch::Receiver<u64> {
         self.recoveries.subscribe()
     }
 
-    /// Decides what this box's part in following the store is now.
+    /// Updates this box's role in following the store.
     pub(in super::super) fn update_role(&self) {
         let now = now_ms();
         let role = self.with(|view| {
@@ -85,7 +86,7 @@
         });
     }
 
-    /// Tells whether this box is one of those of its domain that come first in following the store.
+    /// Returns whether this box is one of the primary followers of the store in its domain.
     pub(in super::super) fn is_primary_watcher(&self) -> bool {
         self.with(|view| {
             let others = view.fleet.store_watchers(now_ms());
@@ -93,18 +94,19 @@
         })
     }
 
-    /// Tells whether this box coordinates its failure domain.
+    /// Returns whether this box is a coordinator of its failure domain.
     pub(in super::super) fn is_coordinator(&self) -> bool {
         self.with(|view| view.fleet.is_coordinator(now_ms()))
     }
 
-    /// Returns how long ago a box of this domain was last heard by the store, in milliseconds.
+    /// Returns the time since the store last answered a follower of this domain, in milliseconds;
+    /// `None` if it never did.
     pub(in super::super) fn store_proof_age_ms(&self) -> Option<u64> {
         self.with(|view| view.fleet.store_proof_age_ms(now_ms()))
     }
 
-    /// Notes what became of a probe that was sent at `sent_ms`, and the store's revision that was
-    /// answered; returns what it says that the one before did not.
+    /// Records the result of a probe sent at `sent_ms`: the store's revision, or `None` if the
+    /// probe failed. Returns the change since the previous probe.
     pub(in super::super) fn record_probe(
         &self,
         revision: Option<StoreRevision>,
@@ -121,7 +123,7 @@
                 log_gateway(&GatewayEvent::StoreLost {
                     step: "watch",
                     problem: format!(
-                        "told nothing up to revision {}",
+                        "no change received up to revision {}",
                         revision.unwrap_or_default()
                     ),
                 });
@@ -132,18 +134,18 @@
         change
     }
 
-    /// Tells whether the store is in this era, as far as is known.
+    /// Returns whether this is the latest known era of the store.
     pub(in super::super) fn is_current_era(&self, era: u64) -> bool {
         self.with(|view| view.eras.current() == era)
     }
 
-    /// Takes in the era that the store or another box names; returns the one that is known now, or none where what was
-    /// told is of one that is over.
+    /// Notes the era that the store or another box reported; returns the current era, or `None` if
+    /// the reported one is outdated.
     ///
-    /// Whoever follows the store lists it anew at once.
-    pub(in super::super) fn note_era(&self, named: Option<u64>, source: &str) -> Option<u64> {
+    /// A new era makes followers list the store again at once.
+    pub(in super::super) fn note_era(&self, reported: Option<u64>, source: &str) -> Option<u64> {
         let (change, era) = self.with(|view| {
-            let change = view.eras.note(named);
+            let change = view.eras.note(reported);
             (change, view.eras.current())
         });
         match change {
@@ -164,7 +166,7 @@
         Some(era)
     }
 
-    /// Notes that the store is not called for a while.
+    /// Notes that this box stops probing the store.
     pub(in super::super) fn pause_probes(&self) {
         self.with(|view| {
             view.probe.pause();
@@ -172,25 +174,25 @@
         });
     }
 
-    /// Tells whether what `step` names was listed here, and not lost since.
+    /// Returns whether the keys of `step` were listed and the contact has not been lost since.
     pub(in super::super) fn has_listed(&self, step: &'static str) -> bool {
         self.with(|view| view.store_revisions.contains_key(step))
     }
 
-    /// Tells whether this box follows the store and was answered the last time.
+    /// Returns whether this box follows the store and its last calls were answered.
     pub(in super::super) fn reaches_store(&self) -> bool {
         self.with(|view| view.fleet.own().status.reaches_store)
     }
 
-    /// Notes up to which revision the store told of what `step` names, or that it did not, for the other
-    /// boxes to know; returns whether this box is heard now and was not before.
+    /// Sets the revision up to which the keys of `step` are known, or `None` if the last call
+    /// failed. Returns whether this box has just gained access to the store.
     pub(in super::super) fn set_store_revision(
         &self,
         step: &'static str,
-        told: Option<StoreRevision>,
+        revision: Option<StoreRevision>,
     ) -> bool {
         self.with(|view| {
-            match told {
+            match revision {
                 Some(revision) => view.store_revisions.insert(step, revision),
                 None => view.store_revisions.remove(step),
             };
--- a/dockgate/src/gateway/gateway_state/tests.rs
+++ b/dockgate/src/gateway/gateway_state/tests.rs
@@ -2,7 +2,7 @@
 use crate::gateway::settings::parse_gateway;
 use std::net::SocketAddr;
 
-/// Makes the state of a box that sends from `datagrams` and knows one seed.
+/// Creates the state of a box that sends from `datagrams` and knows one seed.
 pub(in crate::gateway) fn state_with_seed(datagrams: UdpSocket, seed: SocketAddr) -> GatewayState {
     let own = datagrams.local_addr().unwrap();
     let text = format!(
--- a/dockgate/src/gateway/membership.rs
+++ b/dockgate/src/gateway/membership.rs
@@ -1,10 +1,8 @@
-//! Says that this box lives, and passes on what it knows of the fleet.
+//! Sends and receives heartbeats and digests of the fleet.
 //!
-//! Each box beats to the few coordinators of its failure domain ([`FleetView`]) and gets a digest
-//! back; coordinators of different domains exchange digests. What a box sends and gets does not grow
-//! with the boxes of the other domains. With beats from each to all, 295 boxes sent 980 datagrams a
-//! second each, and 2.24 GB went between domains in 20 s of a calm day; now a box sends ten beats a
-//! second, and 0.07 GB go between domains, requests included (one run each).
+//! Each box sends heartbeats to the few coordinators of its failure domain ([`FleetView`]) and gets
+//! digests back; coordinators of different domains exchange digests. The traffic of a box therefore
+//! does not grow with the number of boxes in other domains.
 
 use super::datagrams::{EncodedMessage, encode, send_datagram, send_encoded, send_to};
 use super::end_check;
@@ -25,30 +23,29 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How often a box says that it lives, in milliseconds; drawn anew each time, so that boxes that
-/// started together do not beat together. Three that are lost in a row make it gone.
+/// The interval between heartbeats, in milliseconds; random, so that boxes that started together do
+/// not stay in step. A box counts as gone after three lost heartbeats.
 const HEARTBEAT_MS: Range<u64> = 270..330;
-/// How long a box that has heard of no other one of its domain waits after its first heartbeat, in
-/// milliseconds; twice as long after each further one, up to that of a usual heartbeat.
+/// The interval after the first heartbeat of a box that knows no other box of its domain, in
+/// milliseconds; doubles with each further heartbeat up to the usual interval.
 const INITIAL_HEARTBEAT_MS: Range<u64> = 15..25;
-/// How many such beats there are. A bound; boxes that start together are there within some tenths of a
-/// second of each other.
+/// The maximum number of heartbeats with such short intervals.
 const INITIAL_HEARTBEATS: u32 = 10;
-/// With which part of its beats a coordinator asks the seeds too, so that parts of a fleet that do not
-/// know of each other find together within some seconds.
+/// The probability that a coordinator sends a heartbeat to the seeds too, so that separated parts
+/// of the fleet find each other within seconds.
 const SEED_PROBABILITY: f64 = 0.125;
-/// For how long a digest for the own domain is sent again, in milliseconds: what it says of others'
-/// ages is wrong by as much.
+/// How long a digest for the own domain is reused, in milliseconds; the ages in it are outdated by
+/// up to this time.
 const DIGEST_CACHE_MS: u64 = 100;
 
-/// The last digest for the own domain.
+/// The last digest for the own domain, ready to be sent again.
 #[derive(Debug, Default)]
 pub(super) struct DigestCache {
     built_ms: u64,
     message: Option<EncodedMessage>,
 }
 
-/// Sends a beat to the coordinators of the own domain, and to the seeds where it may be needed.
+/// Sends a heartbeat to the coordinators of the own domain, and to the seeds if they are due.
 pub(super) fn send_heartbeat(state: &GatewayState) {
     let now = now_ms();
     let draw = rand::random_range(0..usize::MAX);
@@ -70,28 +67,31 @@
     }
 }
 
-/// Lists the seeds that this box beats to now: where it hears of nobody in its own domain, or
-/// coordinates without knowing of another one, and now and then where it coordinates.
+/// Lists the seeds that receive this heartbeat: all, if this box knows no live box of its domain,
+/// or is a coordinator that knows no other domain, or by chance if it is a coordinator; otherwise
+/// none.
 fn seeds_due(state: &GatewayState, now_ms: u64) -> Vec<SocketAddr> {
     let is_due = state.with(|view| {
         let fleet = &view.fleet;
-        let lonely = !fleet.has_live_domain_peer(now_ms);
-        let alone = || fleet.is_coordinator(now_ms) && fleet.remote_coordinators(now_ms).is_empty();
-        let looks = || fleet.is_coordinator(now_ms) && rand::random_bool(SEED_PROBABILITY);
-        lonely || alone() || looks()
+        let is_isolated = !fleet.has_live_domain_peer(now_ms);
+        let is_unconnected =
+            || fleet.is_coordinator(now_ms) && fleet.remote_coordinators(now_ms).is_empty();
+        let is_sampled = || fleet.is_coordinator(now_ms) && rand::random_bool(SEED_PROBABILITY);
+        is_isolated || is_unconnected() || is_sampled()
     });
     if !is_due {
         return Vec::new();
     }
     let settings = state.settings();
     let own = settings.listen.peers;
-    // A seed is where a box tells its state; datagrams have the same port on all boxes.
+    // Seeds are state addresses; the datagram port is the same on all boxes.
     let seeds = settings.seeds.iter();
     let seeds = seeds.map(|seed| SocketAddr::new(seed.ip(), own.port()));
     seeds.filter(|seed| *seed != own).collect()
 }
 
-/// Tells the coordinators of the other domains what this one knows of its own.
+/// Sends a digest of the own domain to the coordinators of the other domains, if this box is a
+/// coordinator.
 fn send_remote_digests(state: &GatewayState, scope: DigestScope) {
     let now = now_ms();
     let due = state.with(|view| {
@@ -100,7 +100,7 @@
         }
         let targets = view.fleet.remote_coordinators(now);
         let shares = view.shares.domain_rows(now);
-        Some((targets, own_digest(view, scope, shares, now)))
+        Some((targets, digest_message(view, scope, shares, now)))
     });
     let Some((targets, message)) = due.filter(|(targets, _)| !targets.is_empty()) else {
         return;
@@ -113,7 +113,7 @@
     }
 }
 
-fn own_digest(
+fn digest_message(
     view: &mut GatewayView,
     scope: DigestScope,
     shares: Vec<UsageRow>,
@@ -126,20 +126,20 @@
     }
 }
 
-/// Answers another box's beat with what this one knows.
+/// Answers a heartbeat with a digest: of the fleet within the domain, an introduction otherwise.
 fn answer_heartbeat(state: &GatewayState, from: SocketAddr, is_same_domain: bool) {
     let now = now_ms();
     if !is_same_domain {
-        let welcome = DigestScope::Introduction;
-        let message = state.with(|view| own_digest(view, welcome, Vec::new(), now));
+        let scope = DigestScope::Introduction;
+        let message = state.with(|view| digest_message(view, scope, Vec::new(), now));
         return send_datagram(state, from, message);
     }
-    let kept = state.with(|view| {
+    let cached = state.with(|view| {
         let cache = &view.digest;
         let is_fresh = cache.built_ms + DIGEST_CACHE_MS > now;
         cache.message.clone().filter(|_| is_fresh)
     });
-    let message = kept.or_else(|| build_domain_digest(state, now));
+    let message = cached.or_else(|| build_domain_digest(state, now));
     if let Some(message) = message {
         send_encoded(state, from, &message);
     }
@@ -148,7 +148,7 @@
 fn build_domain_digest(state: &GatewayState, now_ms: u64) -> Option<EncodedMessage> {
     let message = state.with(|view| {
         let shares = view.shares.fleet_rows(now_ms);
-        own_digest(view, DigestScope::SameDomain, shares, now_ms)
+        digest_message(view, DigestScope::SameDomain, shares, now_ms)
     });
     let message = encode(state, message);
     state.with(|view| {
@@ -160,20 +160,19 @@
     message
 }
 
-/// Says that this box has begun until another one of its domain is heard.
+/// Sends frequent heartbeats until another box of the domain is known.
 ///
-/// Boxes that start together all decide for the same engines until they have heard of each other, and
-/// each admits as much as an engine takes: first events came up to 1.7 s late in the first half second
-/// after six boxes were killed at once.
+/// Boxes that start together all act as owners of the same engines until they know each other, and
+/// may overload the engines meanwhile.
 async fn announce(state: &GatewayState) {
-    // A socket that has just been opened does not know yet that it can be written to.
+    // A new socket is not marked as writable yet.
     if let Err(error) = state.datagrams.writable().await {
         log::warn!("send datagrams: {error}");
     }
     for count in 0..INITIAL_HEARTBEATS {
         send_heartbeat(state);
-        let first_ms = rand::random_range(INITIAL_HEARTBEAT_MS);
-        let wait_ms = (first_ms << count).min(rand::random_range(HEARTBEAT_MS));
+        let initial_ms = rand::random_range(INITIAL_HEARTBEAT_MS);
+        let wait_ms = (initial_ms << count).min(rand::random_range(HEARTBEAT_MS));
         tokio::time::sleep(Duration::from_millis(wait_ms)).await;
         if state.with(|view| view.fleet.has_live_domain_peer(now_ms())) {
             return;
@@ -181,7 +180,7 @@
     }
 }
 
-/// Says again and again that this box lives, and lets lapse what has to.
+/// Sends heartbeats and digests, and expires outdated state, until the process ends.
 pub(super) async fn send_heartbeats(state: Arc<GatewayState>) {
     announce(&state).await;
     let mut since_ms = now_ms();
@@ -198,14 +197,14 @@
         quarantine::broadcast_reports(&state);
         let now = now_ms();
         let units_per_s = match state.table().config().limits.units_per_s {
-            // Without a stated rate nobody is ever beyond a share.
+            // Without a configured rate, no workspace exceeds its share.
             rate if rate > 0.0 => rate,
             _ => f64::INFINITY,
         };
         state.with(|view| {
             view.shares.tick(now, units_per_s);
-            let behind = view.lag.is_overloaded();
-            view.fleet.set_behind(behind);
+            let is_overloaded = view.lag.is_overloaded();
+            view.fleet.set_behind(is_overloaded);
         });
         if now >= logged_ms + REPORT_INTERVAL_MS {
             log_shares(&state);
@@ -213,14 +212,14 @@
         }
         state.expire(since_ms);
         end_check::note_restarts(&state);
-        report_engines(&state, |owner, told| owner != told);
+        report_runs(&state, |owner, reported_to| owner != reported_to);
         since_ms = now;
     }
 }
 
-/// Tells the boxes that decide for an engine what this box has there and had read there, where they
-/// may not know: `is_due` is given the box that decides now and the one that was told.
-fn report_engines(state: &GatewayState, is_due: impl Fn(BoxKey, BoxKey) -> bool + Copy) {
+/// Reports this box's runs and read prompt parts to the owners of the engines, where `is_due`
+/// returns `true` for the current owner and the box to which the run or read was reported last.
+fn report_runs(state: &GatewayState, is_due: impl Fn(BoxKey, BoxKey) -> bool + Copy) {
     let now = now_ms();
     let (runs, reads) = state.with(|view| {
         let GatewayView {
@@ -255,16 +254,16 @@
         } = due;
         (owner, GatewayMessage::PartsRead { endpoint, parts })
     });
-    // What was read goes first: it is older than what runs.
-    let others = reads
+    // Reads are sent first, since they precede the runs.
+    let remote = reads
         .chain(runs)
         .filter(|(owner, _)| *owner != state.own_key());
-    for (owner, message) in others {
+    for (owner, message) in remote {
         send_to(state, owner, message);
     }
 }
 
-/// Takes in that a box lives, and answers with what this one knows.
+/// Processes a heartbeat of another box, and answers it with a digest.
 pub(super) fn receive_heartbeat(
     state: &GatewayState,
     from: SocketAddr,
@@ -282,7 +281,7 @@
         scope: ShareScope::Own,
     };
     let change = state.with(|view| {
-        // The coordinators of another domain count what its boxes ask for.
+        // The usage of another domain is reported by its coordinators.
         if is_same_domain {
             view.shares.merge(header, shares, now);
         }
@@ -295,7 +294,7 @@
     }
 }
 
-/// Takes in what another box passes on.
+/// Processes a digest of another box.
 pub(super) fn receive_digest(
     state: &GatewayState,
     digest: FleetDigest,
@@ -326,33 +325,33 @@
     apply_box_changes(state, &changes);
 }
 
-/// Acts on news of boxes: ends the runs of those that remember none, and tells those that decide for
-/// engines what they may not know.
+/// Handles changes of boxes: ends the runs of restarted boxes, and reports this box's runs to
+/// owners that may have lost or missed them.
 fn apply_box_changes(state: &GatewayState, changes: &[(BoxKey, BoxChange)]) {
     let now = now_ms();
     let changed = changes
         .iter()
         .filter(|(_, change)| *change != BoxChange::None);
-    let mut seen = Vec::new();
+    let mut peers = Vec::new();
     for (peer, change) in changed {
-        let told = state.with(|view| {
+        let identity = state.with(|view| {
             if *change == BoxChange::Restarted {
                 view.engines.forget_entry(*peer, now);
             }
             let fleet = &view.fleet;
-            let told = fleet.has_heartbeat(*peer);
-            told.then(|| (fleet.name(*peer).to_owned(), fleet.domain(*peer).to_owned()))
+            let is_known = fleet.has_heartbeat(*peer);
+            is_known.then(|| (fleet.name(*peer).to_owned(), fleet.domain(*peer).to_owned()))
         });
-        if let Some((name, domain)) = told {
+        if let Some((name, domain)) = identity {
             log_gateway(&GatewayEvent::BoxSeen {
                 peer: &name,
                 domain: &domain,
             });
         }
-        seen.push(*peer);
+        peers.push(*peer);
     }
-    if !seen.is_empty() {
-        report_engines(state, |_, told| seen.contains(&told));
+    if !peers.is_empty() {
+        report_runs(state, |_, reported_to| peers.contains(&reported_to));
     }
 }
 
--- a/dockgate/src/gateway/membership/tests.rs
+++ b/dockgate/src/gateway/membership/tests.rs
@@ -13,7 +13,7 @@
     received.count()
 }
 
-/// Two sockets with one port at two loopback addresses, as on two boxes.
+/// Binds two sockets with the same port at two loopback addresses, like two boxes.
 async fn two_sockets() -> (UdpSocket, UdpSocket) {
     for _ in 0..50 {
         let own = socket("127.0.0.1:0").await;
@@ -26,7 +26,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_box_that_starts_says_so_until_another_one_of_its_domain_is_heard() {
+async fn starting_box_announces_itself_until_a_domain_peer_is_known() {
     let (own, seed) = two_sockets().await;
     let state = state_with_seed(own, seed.local_addr().unwrap());
     announce(&state).await;
@@ -34,7 +34,7 @@
     assert_eq!(
         count_datagrams(&seed),
         INITIAL_HEARTBEATS as usize,
-        "nobody was heard"
+        "no peer is known"
     );
 
     let heartbeat = BoxHeartbeat::new("a2", "a", seed.local_addr().unwrap());
@@ -44,11 +44,11 @@
     });
     announce(&state).await;
     seed.readable().await.unwrap();
-    assert_eq!(count_datagrams(&seed), 1, "it is known by now");
+    assert_eq!(count_datagrams(&seed), 1, "a peer is known");
 }
 
 #[tokio::test]
-async fn a_beat_is_answered_with_what_its_sender_needs() {
+async fn heartbeat_is_answered_with_the_digest_for_the_senders_domain() {
     let (own, other) = two_sockets().await;
     let state = state_with_seed(own, other.local_addr().unwrap());
     let from = other.local_addr().unwrap();
@@ -70,11 +70,11 @@
         let length = other.try_recv(&mut buffer).unwrap();
         let datagram = GatewayDatagram::decode(&buffer[..length]).unwrap();
         let GatewayMessage::Digest { digest, shares } = datagram.message else {
-            panic!("a digest answers a beat");
+            panic!("expected a digest");
         };
         assert_eq!(digest.scope, scope);
-        // What boxes of another domain ask for is told of by its own coordinators.
-        let told = if domain == "a" { vec![row] } else { Vec::new() };
-        assert_eq!(shares, told);
+        // The usage of another domain is reported by its own coordinators.
+        let reported = if domain == "a" { vec![row] } else { Vec::new() };
+        assert_eq!(shares, reported);
     }
 }
--- a/dockgate/src/gateway/quarantine.rs
+++ b/dockgate/src/gateway/quarantine.rs
@@ -1,8 +1,9 @@
-//! Keeps requests under which endpoints end from further endpoints, over all boxes.
+//! Shares the quarantine of requests that crash endpoints with the other boxes.
 //!
-//! What is believed is in [`dockgate_core::gateway::SuspectRegistry`]. Boxes tell each other what they see, which
-//! takes some tenths of a second; what must outlast all of them, or reach a failure domain that is cut off
-//! from the others, stands in the platform's store ([`super::quarantine_store`]).
+//! The state is in [`dockgate_core::gateway::SuspectRegistry`]. Boxes send each other reports,
+//! which arrive within a second. The platform's store ([`super::quarantine_store`]) keeps the
+//! quarantine across a restart of all boxes, and shares it with failure domains that are cut off
+//! from the others.
 
 use super::datagrams::{encode, send_datagram, send_encoded};
 use super::events::{GatewayEvent, log_gateway};
@@ -15,15 +16,19 @@
 use dockgate_proto::GatewayMessage;
 use std::net::SocketAddr;
 
-/// With which part of its answers and beats a box tells all quarantines again, so that a box which missed one
-/// has it about a second later.
-const WHOLE_PART: f64 = 0.25;
+/// The probability that a report includes all quarantines, so that a box that missed one gets it
+/// about a second later.
+const FULL_REPORT_PROBABILITY: f64 = 0.25;
 
-/// Notes the requests under which an endpoint has ended, and tells the others at once.
-pub(super) fn note_ends(state: &GatewayState, endpoint: EndpointId, under: &[RequestFingerprint]) {
+/// Records the requests that were interrupted by the end of an endpoint, and reports them at once.
+pub(super) fn note_ends(
+    state: &GatewayState,
+    endpoint: EndpointId,
+    interrupted: &[RequestFingerprint],
+) {
     let now = now_ms();
     let changes = state.with(|view| {
-        let fingerprints = under.iter();
+        let fingerprints = interrupted.iter();
         let changes = fingerprints
             .filter_map(|fingerprint| view.suspects.note_ended(*fingerprint, endpoint, now));
         changes.collect::<Vec<QuarantineChange>>()
@@ -32,8 +37,8 @@
     broadcast_reports(state);
 }
 
-/// Notes that a request ran to its end, which says that it ends no endpoints; `print` is asked for where that
-/// matters alone.
+/// Records that a request completed, which clears it of suspicion; `fingerprint` is called only if
+/// there are suspects.
 pub(super) fn note_completed(
     state: &GatewayState,
     fingerprint: impl FnOnce() -> RequestFingerprint,
@@ -47,7 +52,8 @@
     log_changes(state, change.as_slice(), "completed");
 }
 
-/// Returns the quarantine of a request, if it is in one; `print` is asked for where there are any alone.
+/// Returns the quarantine of a request, or `None` if it is not in quarantine; `fingerprint` is
+/// called only if any request is.
 pub(super) fn find_quarantine(
     state: &GatewayState,
     fingerprint: impl FnOnce() -> RequestFingerprint,
@@ -61,7 +67,7 @@
     quarantine.map(|quarantine| (fingerprint, quarantine))
 }
 
-/// Takes in what is known elsewhere of requests in quarantine.
+/// Merges quarantines that are known elsewhere.
 pub(super) fn merge(
     state: &GatewayState,
     known: Vec<(RequestFingerprint, Quarantine)>,
@@ -77,7 +83,7 @@
     log_changes(state, &changes, source);
 }
 
-/// Takes in what another box tells; one that coordinates its domain passes verdicts on to the others at once.
+/// Processes the reports of another box; a coordinator forwards changes at once.
 pub(super) fn receive_reports(state: &GatewayState, from: SocketAddr, rows: &[SuspectReport]) {
     let now = now_ms();
     let changes = state.with(|view| view.suspects.receive(rows, now));
@@ -87,7 +93,7 @@
     }
 }
 
-/// Releases a request, as an operator has decided; all boxes know it as soon as they would know a verdict.
+/// Releases a request on behalf of an operator, and reports it at once.
 pub(super) fn release(state: &GatewayState, fingerprint: RequestFingerprint) {
     let now = now_ms();
     let change = state.with(|view| view.suspects.release(fingerprint, now));
@@ -95,44 +101,46 @@
     broadcast_reports(state);
 }
 
-/// Tells the boxes that pass news on what is new of requests under which endpoints end.
+/// Sends suspect reports to the coordinators of the own domain, and from a coordinator also to
+/// those of the other domains.
 pub(super) fn broadcast_reports(state: &GatewayState) {
     let now = now_ms();
-    let is_whole = rand::random_bool(WHOLE_PART);
-    let told = state.with(|view| {
+    let is_full = rand::random_bool(FULL_REPORT_PROBABILITY);
+    let due = state.with(|view| {
         if view.suspects.is_empty() {
             return None;
         }
-        let rows = view.suspects.reports(is_whole, now);
+        let rows = view.suspects.reports(is_full, now);
         let draw = rand::random_range(0..usize::MAX);
-        let mut to = view.fleet.heartbeat_targets(now, draw);
+        let mut targets = view.fleet.heartbeat_targets(now, draw);
         if view.fleet.is_coordinator(now) {
-            to.extend(view.fleet.remote_coordinators(now));
+            targets.extend(view.fleet.remote_coordinators(now));
         }
-        (!rows.is_empty()).then_some((rows, to))
+        (!rows.is_empty()).then_some((rows, targets))
     });
-    let Some((rows, to)) = told else { return };
+    let Some((rows, targets)) = due else { return };
     let Some(message) = encode(state, GatewayMessage::Suspects { rows }) else {
         return;
     };
-    to.into_iter()
+    targets
+        .into_iter()
         .for_each(|address| send_encoded(state, address, &message));
 }
 
-/// Tells one box of the own domain that has just said that it lives; `is_new` where it may know nothing.
+/// Sends suspect reports to a box of the own domain; complete ones if `is_new`.
 pub(super) fn send_reports(state: &GatewayState, to: SocketAddr, is_new: bool) {
     let now = now_ms();
-    let is_whole = is_new || rand::random_bool(WHOLE_PART);
+    let is_full = is_new || rand::random_bool(FULL_REPORT_PROBABILITY);
     let rows = state.with(|view| match view.suspects.is_empty() {
         true => Vec::new(),
-        false => view.suspects.reports(is_whole, now),
+        false => view.suspects.reports(is_full, now),
     });
     if !rows.is_empty() {
         send_datagram(state, to, GatewayMessage::Suspects { rows });
     }
 }
 
-/// Writes what has changed, with the evidence, and counts it.
+/// Logs and counts changes.
 fn log_changes(state: &GatewayState, changes: &[QuarantineChange], source: &str) {
     for change in changes {
         let fingerprint = change.fingerprint.to_string();
@@ -146,12 +154,12 @@
         }
         GATEWAY_METRICS.note_quarantine("quarantined");
         let endpoints = state.with(|view| {
-            let ends = change.ended_lifetimes.iter();
-            let name = |id: &EndpointId| {
+            let lifetimes = change.ended_lifetimes.iter();
+            let name_of = |id: &EndpointId| {
                 let known = view.endpoints.get(*id);
                 known.map_or_else(|| format!("{:016x}", id.0), |known| known.record.id.clone())
             };
-            ends.map(name).collect::<Vec<String>>()
+            lifetimes.map(name_of).collect::<Vec<String>>()
         });
         log_gateway(&GatewayEvent::RequestQuarantined {
             print: &fingerprint,
--- a/dockgate/src/gateway/quarantine_rpc.rs
+++ b/dockgate/src/gateway/quarantine_rpc.rs
@@ -1,4 +1,4 @@
-//! Shows an operator the requests in quarantine, and releases one.
+//! The RPC method by which an operator lists and releases requests in quarantine.
 
 use super::gateway_state::GatewayState;
 use super::quarantine::release;
@@ -11,11 +11,11 @@
 use jsonrpsee::types::error::INVALID_PARAMS_CODE;
 use std::sync::Arc;
 
-/// Adds the method to the door at which boxes ask each other.
+/// Registers the method with the listener for queries of other boxes.
 ///
 /// # Errors
 ///
-/// Returns an error where the method cannot be registered.
+/// Returns an error if the method cannot be registered.
 pub(super) fn register(
     module: &mut RpcModule<Arc<GatewayState>>,
 ) -> Result<(), RegisterMethodError> {
@@ -29,7 +29,7 @@
     Ok(())
 }
 
-/// Reads the print of a request that is in quarantine.
+/// Parses the fingerprint of a request, and checks that it is in quarantine.
 fn parse_fingerprint(
     state: &GatewayState,
     text: &str,
@@ -38,21 +38,19 @@
         |problem: String| ErrorObjectOwned::owned(INVALID_PARAMS_CODE, problem, None::<()>);
     let fingerprint = text.parse::<RequestFingerprint>().map_err(|_| {
         refuse(format!(
-            "'{text}' is no print: 32 hexadecimal digits, as log lines have them"
+            "'{text}' is not a request fingerprint: expected 32 hexadecimal digits"
         ))
     })?;
     let known = state.with(|view| view.suspects.quarantine(fingerprint, now_ms()).is_some());
-    known.then_some(fingerprint).ok_or_else(|| {
-        refuse(format!(
-            "{fingerprint} is not in quarantine, as this box knows"
-        ))
-    })
+    known
+        .then_some(fingerprint)
+        .ok_or_else(|| refuse(format!("{fingerprint} is not in quarantine here")))
 }
 
 fn list(state: &GatewayState) -> QuarantineAnswer {
     let now = now_ms();
     let known = state.with(|view| view.suspects.quarantines(now));
-    let held = known
+    let active = known
         .into_iter()
         .filter(|(_, quarantine)| quarantine.stage.is_active());
     let row = |(fingerprint, quarantine): (RequestFingerprint, Quarantine)| QuarantineRow {
@@ -64,6 +62,6 @@
             .map(|after| after.as_millis() as u64),
     };
     QuarantineAnswer {
-        requests: held.map(row).collect(),
+        requests: active.map(row).collect(),
     }
 }
--- a/dockgate/src/gateway/quarantine_store.rs
+++ b/dockgate/src/gateway/quarantine_store.rs
@@ -1,9 +1,9 @@
-//! Keeps the requests in quarantine in the platform's store, and asks it for trials.
+//! Keeps the quarantine in the platform's store, and acquires trials there.
 //!
-//! Boxes that were all restarted, or that are cut off from the others, learn from it what no box may send.
-//! It is read with the probes of the store, which cost what they cost anyway, and written by the boxes that
-//! follow the store for their domain, where it differs from what they believe. There is one value, written
-//! under the condition that it is still the one that was read, so that no box undoes what another one wrote.
+//! The store keeps the quarantine while all boxes restart, and for boxes that are cut off from the
+//! others. Boxes read it with the probes of the store, at no extra cost; the followers of the store
+//! write it if it differs from their own state. There is one value, which is replaced only if it is
+//! unchanged since it was read, so that no box overwrites the changes of another one.
 
 use super::events::{GatewayEvent, log_gateway};
 use super::gateway_state::GatewayState;
@@ -19,26 +19,26 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// How long a caller whose request may be let through for a trial waits for the store to allow it.
+/// How long a request that is due for a trial waits for the store to grant it.
 const TRIAL_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// How long after a write the next one may be: probes may be answered with what was there a while ago, and boxes
-/// of several domains may write in turn.
+/// The pause between two writes: probes may return an outdated value, and boxes of several domains
+/// may write in turn.
 const WRITE_PAUSE: Duration = Duration::from_millis(1_000);
 
-fn clock() -> ClockPair {
+fn clock_pair() -> ClockPair {
     ClockPair {
         now_ms: now_ms(),
         unix_ms: unix_ms(),
     }
 }
 
-/// Takes in what the store has; none where the value is no list of requests.
-fn read(state: &GatewayState, stored: Option<&StoredValue>) -> Option<StoredStages> {
+/// Merges the stored value; returns `None` if it is not readable.
+fn merge_stored(state: &GatewayState, stored: Option<&StoredValue>) -> Option<StoredStages> {
     let Some(stored) = stored else {
         return Some(StoredStages::default());
     };
-    match decode_quarantines(&stored.bytes, clock()) {
+    match decode_quarantines(&stored.bytes, clock_pair()) {
         Ok(known) => {
             let stages = StoredStages::of(&known);
             merge(state, known, "store");
@@ -54,7 +54,7 @@
     }
 }
 
-/// What the store says of each request.
+/// The stage of each quarantine in the store.
 #[derive(Debug, Default, PartialEq, Eq)]
 struct StoredStages {
     stages: BTreeMap<RequestFingerprint, QuarantineStage>,
@@ -71,104 +71,104 @@
     }
 }
 
-/// Takes in what a probe of the store listed, and has what it lacks written where this box `writes` for its
-/// domain.
+/// Merges the listing of a probe; if it differs from the own state and this box `is_writer`, spawns
+/// a task that writes the quarantine.
 pub(super) fn sync(
     state: &Arc<GatewayState>,
     client: &PlatformClient,
     listing: &StoreListing,
-    writes: bool,
+    is_writer: bool,
 ) {
     let stored = listing.items.iter().find(|item| item.key == QUARANTINE);
-    let seen = read(state, stored);
-    let wanted = || state.with(|view| view.suspects.quarantines(now_ms()));
-    // Another writer's value is replaced once there is something to say.
-    let seen = seen.unwrap_or_default();
-    let is_due = writes && seen != StoredStages::of(&wanted());
-    if !is_due || state.writes_quarantine.swap(true, Ordering::AcqRel) {
+    let stages = merge_stored(state, stored);
+    let quarantines = || state.with(|view| view.suspects.quarantines(now_ms()));
+    // An unreadable value is replaced once there are quarantines to write.
+    let stages = stages.unwrap_or_default();
+    let is_due = is_writer && stages != StoredStages::of(&quarantines());
+    if !is_due || state.is_writing_quarantine.swap(true, Ordering::AcqRel) {
         return;
     }
-    // The next probe does not wait for it: how old the last one is says whether this box is heard.
+    // Writes in the background, since a delayed probe would look like a loss of the store.
     let (state, client) = (state.clone(), client.clone());
     tokio::spawn(async move {
         if let Err(error) = write(&state, &client).await {
             log::info!("write quarantine: {error}");
         }
         tokio::time::sleep(WRITE_PAUSE).await;
-        state.writes_quarantine.store(false, Ordering::Release);
+        state.is_writing_quarantine.store(false, Ordering::Release);
     });
 }
 
-/// Brings the value in the store to what this box believes, unless another box writes it meanwhile: the next
-/// probe shows what came of it.
+/// Writes the quarantine to the store, unless another box does so meanwhile; the next probe shows
+/// the result.
 async fn write(state: &GatewayState, client: &PlatformClient) -> Result<(), PlatformError> {
     let stored = client.get(QUARANTINE).await?;
-    let seen = read(state, stored.as_ref()).unwrap_or_default();
-    let wanted = state.with(|view| view.suspects.quarantines(now_ms()));
-    if seen == StoredStages::of(&wanted) {
+    let stages = merge_stored(state, stored.as_ref()).unwrap_or_default();
+    let quarantines = state.with(|view| view.suspects.quarantines(now_ms()));
+    if stages == StoredStages::of(&quarantines) {
         return Ok(());
     }
-    put(client, stored.as_ref(), &wanted).await?;
+    put_quarantines(client, stored.as_ref(), &quarantines).await?;
     Ok(())
 }
 
-async fn put(
+async fn put_quarantines(
     client: &PlatformClient,
     stored: Option<&StoredValue>,
-    wanted: &[(RequestFingerprint, Quarantine)],
+    quarantines: &[(RequestFingerprint, Quarantine)],
 ) -> Result<PutOutcome, PlatformError> {
     let condition = match stored {
         Some(stored) => PutCondition::Revision(stored.revision),
         None => PutCondition::Absent,
     };
-    let value = encode_quarantines(wanted, clock());
+    let value = encode_quarantines(quarantines, clock_pair());
     client.put(QUARANTINE, value, condition, None).await
 }
 
-/// Asks whether this box may send a request in quarantine once: of all boxes that ask, on whichever side of a
-/// cut, the store lets one do so. Where it does not answer, none may.
-pub(super) async fn take_trial(state: &GatewayState, fingerprint: RequestFingerprint) -> bool {
-    let asked = tokio::time::timeout(TRIAL_TIMEOUT, ask_trial(state, fingerprint)).await;
-    match asked {
+/// Returns whether this box may send a quarantined request once, as a trial. The store grants a
+/// trial to one box only, also across a partition, and grants none while it does not answer.
+pub(super) async fn acquire_trial(state: &GatewayState, fingerprint: RequestFingerprint) -> bool {
+    let outcome = tokio::time::timeout(TRIAL_TIMEOUT, request_trial(state, fingerprint)).await;
+    match outcome {
         Ok(Ok(is_granted)) => is_granted,
         Ok(Err(error)) => {
-            log::info!("ask for a trial of {fingerprint}: {error}");
+            log::info!("request a trial of {fingerprint}: {error}");
             false
         }
         Err(_) => {
-            log::info!("ask for a trial of {fingerprint}: no answer in time");
+            log::info!("request a trial of {fingerprint}: no answer in time");
             false
         }
     }
 }
 
-async fn ask_trial(
+async fn request_trial(
     state: &GatewayState,
     fingerprint: RequestFingerprint,
 ) -> Result<bool, PlatformError> {
     let client = state.store_client();
     let stored = client.get(QUARANTINE).await?;
-    if read(state, stored.as_ref()).is_none() {
+    if merge_stored(state, stored.as_ref()).is_none() {
         return Ok(false);
     }
     let now = now_ms();
-    let mut wanted = state.with(|view| view.suspects.quarantines(now));
-    let due = wanted
+    let mut quarantines = state.with(|view| view.suspects.quarantines(now));
+    let due = quarantines
         .iter_mut()
         .find(|(known, quarantine)| *known == fingerprint && quarantine.is_trial_due(now));
     let Some((_, quarantine)) = due else {
         return Ok(false);
     };
     *quarantine = quarantine.with_trial(now);
-    let tried = *quarantine;
-    let outcome = put(&client, stored.as_ref(), &wanted).await?;
+    let updated = *quarantine;
+    let outcome = put_quarantines(&client, stored.as_ref(), &quarantines).await?;
     let is_granted = matches!(outcome, PutOutcome::Done(_));
     if is_granted {
-        merge(state, vec![(fingerprint, tried)], "trial");
+        merge(state, vec![(fingerprint, updated)], "trial");
         broadcast_reports(state);
         log_gateway(&GatewayEvent::RequestTried {
             print: &fingerprint.to_string(),
-            trials: tried.stage.trials,
+            trials: updated.stage.trials,
         });
     }
     Ok(is_granted)
