--- a/dockgate/src/gateway.rs
+++ b/dockgate/src/gateway.rs
@@ -1,13 +1,14 @@
-//! The daemon as a gateway: routes requests by host and path to the endpoints of services.
+//! Gateway mode of the daemon: routes requests by host and path to the endpoints of services.
 //!
-//! One thread serves everything, since a box has a part of one core. [`GatewayState`] holds what
-//! the box believes; the tasks around it do the I/O: callers in `caller_listener`, endpoints in
-//! `upstream`, the platform's store in `follow`, other boxes in `membership`, `peer_net` and
-//! `peer_state`.
+//! Everything runs on one thread, since a box has a fraction of one core. [`GatewayState`] holds
+//! the shared state; the tasks around it do the I/O: with callers in `caller_listener`, with endpoints in
+//! `upstream`, with the platform's store in `follow`, and with other boxes in `membership`,
+//! `datagram_receiver` and `peer_state`.
 
 mod call;
 mod call_body;
 mod caller_listener;
+mod datagram_receiver;
 mod datagrams;
 mod domain_watch;
 mod end_check;
@@ -22,10 +23,9 @@
 mod membership;
 mod notices;
 mod overload;
-mod peer_net;
 mod peer_state;
 mod quarantine;
-mod quarantine_door;
+mod quarantine_rpc;
 mod quarantine_store;
 mod readiness;
 mod refusal;
@@ -59,26 +59,27 @@
 use tokio::net::{TcpListener, UdpSocket};
 use tokio::signal::unix::Signal;
 
-/// How often the daemon looks whether its last request has been answered.
+/// How often a stopping daemon checks whether all requests are answered.
 const DRAIN_POLL: Duration = Duration::from_millis(50);
-/// For how long after its stop began, and after its last answer, a daemon still takes what crosses the stop.
-const QUIET_BEFORE_END: Duration = Duration::from_millis(1_500);
-/// How long the last log lines may take to be written.
-const LAST_LINES: Duration = Duration::from_millis(200);
-/// How much of the grace is kept for the end itself.
+/// How long a stopping daemon stays idle, after the stop began and after its last answer, before it
+/// closes open connections: requests that were sent before the callers noticed still arrive.
+const QUIET_PERIOD: Duration = Duration::from_millis(1_500);
+/// How long the remaining log lines may take to be written.
+const LOG_FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
+/// The part of the grace period that is reserved for the end of the process.
 const END_MARGIN: Duration = Duration::from_millis(400);
 
-/// Runs until the process is told to stop; `path` is the settings file, which may change.
+/// Runs until the process is asked to stop; `path` is the settings file, which may be reloaded.
 ///
 /// # Errors
 ///
-/// Returns an error where a socket cannot be opened.
+/// Returns an error if a socket cannot be opened.
 pub(crate) fn run(
     runtime: GatewayRuntime,
     settings: GatewaySettings,
     path: &Path,
 ) -> Result<(), DaemonError> {
-    // How far the clocks are apart now is no suspension of this process.
+    // Sets the baseline: the current difference between the clocks is not a suspension.
     detect_suspension();
     let GatewayRuntime {
         runtime,
@@ -130,31 +131,31 @@
 ) -> Result<(), DaemonError> {
     tokio::spawn(readiness::serve_readiness(state.clone(), readiness));
     tokio::spawn(readiness::serve_metrics(state.clone(), metrics));
-    keep(state, "store role", store_probe::keep_role);
-    keep(state, "store probes", store_probe::keep_probing);
-    keep(state, "routes", follow::follow_routes);
-    keep(state, "endpoints", follow::follow_endpoints);
-    keep(state, "datagrams", peer_net::receive);
-    keep(state, "beats", membership::beat);
-    keep(state, "lag", overload::watch_lag);
-    keep(state, "domains", domain_watch::watch_domains);
+    spawn_kept(state, "store role", store_probe::update_role_periodically);
+    spawn_kept(state, "store probes", store_probe::run_probes);
+    spawn_kept(state, "routes", follow::follow_routes);
+    spawn_kept(state, "endpoints", follow::follow_endpoints);
+    spawn_kept(state, "datagrams", datagram_receiver::receive_datagrams);
+    spawn_kept(state, "beats", membership::send_heartbeats);
+    spawn_kept(state, "lag", overload::watch_lag);
+    spawn_kept(state, "domains", domain_watch::watch_domains);
     for (name, what) in [
         ("configurations of others", StateKind::Config),
         ("endpoints of others", StateKind::Endpoints),
     ] {
-        keep(state, name, move |state| {
+        spawn_kept(state, name, move |state| {
             peer_state::query_peers(state, what)
         });
     }
     let (stop, server) = jsonrpsee::server::stop_channel();
-    // The door serves until the process ends.
+    // Dropping the handle would stop the listener.
     std::mem::forget(server);
-    tokio::spawn(peer_state::state_door(state.clone())?.serve(state_listener, stop));
+    tokio::spawn(peer_state::state_rpc(state.clone())?.serve(state_listener, stop));
     Ok(())
 }
 
-/// Runs a task of this box for as long as the process.
-fn keep<T, A>(state: &Arc<GatewayState>, name: &'static str, task: T)
+/// Spawns a task that is restarted if it panics.
+fn spawn_kept<T, A>(state: &Arc<GatewayState>, name: &'static str, task: T)
 where
     T: Fn(Arc<GatewayState>) -> A + Send + 'static,
     A: Future<Output = ()> + Send + 'static,
@@ -163,7 +164,8 @@
     spawn_supervised(name, move || task(state.clone()));
 }
 
-/// Stops in order: not ready at once, goes on answering, and ends when nothing is open any more.
+/// Stops gracefully: reports not ready at once, and serves requests until none is left or the grace
+/// period is over.
 async fn drain(state: &GatewayState, listener: &CallerListener) {
     log_gateway(&GatewayEvent::Stopping {
         open: listener.open(),
@@ -171,9 +173,9 @@
     let grace = state.settings().stop_grace.saturating_sub(END_MARGIN);
     state.begin_stop(grace);
     listener.begin_stop();
-    membership::send_beat(state);
+    membership::send_heartbeat(state);
     let ended = timeout(grace, async {
-        while listener.busy() > 0 || (listener.open() > 0 && !listener.is_quiet(QUIET_BEFORE_END)) {
+        while listener.busy() > 0 || (listener.open() > 0 && !listener.is_quiet(QUIET_PERIOD)) {
             tokio::time::sleep(DRAIN_POLL).await;
         }
     })
@@ -183,5 +185,5 @@
         in_time: ended.is_ok(),
         cut,
     });
-    flush_lines(LAST_LINES);
+    flush_lines(LOG_FLUSH_TIMEOUT);
 }
--- a/dockgate/src/gateway/call/admitted_call.rs
+++ b/dockgate/src/gateway/call/admitted_call.rs
@@ -161,7 +161,7 @@
             stage: self.progress.stage().as_str(),
             sends: self.progress.sends(),
             waited_ms: self.age().as_millis() as u64,
-            lag_ms: self.state.with(|beliefs| beliefs.lag.lag_ms()),
+            lag_ms: self.state.with(|view| view.lag.lag_ms()),
         });
     }
 }
@@ -218,23 +218,21 @@
     check_quarantine(&state, fingerprint)
         .await
         .map_err(rejected_on_route)?;
-    if state.with(|beliefs| beliefs.lag.is_too_late_for(objective_ms)) {
+    if state.with(|view| view.lag.is_too_late_for(objective_ms)) {
         let refusal = CallRefusal::with_retry(RefusalReason::Overloaded, RETRY_SOON);
         return Err(rejected_on_route(refusal));
     }
     let engine = table.service(service).engine;
     let prompt = head.prompt.as_ref().filter(|_| engine.is_some());
     let units = prompt.map_or(0, PromptShape::units);
-    state.with(|beliefs| beliefs.tally.record_request(name_hash(name), name, units));
+    state.with(|view| view.tally.record_request(name_hash(name), name, units));
     shed_request(&state, name_hash(name), units).map_err(rejected_on_route)?;
     let timeout = route_spec.timeout;
     let budget = head.budget.unwrap_or(timeout).min(timeout);
-    state.with(|beliefs| {
+    state.with(|view| {
         let service = &table.service(service).name;
-        beliefs.retries.record_request(service, now_ms());
-        beliefs
-            .shares
-            .record_request(name_hash(name), units, now_ms());
+        view.retries.record_request(service, now_ms());
+        view.shares.record_request(name_hash(name), units, now_ms());
     });
     Ok(AdmittedCall {
         state,
@@ -262,8 +260,8 @@
 ///
 /// Returns a refusal if the request is shed.
 fn shed_request(state: &GatewayState, workspace: u64, units: u64) -> Result<(), CallRefusal> {
-    state.with(|beliefs| {
-        let shedder = &mut beliefs.shed;
+    state.with(|view| {
+        let shedder = &mut view.shedder;
         shedder.record_request(workspace);
         let fraction = shedder.refused_fraction(workspace);
         if fraction <= 0.0 || !rand::random_bool(fraction) {
@@ -271,7 +269,7 @@
         }
         shedder.record_refusal();
         let outcome = ShareOutcome::NoProcessor;
-        beliefs.tally.record_outcome(workspace, outcome, units);
+        view.tally.record_outcome(workspace, outcome, units);
         let reason = match shedder.is_out_of_rotation() {
             true => RefusalReason::Diverted,
             false => RefusalReason::Overloaded,
--- a/dockgate/src/gateway/call/call_placement.rs
+++ b/dockgate/src/gateway/call/call_placement.rs
@@ -66,13 +66,11 @@
                 let found = find_engine(&self.state, query, &request).await;
                 let found =
                     found.map_err(|refusal| self.refuse_prompt(refusal, &request, units))?;
-                self.state.with(|beliefs| {
-                    let shares = &mut beliefs.shares;
+                self.state.with(|view| {
+                    let shares = &mut view.shares;
                     shares.record_admission(request.workspace, units, request.level, now_ms());
                     let outcome = ShareOutcome::Admitted;
-                    beliefs
-                        .tally
-                        .record_outcome(request.workspace, outcome, units);
+                    view.tally.record_outcome(request.workspace, outcome, units);
                 });
                 Ok(CallPlacement {
                     target: found.target,
@@ -87,7 +85,7 @@
 
     fn share_level(&self, workspace: u64, units: u64) -> ShareLevel {
         self.state
-            .with(|beliefs| beliefs.shares.level(workspace, units, now_ms()))
+            .with(|view| view.shares.level(workspace, units, now_ms()))
     }
 
     fn refuse_prompt(
@@ -111,7 +109,7 @@
             false => (RefusalReason::WouldBeLate, ShareOutcome::WouldBeLate),
         };
         self.state
-            .with(|beliefs| beliefs.tally.record_outcome(workspace, outcome, units));
+            .with(|view| view.tally.record_outcome(workspace, outcome, units));
         CallRefusal {
             reason,
             retry_after: Some(retry_delay(cause, self.time_left(), rand::random())),
@@ -136,7 +134,7 @@
     pub(super) fn availability(&self) -> ServiceAvailability {
         let service = &self.service().name;
         self.state
-            .with(|beliefs| beliefs.endpoints.availability(service, now_ms()))
+            .with(|view| view.endpoints.availability(service, now_ms()))
     }
 
     /// Returns the retry delay of a request for which no endpoint was found.
@@ -168,25 +166,25 @@
             used + remote_penalty + unreliable_penalty
         };
         let name = &self.service().name;
-        let target = self.state.with(|beliefs| {
+        let target = self.state.with(|view| {
             let untried = |id| !attempts.endpoints.contains(&id);
-            let eligible = beliefs
+            let eligible = view
                 .endpoints
                 .eligible(name, now)
                 .filter(|(id, _)| untried(*id));
             let best = eligible.min_by(|(_, a), (_, b)| load(a).total_cmp(&load(b)));
-            let notices = beliefs.endpoints.notices();
+            let notices = view.endpoints.notices();
             // If all endpoints back off after failures, one of them is still tried, unless it
             // requested the backoff itself.
             let backing_off = || {
-                let ready = beliefs
+                let ready = view
                     .endpoints
                     .ready_entries(name)
                     .filter(|(id, _)| untried(*id) && notices.may_send(*id, now));
                 ready.min_by(|(_, a), (_, b)| load(a).total_cmp(&load(b)))
             };
             let (id, entry) = best.or_else(backing_off)?;
-            let boxes = beliefs.fleet.live_count(now);
+            let boxes = view.fleet.live_count(now);
             Some(EndpointTarget {
                 id,
                 name: entry.record.id.clone(),
--- a/dockgate/src/gateway/call/quarantine_check.rs
+++ b/dockgate/src/gateway/call/quarantine_check.rs
@@ -44,11 +44,11 @@
     state: &GatewayState,
     fingerprint: impl FnOnce() -> RequestFingerprint,
 ) -> Result<(), CallRefusal> {
-    let Some((fingerprint, quarantine)) = quarantine::find(state, fingerprint) else {
+    let Some((fingerprint, quarantine)) = quarantine::find_quarantine(state, fingerprint) else {
         return Ok(());
     };
     let now = now_ms();
-    if quarantine.is_trial_due(now) && quarantine_store::take_trial(state, fingerprint).await {
+    if quarantine.is_trial_due(now) && quarantine_store::acquire_trial(state, fingerprint).await {
         return Ok(());
     }
     let after = quarantine.retry_after(now);
--- a/dockgate/src/gateway/call/send_attempts.rs
+++ b/dockgate/src/gateway/call/send_attempts.rs
@@ -1,7 +1,7 @@
 //! Sends a request to endpoints until one answers or no further attempt is allowed.
 
 use super::super::call_body::{CallBody, whole_body};
-use super::super::end_check::{note_break, note_gone};
+use super::super::end_check::{note_interruption, note_stopped};
 use super::super::event_stream::{EventStream, StreamSource};
 use super::super::events::{GatewayEvent, is_sampled, log_gateway};
 use super::super::gateway_metrics::GATEWAY_METRICS;
@@ -84,14 +84,14 @@
         }
         let allowed = attempts.sent < self.route().attempts
             && !self.time_left().is_zero()
-            && quarantine::find(&self.state, || self.fingerprint()).is_none();
+            && quarantine::find_quarantine(&self.state, || self.fingerprint()).is_none();
         // The retry budget is checked last, so that it is charged only for actual retries.
         let wanted = state.after_loss(repeatable, allowed) == RetryVerdict::Retry;
         let service = &self.service().name;
         let may_retry = wanted
             && self
                 .state
-                .with(|beliefs| beliefs.retries.try_take(service, now_ms()));
+                .with(|view| view.retries.try_take(service, now_ms()));
         if may_retry {
             METRICS.retries.inc();
         }
@@ -195,8 +195,10 @@
     /// Reports an endpoint that may have ended, as suspected after a failed attempt.
     fn report_suspicion(&self, target: &EndpointTarget, failure: &AttemptFailure) {
         match failure.suspicion {
-            EndpointSuspicion::MayHaveEnded => note_break(&self.state, target, self.fingerprint()),
-            EndpointSuspicion::Gone => note_gone(&self.state, target),
+            EndpointSuspicion::MayHaveEnded => {
+                note_interruption(&self.state, target, self.fingerprint())
+            }
+            EndpointSuspicion::Gone => note_stopped(&self.state, target),
             EndpointSuspicion::None => {}
         }
     }
@@ -207,9 +209,7 @@
     }
 
     fn log_sent(&self, placement: &CallPlacement, attempt: u32) {
-        let revision = self
-            .state
-            .with(|beliefs| beliefs.endpoints.revision().number);
+        let revision = self.state.with(|view| view.endpoints.revision().number);
         log_gateway(&GatewayEvent::Sent {
             request: &self.head.id,
             route: &self.route().name,
--- a/dockgate/src/gateway/peer_net.rs
+++ b/dockgate/src/gateway/datagram_receiver.rs
@@ -1,6 +1,7 @@
-//! Takes other boxes' datagrams in: beats, digests, seeks and verdicts, and what became of each run.
+//! Receives the datagrams of other boxes: heartbeats, digests, slot requests, verdicts and reports
+//! of runs.
 //!
-//! A verdict that does not come in time is replaced by the entry's own.
+//! If a verdict does not arrive in time, the requesting box decides itself.
 
 use super::datagrams::send_datagram;
 use super::engine_placement::{
@@ -8,7 +9,7 @@
 };
 use super::gateway_metrics::GATEWAY_METRICS;
 use super::gateway_state::GatewayState;
-use super::membership::{hear_beat, hear_digest};
+use super::membership::{receive_digest, receive_heartbeat};
 use super::notices::receive_reported_leave;
 use super::quarantine;
 use crate::clock::now_ms;
@@ -18,12 +19,12 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// The largest datagram that is taken in, in bytes; larger ones would be cut into pieces.
-const MOST_BYTES: usize = 16_384;
+/// The size of the receive buffer, in bytes; the excess of a larger datagram is lost.
+const MAX_DATAGRAM_BYTES: usize = 16_384;
 
-/// Takes datagrams in until the process ends.
-pub(super) async fn receive(state: Arc<GatewayState>) {
-    let mut buffer = vec![0; MOST_BYTES];
+/// Receives datagrams until the process ends.
+pub(super) async fn receive_datagrams(state: Arc<GatewayState>) {
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         match state.datagrams.recv_from(&mut buffer).await {
             Ok((length, from)) => match GatewayDatagram::decode(&buffer[..length]) {
@@ -34,10 +35,10 @@
                 }
                 Err(error) => {
                     METRICS.ignored.with_label_values(&["datagram"]).inc();
-                    log::debug!("datagram of {from}: {error}");
+                    log::debug!("decode datagram from {from}: {error}");
                 }
             },
-            // A box that is gone refuses what was sent to it; that is seen from its silence.
+            // An earlier send was refused; missing heartbeats show that the box is gone.
             Err(error) => log::debug!("receive datagrams: {error}"),
         }
     }
@@ -50,24 +51,24 @@
         message,
     } = datagram;
     let now = now_ms();
-    let run_of = |number| RunKey {
+    let key_of = |number| RunKey {
         entry: peer,
         number,
     };
     match message {
         GatewayMessage::Heartbeat { heartbeat, shares } => {
-            hear_beat(state, from, heartbeat, incarnation, &shares);
+            receive_heartbeat(state, from, heartbeat, incarnation, &shares);
         }
         GatewayMessage::Digest { digest, shares } => {
-            hear_digest(state, digest, incarnation, &shares);
+            receive_digest(state, digest, incarnation, &shares);
         }
         GatewayMessage::SlotRequest {
             run,
             endpoint,
             request,
         } => {
-            let key = run_of(run);
-            if let Some(verdict) = answer_seek(state, run, endpoint, key, &request) {
+            let key = key_of(run);
+            if let Some(verdict) = answer_slot_request(state, run, endpoint, key, &request) {
                 send_datagram(state, from, verdict);
             }
         }
@@ -79,10 +80,10 @@
             speed,
         } => {
             receive_engine_report(state, endpoint, backlog_ms, speed);
-            let waiting = state.with(|beliefs| beliefs.seeks.remove(&run));
-            let taken = waiting.is_some_and(|waiting| waiting.send(verdict).is_ok());
-            // Too late: the prompt has gone elsewhere by now.
-            if !taken && matches!(verdict, AdmissionVerdict::Granted(_)) {
+            let waiting = state.with(|view| view.slot_requests.remove(&run));
+            let is_delivered = waiting.is_some_and(|waiting| waiting.send(verdict).is_ok());
+            // The grantarrived too late so its slot is released.
+            if !is_delivered && matches!(verdict, AdmissionVerdict::Granted(_)) {
                 send_datagram(state, from, GatewayMessage::Ended { run, endpoint });
             }
         }
@@ -92,30 +93,31 @@
             request,
             started,
         } => {
-            let key = run_of(run);
+            let key = key_of(run);
             place_locally(state, endpoint, key, &request);
             if started {
-                state.with(|beliefs| beliefs.engines.start(endpoint, key, now, true));
+                state.with(|view| view.engines.start(endpoint, key, now, true));
             }
         }
         GatewayMessage::PartsRead { endpoint, parts } => {
             record_cached(state, endpoint, &parts);
         }
         GatewayMessage::Started { run, endpoint } => {
-            let key = run_of(run);
-            state.with(|beliefs| beliefs.engines.start(endpoint, key, now, true));
+            let key = key_of(run);
+            state.with(|view| view.engines.start(endpoint, key, now, true));
         }
         GatewayMessage::Ended { run, endpoint } => {
-            let key = run_of(run);
-            state.with(|beliefs| beliefs.engines.end(endpoint, key));
+            let key = key_of(run);
+            state.with(|view| view.engines.end(endpoint, key));
         }
         GatewayMessage::EndpointLeaving { endpoint } => receive_reported_leave(state, endpoint),
-        GatewayMessage::Suspects { rows } => quarantine::hear(state, from, &rows),
+        GatewayMessage::Suspects { rows } => quarantine::receive_reports(state, from, &rows),
     }
 }
 
-/// Decides on another box's seek, and makes the answer with what that box may want to know.
-fn answer_seek(
+/// Decides on another box's slot request; returns the verdict with the load of the engine, or
+/// `None` if the endpoint is not known here.
+fn answer_slot_request(
     state: &GatewayState,
     run: u32,
     endpoint: EndpointId,
@@ -123,8 +125,8 @@
     ask: &AdmissionRequest,
 ) -> Option<GatewayMessage> {
     let verdict = decide_locally(state, endpoint, key, ask, 0)?;
-    state.with(|beliefs| {
-        let load = beliefs.engines.get(endpoint)?;
+    state.with(|view| {
+        let load = view.engines.get(endpoint)?;
         Some(GatewayMessage::Verdict {
             run,
             endpoint,
--- a/dockgate/src/gateway/engine_placement.rs
+++ b/dockgate/src/gateway/engine_placement.rs
@@ -10,7 +10,7 @@
 use super::datagrams::send_to;
 use super::events::DeclinedEngine;
 use super::gateway_metrics::GATEWAY_METRICS;
-use super::gateway_state::{GatewayBeliefs, GatewayState};
+use super::gateway_state::{GatewayState, GatewayView};
 use super::notices::receive_reported_leave;
 use super::run_guard::RunGuard;
 use super::upstream::{ConnectionLimits, EndpointTarget};
@@ -137,13 +137,13 @@
     homes
 }
 
-fn ordered_homes(beliefs: &GatewayBeliefs, query: &EngineQuery) -> Vec<HomeEngine> {
+fn ordered_homes(view: &GatewayView, query: &EngineQuery) -> Vec<HomeEngine> {
     let now = now_ms();
-    let ready = beliefs.endpoints.ready(&query.service.name);
-    let local = DomainKey::from_name(&beliefs.fleet.own().domain);
-    let entry = |id: EndpointId| beliefs.endpoints.get(id);
+    let ready = view.endpoints.ready(&query.service.name);
+    let local = DomainKey::from_name(&view.fleet.own().domain);
+    let entry = |id: EndpointId| view.endpoints.get(id);
     let is_eligible =
-        |id: EndpointId| beliefs.endpoints.is_eligible(id, now) && !query.tried.contains(&id);
+        |id: EndpointId| view.endpoints.is_eligible(id, now) && !query.tried.contains(&id);
     let is_usable = |id: EndpointId| {
         let unreliable = entry(id).is_none_or(|entry| entry.health.is_unreliable(now));
         is_eligible(id) && !unreliable
@@ -152,9 +152,9 @@
     if order.is_empty() {
         order = select_homes(query, ready, local, is_eligible);
     }
-    let boxes = beliefs.fleet.live_count(now);
+    let boxes = view.fleet.live_count(now);
     let homes = order.into_iter().filter_map(|id| {
-        let entry = beliefs.endpoints.get(id)?;
+        let entry = view.endpoints.get(id)?;
         Some(HomeEngine {
             target: EndpointTarget {
                 id,
@@ -162,7 +162,7 @@
                 address: entry.record.address,
                 limits: ConnectionLimits::new(query.service.connections, entry.record.slots, boxes),
             },
-            owner: beliefs.fleet.owner(id, &entry.record.domain, now),
+            owner: view.fleet.owner(id, &entry.record.domain, now),
         })
     });
     homes.collect()
@@ -182,12 +182,12 @@
     let now = now_ms();
     let rule = state.settings().admission;
     let spec = engine_spec(state, endpoint)?;
-    state.with(|beliefs| {
-        let notices = beliefs.endpoints.notices();
+    state.with(|view| {
+        let notices = view.endpoints.notices();
         if notices.is_reported_leaving(endpoint, now) {
             return Some(AdmissionVerdict::Leaving);
         }
-        let load = beliefs.engines.load_mut(endpoint, spec);
+        let load = view.engines.load_mut(endpoint, spec);
         let verdict = rule.decide(load, request, other_senders, now);
         if matches!(verdict, AdmissionVerdict::Granted(_)) {
             GATEWAY_METRICS.record_admitted_prompt(request.input, load.work_of(request).tokens());
@@ -205,9 +205,8 @@
     request: &AdmissionRequest,
 ) {
     if let Some(spec) = engine_spec(state, endpoint) {
-        state.with(|beliefs| {
-            beliefs
-                .engines
+        state.with(|view| {
+            view.engines
                 .load_mut(endpoint, spec)
                 .place(key, request, now_ms());
         });
@@ -232,7 +231,7 @@
 /// Records the parts that an engine has in its cache.
 pub(super) fn record_cached(state: &GatewayState, endpoint: EndpointId, parts: &[PromptPart]) {
     if let Some(spec) = engine_spec(state, endpoint) {
-        state.with(|beliefs| beliefs.engines.load_mut(endpoint, spec).note_cached(parts));
+        state.with(|view| view.engines.load_mut(endpoint, spec).note_cached(parts));
     }
 }
 
@@ -245,8 +244,8 @@
 ) {
     if let Some(spec) = engine_spec(state, endpoint) {
         let now = now_ms();
-        state.with(|beliefs| {
-            let load = beliefs.engines.load_mut(endpoint, spec);
+        state.with(|view| {
+            let load = view.engines.load_mut(endpoint, spec);
             load.apply_report(backlog_ms, speed, now);
         });
     }
@@ -255,8 +254,8 @@
 /// Returns the specification of an engine, if it is known.
 fn engine_spec(state: &GatewayState, endpoint: EndpointId) -> Option<EngineSpec> {
     let table = state.table();
-    state.with(|beliefs| {
-        let entry = beliefs.endpoints.get(endpoint)?;
+    state.with(|view| {
+        let entry = view.endpoints.get(endpoint)?;
         let service = table.find_service(&entry.record.service)?;
         table.service(service).engine
     })
@@ -275,8 +274,8 @@
     home: &HomeEngine,
     request: &AdmissionRequest,
 ) -> Option<HomeDecision> {
-    let number = state.next_run();
-    if home.owner == state.me() {
+    let number = state.next_run_number();
+    if home.owner == state.own_key() {
         let decided_by = state.settings().name.clone();
         return decide_home_locally(state, home, request, 0, number, decided_by);
     }
@@ -287,12 +286,12 @@
     if let Some(verdict) = slot_request.verdict().await {
         match verdict {
             AdmissionVerdict::Granted(_) => {
-                place_locally(state, home.target.id, state.own_run(number), request);
+                place_locally(state, home.target.id, state.run_key(number), request);
             }
             AdmissionVerdict::Leaving => receive_reported_leave(state, home.target.id),
             AdmissionVerdict::Declined(_) => {}
         }
-        let decided_by = state.with(|beliefs| beliefs.fleet.name(home.owner).to_owned());
+        let decided_by = state.with(|view| view.fleet.name(home.owner).to_owned());
         return Some(HomeDecision {
             verdict,
             number,
@@ -300,7 +299,7 @@
         });
     }
     GATEWAY_METRICS.missed_verdicts.inc();
-    let other_senders = state.with(|beliefs| beliefs.fleet.live_count(now_ms())) - 1;
+    let other_senders = state.with(|view| view.fleet.live_count(now_ms())) - 1;
     let other_senders = other_senders.min(MAX_UNCOORDINATED_SENDERS);
     let decision = decide_home_locally(
         state,
@@ -329,8 +328,8 @@
 ) -> Option<HomeDecision> {
     let settings = state.settings();
     let spec = engine_spec(state, home.target.id)?;
-    let first_ms = state.with(|beliefs| {
-        let load = beliefs.engines.load_mut(home.target.id, spec);
+    let first_ms = state.with(|view| {
+        let load = view.engines.load_mut(home.target.id, spec);
         settings.admission.local_decline_ms(load, request, now_ms())
     })?;
     GATEWAY_METRICS.declined_locally.inc();
@@ -350,7 +349,7 @@
     number: u32,
     decided_by: String,
 ) -> Option<HomeDecision> {
-    let key = state.own_run(number);
+    let key = state.run_key(number);
     let verdict = decide_locally(state, home.target.id, key, request, other_senders)?;
     Some(HomeDecision {
         verdict,
@@ -375,7 +374,7 @@
             ..EngineRefusal::default()
         });
     }
-    let homes = state.with(|beliefs| ordered_homes(beliefs, &query));
+    let homes = state.with(|view| ordered_homes(view, &query));
     if let Some(home) = homes.first().filter(|_| query.resumed) {
         return Ok(place_unconditionally(state, home, request));
     }
@@ -402,8 +401,8 @@
     let is_exempt = query.resumed || !query.level.is_beyond();
     let spec = query.service.engine.filter(|_| !is_exempt)?;
     let rule = state.settings().admission;
-    let first_ms = state.with(|beliefs| {
-        let fastest = beliefs.engines.fastest(spec)?;
+    let first_ms = state.with(|view| {
+        let fastest = view.engines.fastest(spec)?;
         rule.fastest_decline_ms(&fastest, request)
     })?;
     GATEWAY_METRICS.declined_locally.inc();
@@ -416,9 +415,9 @@
     home: &HomeEngine,
     request: &AdmissionRequest,
 ) -> EnginePlacement {
-    let number = state.next_run();
-    place_locally(state, home.target.id, state.own_run(number), request);
-    if home.owner != state.me() {
+    let number = state.next_run_number();
+    place_locally(state, home.target.id, state.run_key(number), request);
+    if home.owner != state.own_key() {
         send_to(
             state,
             home.owner,
--- a/dockgate/src/gateway/engine_placement/pending_slot_request/tests.rs
+++ b/dockgate/src/gateway/engine_placement/pending_slot_request/tests.rs
@@ -18,9 +18,8 @@
     datagrams.writable().await.unwrap();
     let state = state_with_seed(datagrams, owner);
     let heartbeat = BoxHeartbeat::new("a2", "a", owner);
-    state.with(|beliefs| {
-        beliefs
-            .fleet
+    state.with(|view| {
+        view.fleet
             .receive_heartbeat(heartbeat, Incarnation(1), now_ms())
     });
     (state, BoxKey::from_name("a2"))
@@ -76,7 +75,7 @@
     let socket = UdpSocket::bind("127.0.0.1:0").await.unwrap();
     let (state, owner) = state_with_owner(socket.local_addr().unwrap()).await;
     let request = PendingSlotRequest::send(&state, RUN, ENGINE, owner, &admission_request());
-    let sender = state.with(|beliefs| beliefs.seeks.remove(&RUN)).unwrap();
+    let sender = state.with(|view| view.slot_requests.remove(&RUN)).unwrap();
     sender.send(verdict).unwrap();
     match end {
         RequestEnd::Claimed => assert_eq!(request.verdict().await, Some(verdict)),
--- a/dockgate/src/gateway/gateway_state.rs
+++ b/dockgate/src/gateway/gateway_state.rs
@@ -1,6 +1,6 @@
-//! What a gateway believes, and the few things that all its tasks share.
+//! The state that the tasks of a gateway share.
 
-mod store_reach;
+mod store_access;
 
 use super::events::{GatewayEvent, log_gateway};
 use super::membership::DigestCache;
@@ -28,67 +28,67 @@
 use tokio::net::UdpSocket;
 use tokio::sync::{oneshot, watch};
 
-/// How long a call to the store may take: its answers take 4 ms, and sixty times that when slow.
+/// How long a call to the store may take.
 const STORE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// A prompt of this box that is at an engine.
+/// A prompt of this box that runs at an engine.
 #[derive(Debug, Clone)]
 pub(super) struct PlacedRun {
     /// The engine.
     pub(super) endpoint: EndpointId,
-    /// The box that was told of it.
+    /// The box to which the prompt was reported.
     pub(super) owner: BoxKey,
-    /// The prompt.
+    /// The admission request for the prompt.
     pub(super) request: AdmissionRequest,
-    /// Whether its first event was seen.
+    /// Whether its first event was received.
     pub(super) started: bool,
 }
 
-/// Everything that decisions are made on; plain state without I/O.
-pub(super) struct GatewayBeliefs {
-    /// The endpoints.
+/// One box's view of the fleet, the store and the endpoints, on which it decides; does no I/O.
+pub(super) struct GatewayView {
+    /// The known endpoints.
     pub(super) endpoints: EndpointRegistry,
-    /// What the engines are busy with.
+    /// The load of the engines.
     pub(super) engines: EngineRegistry,
-    /// What the workspaces asked for and were given.
+    /// What the workspaces requested and were granted.
     pub(super) shares: ShareTracker,
-    /// What became of their prompts here, for the log.
+    /// The outcomes of their prompts on this box, for the log.
     pub(super) tally: ShareTally,
-    /// What may be sent to a second endpoint.
+    /// The budget for sending requests to a second endpoint.
     pub(super) retries: RetryBudget,
-    /// Which era the store is in.
+    /// The era of the store.
     pub(super) eras: EraTracker,
-    /// The boxes.
+    /// The boxes of the fleet.
     pub(super) fleet: FleetView,
-    /// What this box passed on of them last.
+    /// The last digest for the boxes of the own domain.
     pub(super) digest: DigestCache,
-    /// This box's prompts at engines, by its own counter.
+    /// This box's prompts at engines, by run number.
     pub(super) runs: HashMap<u32, PlacedRun>,
-    /// The endpoints that broke answers off lately.
-    pub(super) broken: InterruptionTracker,
-    /// The requests under which endpoints have ended.
+    /// The endpoints that broke off answers recently.
+    pub(super) interruptions: InterruptionTracker,
+    /// The requests that are suspected of crashing endpoints.
     pub(super) suspects: SuspectRegistry,
-    /// What this box had read at engines lately.
+    /// The prompt parts that engines recently read for this box.
     pub(super) reads: PrefixHistory,
-    /// Whether this box keeps up with its work.
+    /// The lag of this box's event loop.
     pub(super) lag: LoopLag,
-    /// Which part of its requests this box takes.
-    pub(super) shed: LoadShedder,
-    /// Seeks that wait for a verdict, by the same counter.
-    pub(super) seeks: HashMap<u32, oneshot::Sender<AdmissionVerdict>>,
-    /// Whether this box follows the store by itself.
+    /// The fraction of its requests that this box accepts.
+    pub(super) shedder: LoadShedder,
+    /// Slot requests that wait for a verdict, by run number.
+    pub(super) slot_requests: HashMap<u32, oneshot::Sender<AdmissionVerdict>>,
+    /// Decides whether this box follows the store itself.
     pub(super) store: StoreFollower,
-    /// Whether the store hears it.
+    /// Whether the store answers this box.
     pub(super) probe: StoreProbe,
-    /// What it follows there and was answered the last time, and up to which revision.
-    pub(super) reached: BTreeMap<&'static str, StoreRevision>,
-    /// Whether what is believed was heard since the box was suspended last.
+    /// The key prefixes whose last call was answered, with the revision up to which they are known.
+    pub(super) store_revisions: BTreeMap<&'static str, StoreRevision>,
+    /// Whether the view was refreshed since the last suspension of the box.
     pub(super) gate: ResumeGate,
-    /// Whether what it follows still tells of changes.
-    pub(super) watches: WatchCheck,
+    /// Whether the watches still deliver changes.
+    pub(super) watch_check: WatchCheck,
 }
 
-/// A configuration in the form in which boxes tell it.
+/// A configuration, encoded for other boxes.
 struct EncodedConfig {
     version: u64,
     json: Box<RawValue>,
@@ -98,22 +98,22 @@
 pub(super) struct GatewayState {
     settings: ArcSwap<GatewaySettings>,
     incarnation: Incarnation,
-    me: BoxKey,
+    own_key: BoxKey,
     table: ArcSwap<RouteTable>,
-    /// The configuration in force in the form in which it is told, from the first time that it is.
-    encoded: Mutex<Option<EncodedConfig>>,
-    beliefs: Mutex<GatewayBeliefs>,
+    /// The configuration in force in encoded form, once another box has requested it.
+    encoded_config: Mutex<Option<EncodedConfig>>,
+    view: Mutex<GatewayView>,
     role: watch::Sender<StoreRole>,
-    returns: watch::Sender<u64>,
-    counter: AtomicU32,
-    /// When the configuration in force came.
-    config_ms: AtomicU64,
-    /// When the last news of an endpoint came.
-    endpoints_ms: AtomicU64,
-    /// Whether the requests in quarantine are being written to the store.
-    pub(super) writes_quarantine: AtomicBool,
+    recoveries: watch::Sender<u64>,
+    run_counter: AtomicU32,
+    /// When the configuration in force was applied.
+    config_changed_ms: AtomicU64,
+    /// When the last change of an endpoint was received.
+    endpoints_changed_ms: AtomicU64,
+    /// Whether a task is writing the quarantine to the store.
+    pub(super) is_writing_quarantine: AtomicBool,
     stop: StopFlag,
-    /// When the process ends, once it is stopping.
+    /// When the process ends; valid once it is stopping.
     end_ms: AtomicU64,
     /// The datagram socket to the other boxes.
     pub(super) datagrams: UdpSocket,
@@ -126,7 +126,7 @@
         let own = BoxHeartbeat::new(&settings.name, &settings.domain, settings.listen.peers)
             .state_address(settings.listen.state)
             .status(BoxStatus::new(settings.processor));
-        let beliefs = GatewayBeliefs {
+        let view = GatewayView {
             endpoints: EndpointRegistry::default(),
             engines: EngineRegistry::default(),
             shares: ShareTracker::new(settings.share_window.as_millis() as u64),
@@ -136,31 +136,31 @@
             fleet: FleetView::new(own),
             digest: DigestCache::default(),
             runs: HashMap::new(),
-            broken: InterruptionTracker::default(),
+            interruptions: InterruptionTracker::default(),
             suspects: SuspectRegistry::default(),
             reads: PrefixHistory::default(),
             lag: LoopLag::default(),
-            shed: LoadShedder::default(),
-            seeks: HashMap::new(),
+            shedder: LoadShedder::default(),
+            slot_requests: HashMap::new(),
             store: StoreFollower::default(),
             probe: StoreProbe::default(),
-            reached: BTreeMap::new(),
+            store_revisions: BTreeMap::new(),
             gate: ResumeGate::default(),
-            watches: WatchCheck::default(),
+            watch_check: WatchCheck::default(),
         };
         Self {
-            me: BoxKey::from_name(&settings.name),
+            own_key: BoxKey::from_name(&settings.name),
             incarnation: Incarnation(rand::random()),
             table: ArcSwap::default(),
-            encoded: Mutex::new(None),
-            beliefs: Mutex::new(beliefs),
+            encoded_config: Mutex::new(None),
+            view: Mutex::new(view),
             role: watch::channel(StoreRole::default()).0,
-            returns: watch::channel(0).0,
-            // Numbers of an earlier life are not met again soon.
-            counter: AtomicU32::new(rand::random()),
-            config_ms: AtomicU64::new(now_ms()),
-            endpoints_ms: AtomicU64::new(now_ms()),
-            writes_quarantine: AtomicBool::new(false),
+            recoveries: watch::channel(0).0,
+            // A random start avoids reusing recent run numbers after a restart.
+            run_counter: AtomicU32::new(rand::random()),
+            config_changed_ms: AtomicU64::new(now_ms()),
+            endpoints_changed_ms: AtomicU64::new(now_ms()),
+            is_writing_quarantine: AtomicBool::new(false),
             stop: StopFlag::default(),
             end_ms: AtomicU64::new(0),
             datagrams,
@@ -174,43 +174,42 @@
         self.settings.load_full()
     }
 
-    /// Puts other settings in force; where the box listens stays as it was.
+    /// Replaces the settings, except for the listen addresses.
     pub(super) fn set_settings(&self, settings: GatewaySettings) {
         let listen = self.settings().listen;
-        self.with(|beliefs| {
-            beliefs.retries.set_rule(settings.retry_rule());
-            beliefs
-                .shares
+        self.with(|view| {
+            view.retries.set_rule(settings.retry_rule());
+            view.shares
                 .set_window(settings.share_window.as_millis() as u64);
         });
         self.settings
             .store(Arc::new(GatewaySettings { listen, ..settings }));
     }
 
-    /// Returns this life of the box.
+    /// Returns the incarnation of this daemon.
     pub(super) const fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// Returns this box.
-    pub(super) const fn me(&self) -> BoxKey {
-        self.me
+    /// Returns the key of this box.
+    pub(super) const fn own_key(&self) -> BoxKey {
+        self.own_key
     }
 
-    /// Names a run of this box.
-    pub(super) const fn own_run(&self, number: u32) -> RunKey {
+    /// Returns the key of this box's run with this number.
+    pub(super) const fn run_key(&self, number: u32) -> RunKey {
         RunKey {
-            entry: self.me,
+            entry: self.own_key,
             number,
         }
     }
 
-    /// Returns a number for the next run.
-    pub(super) fn next_run(&self) -> u32 {
-        self.counter.fetch_add(1, Ordering::Relaxed)
+    /// Allocates a run number.
+    pub(super) fn next_run_number(&self) -> u32 {
+        self.run_counter.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Makes a client of the store, with connections of its own.
+    /// Creates a client of the store with its own connections.
     pub(super) fn store_client(&self) -> PlatformClient {
         PlatformClient::new(self.settings().store, STORE_TIMEOUT)
     }
@@ -220,14 +219,17 @@
         self.table.load_full()
     }
 
-    /// Returns the configuration in force in the form in which other boxes are told it.
+    /// Returns the configuration in force, encoded for other boxes; `None` if encoding failed.
     ///
-    /// It is encoded once: a box that follows the store wrote 1.2 MB anew for each of 14 others, and was
-    /// 1.7 s late with the changes of endpoints meanwhile (one run).
+    /// Each version is encoded once, since a large configuration delays everything else on the
+    /// thread.
     pub(super) fn encoded_config(&self) -> Option<Box<RawValue>> {
         let table = self.table();
         let version = table.config().version;
-        let mut encoded = self.encoded.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut encoded = self
+            .encoded_config
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
         let is_in_force = encoded.as_ref().is_some_and(|kept| kept.version == version);
         if !is_in_force {
             let json = to_raw_value(table.config())
@@ -237,32 +239,32 @@
         encoded.as_ref().map(|kept| kept.json.clone())
     }
 
-    /// Returns for how long the configuration has been in force here, in milliseconds.
+    /// Returns how long the configuration has been in force on this box, in milliseconds.
     pub(super) fn config_age_ms(&self) -> u64 {
-        now_ms().saturating_sub(self.config_ms.load(Ordering::Relaxed))
+        now_ms().saturating_sub(self.config_changed_ms.load(Ordering::Relaxed))
     }
 
-    /// Returns how old the last news of an endpoint is here, in milliseconds.
+    /// Returns the time since this box received the last change of an endpoint, in milliseconds.
     pub(super) fn endpoints_age_ms(&self) -> u64 {
-        now_ms().saturating_sub(self.endpoints_ms.load(Ordering::Relaxed))
+        now_ms().saturating_sub(self.endpoints_changed_ms.load(Ordering::Relaxed))
     }
 
-    /// Reads or changes what is believed; must not wait inside.
-    pub(super) fn with<T>(&self, change: impl FnOnce(&mut GatewayBeliefs) -> T) -> T {
-        // No decision leaves its state half changed, so a panic elsewhere spoils nothing.
-        let mut beliefs = self.beliefs.lock().unwrap_or_else(PoisonError::into_inner);
-        change(&mut beliefs)
+    /// Locks the view and passes it to `change`, which must not block.
+    pub(super) fn with<T>(&self, change: impl FnOnce(&mut GatewayView) -> T) -> T {
+        // The view stays consistent even if a previous holder panicked.
+        let mut view = self.view.lock().unwrap_or_else(PoisonError::into_inner);
+        change(&mut view)
     }
 
-    /// Puts a configuration in force, unless it is not newer than the one that is.
-    pub(super) fn offer_routes(&self, config: RouteConfig, source: &str) {
+    /// Puts a configuration in force if it is newer than the current one.
+    pub(super) fn apply_routes(&self, config: RouteConfig, source: &str) {
         let (old, new) = (self.table.load().config().version, config.version);
         if new <= old {
             return;
         }
         let (routes, workspaces) = (config.routes.len(), config.workspaces.len());
         self.table.store(Arc::new(RouteTable::new(config)));
-        self.config_ms.store(now_ms(), Ordering::Relaxed);
+        self.config_changed_ms.store(now_ms(), Ordering::Relaxed);
         METRICS.config_version.set(new as i64);
         log_gateway(&GatewayEvent::RoutesInForce {
             old,
@@ -271,18 +273,18 @@
             routes,
             workspaces,
         });
-        self.note_known();
+        self.publish_revisions();
     }
 
-    /// Takes changes of endpoints in, and closes what belongs to those that are gone.
+    /// Applies changes of endpoints, and closes the connections of removed endpoints.
     pub(super) fn apply_endpoints(
         &self,
         changes: Vec<EndpointChange>,
         kept_until_ms: Option<u64>,
         source: &str,
     ) {
-        let changed: Vec<EndpointChange> = self.with(|beliefs| {
-            let endpoints = &mut beliefs.endpoints;
+        let changed: Vec<EndpointChange> = self.with(|view| {
+            let endpoints = &mut view.endpoints;
             let changes = changes.into_iter();
             let changed = changes.filter(|change| endpoints.apply(change.clone(), kept_until_ms));
             changed.collect()
@@ -292,15 +294,15 @@
 
     fn note_changes(&self, changes: &[EndpointChange], source: &str) {
         if !changes.is_empty() {
-            self.endpoints_ms.store(now_ms(), Ordering::Relaxed);
+            self.endpoints_changed_ms.store(now_ms(), Ordering::Relaxed);
         }
         for change in changes {
             log_gateway(&GatewayEvent::endpoint(change, source));
         }
-        self.note_known();
+        self.publish_revisions();
     }
 
-    /// Takes the store's listing of endpoints in, unless newer changes are known.
+    /// Applies the store's listing of endpoints, except where newer changes are known.
     pub(super) fn replace_endpoints(
         &self,
         listed: Vec<EndpointChange>,
@@ -308,46 +310,46 @@
         kept_until_ms: Option<u64>,
     ) {
         let count = listed.len();
-        let changed =
-            self.with(|beliefs| beliefs.endpoints.replace(listed, revision, kept_until_ms));
+        let changed = self.with(|view| view.endpoints.replace(listed, revision, kept_until_ms));
         self.note_listed(changed, count, revision, "store");
     }
 
-    /// Takes in what another box told of the endpoints; returns whether both know the same by now.
-    pub(super) fn learn_endpoints(&self, news: EndpointUpdate, source: &str) -> bool {
-        let (count, revision, is_whole) =
-            (news.endpoints.len(), news.revision, news.since.is_none());
-        // A box that knows nothing of the store names none.
+    /// Merges the endpoints reported by another box; returns whether both boxes now agree.
+    pub(super) fn merge_endpoints(&self, update: EndpointUpdate, source: &str) -> bool {
+        let (count, revision, is_whole) = (
+            update.endpoints.len(),
+            update.revision,
+            update.since.is_none(),
+        );
+        // A box that has no state of the store reports era 0.
         self.note_era(Some(revision.era).filter(|era| *era > 0), source);
-        let learned = self.with(|beliefs| beliefs.endpoints.merge(news, now_ms()));
+        let merged = self.with(|view| view.endpoints.merge(update, now_ms()));
         match is_whole {
-            true => self.note_listed(learned.changed, count, revision, source),
-            false => self.note_changes(&learned.changes, source),
+            true => self.note_listed(merged.changed, count, revision, source),
+            false => self.note_changes(&merged.changes, source),
         }
-        learned.agrees
+        merged.agrees
     }
 
     fn note_listed(&self, changed: bool, count: usize, revision: StoreRevision, source: &str) {
         if changed {
-            self.endpoints_ms.store(now_ms(), Ordering::Relaxed);
+            self.endpoints_changed_ms.store(now_ms(), Ordering::Relaxed);
             log_gateway(&GatewayEvent::EndpointsListed {
                 count,
                 revision: revision.number,
                 source,
             });
         }
-        self.note_known();
+        self.publish_revisions();
     }
 
-    /// Tells the others' view what this box knows now, and forgets what is gone.
-    pub(super) fn note_known(&self) {
+    /// Updates the revisions in this box's heartbeat, and closes the connections of removed
+    /// endpoints.
+    pub(super) fn publish_revisions(&self) {
         let version = self.table.load().config().version;
-        let kept = self.with(|beliefs| {
-            beliefs
-                .fleet
-                .set_revisions(version, beliefs.endpoints.revision());
-            beliefs
-                .endpoints
+        let kept = self.with(|view| {
+            view.fleet.set_revisions(version, view.endpoints.revision());
+            view.endpoints
                 .iter()
                 .map(|(id, _)| id)
                 .collect::<Vec<EndpointId>>()
@@ -355,28 +357,28 @@
         self.pools.retain(&kept);
     }
 
-    /// Drops what has lapsed: endpoints, boxes, runs.
+    /// Removes expired endpoints, boxes, runs and suspects.
     pub(super) fn expire(&self, since_ms: u64) {
         let now = now_ms();
-        let most_boxes = self.settings().boxes;
-        let (expired, boxes) = self.with(|beliefs| {
-            let GatewayBeliefs {
+        let expected_boxes = self.settings().boxes;
+        let (expired, boxes) = self.with(|view| {
+            let GatewayView {
                 endpoints,
                 engines,
                 fleet,
                 runs,
                 retries,
-                broken,
+                interruptions,
                 suspects,
                 ..
-            } = beliefs;
-            broken.expire(now);
+            } = view;
+            interruptions.expire(now);
             suspects.expire(now);
             let expired = endpoints.expire(now);
             let gone = fleet.expire(since_ms, now);
-            retries.set_boxes(most_boxes.max(fleet.known_count()));
-            let me = self.me;
-            let is_gone = |run: RunKey| match run.entry == me {
+            retries.set_boxes(expected_boxes.max(fleet.known_count()));
+            let own_key = self.own_key;
+            let is_gone = |run: RunKey| match run.entry == own_key {
                 true => !runs.contains_key(&run.number),
                 false => !fleet.is_live(run.entry, now),
             };
@@ -398,42 +400,42 @@
             log_gateway(&GatewayEvent::BoxGone { peer });
         }
         if !expired.is_empty() {
-            self.note_known();
+            self.publish_revisions();
         }
     }
 
-    /// Begins the orderly stop: the process ends `within` this time.
+    /// Begins the graceful stop; the process ends `within` this time.
     pub(super) fn begin_stop(&self, within: Duration) {
         let end_ms = now_ms() + within.as_millis() as u64;
         self.end_ms.store(end_ms, Ordering::Release);
         self.stop.set();
-        self.with(|beliefs| beliefs.fleet.set_leaving());
+        self.with(|view| view.fleet.set_leaving());
     }
 
-    /// Tells whether the daemon is stopping.
+    /// Returns whether the daemon is stopping.
     pub(super) fn is_stopping(&self) -> bool {
         self.stop.is_set()
     }
 
-    /// Tells whether work of this length can end before the process does.
-    pub(super) fn can_finish(&self, takes: Duration) -> bool {
-        let ends_ms = now_ms() + takes.as_millis() as u64;
+    /// Returns whether work of this duration can complete before the process ends.
+    pub(super) fn can_finish(&self, duration: Duration) -> bool {
+        let ends_ms = now_ms() + duration.as_millis() as u64;
         !self.is_stopping() || ends_ms < self.end_ms.load(Ordering::Acquire)
     }
 
-    /// Tells whether callers are better served by another box.
+    /// Returns whether the event loop is overloaded, so that other boxes serve callers better.
     pub(super) fn is_overloaded(&self) -> bool {
-        self.with(|beliefs| beliefs.lag.is_overloaded())
+        self.with(|view| view.lag.is_overloaded())
     }
 
-    /// Tells whether callers may be sent here.
+    /// Returns whether the box is ready to receive requests of callers.
     pub(super) fn is_ready(&self) -> bool {
-        let configured = self.table.load().config().version > 0;
-        let able = self.with(|beliefs| {
-            let is_busy = beliefs.lag.is_overloaded() || beliefs.shed.diverts_connections(now_ms());
-            beliefs.endpoints.iter().next().is_some() && !is_busy
+        let is_configured = self.table.load().config().version > 0;
+        let can_serve = self.with(|view| {
+            let is_busy = view.lag.is_overloaded() || view.shedder.diverts_connections(now_ms());
+            view.endpoints.iter().next().is_some() && !is_busy
         });
-        configured && able && !self.is_stopping() && self.is_fresh()
+        is_configured && can_serve && !self.is_stopping() && self.is_fresh()
     }
 }
 
--- a/dockgate/src/gateway/membership.rs
+++ b/dockgate/src/gateway/membership.rs
@@ -1,16 +1,14 @@
-//! Says that this box lives, and passes on what it knows of the fleet.
+//! Sends and receives heartbeats and digests of the fleet.
 //!
-//! Each box beats to the few coordinators of its failure domain ([`FleetView`]) and gets a digest
-//! back; coordinators of different domains exchange digests. What a box sends and gets does not grow
-//! with the boxes of the other domains. With beats from each to all, 295 boxes sent 980 datagrams a
-//! second each, and 2.24 GB went between domains in 20 s of a calm day; now a box sends ten beats a
-//! second, and 0.07 GB go between domains, requests included (one run each).
+//! Each box sends heartbeats to the few coordinators of its failure domain ([`FleetView`]) and gets
+//! digests back; coordinators of different domains exchange digests. The traffic of a box therefore
+//! does not grow with the number of boxes in other domains.
 
 use super::datagrams::{EncodedMessage, encode, send_datagram, send_encoded, send_to};
 use super::end_check;
 use super::engine_placement::placed_message;
 use super::events::{GatewayEvent, log_gateway};
-use super::gateway_state::{GatewayBeliefs, GatewayState};
+use super::gateway_state::{GatewayState, GatewayView};
 use super::quarantine;
 use super::workspace_report::{REPORT_INTERVAL_MS, log_shares};
 use crate::clock::now_ms;
@@ -25,40 +23,39 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How often a box says that it lives, in milliseconds; drawn anew each time, so that boxes that
-/// started together do not beat together. Three that are lost in a row make it gone.
-const BEAT_MS: Range<u64> = 270..330;
-/// How long a box that has heard of no other one of its domain waits after its first beat, in
-/// milliseconds; twice as long after each further one, up to that of a usual beat.
-const FIRST_BEAT_MS: Range<u64> = 15..25;
-/// How many such beats there are. A bound; boxes that start together are there within some tenths of a
-/// second of each other.
-const FIRST_BEATS: u32 = 10;
-/// With which part of its beats a coordinator asks the seeds too, so that parts of a fleet that do not
-/// know of each other find together within some seconds.
-const SEEDS_PART: f64 = 0.125;
-/// For how long a digest for the own domain is sent again, in milliseconds: what it says of others'
-/// ages is wrong by as much.
-const DIGEST_KEPT_MS: u64 = 100;
+/// The interval between heartbeats, in milliseconds; random, so that boxes that started together do
+/// not stay in step. A box counts as gone after three lost heartbeats.
+const HEARTBEAT_MS: Range<u64> = 270..330;
+/// The interval after the first heartbeat of a box that knows no other box of its domain, in
+/// milliseconds; doubles with each further heartbeat up to the usual interval.
+const INITIAL_HEARTBEAT_MS: Range<u64> = 15..25;
+/// The maximum number of heartbeats with such short intervals.
+const INITIAL_HEARTBEATS: u32 = 10;
+/// The probability that a coordinator sends a heartbeat to the seeds too, so that separated parts
+/// of the fleet find each other within seconds.
+const SEED_PROBABILITY: f64 = 0.125;
+/// How long a digest for the own domain is reused, in milliseconds; the ages in it are outdated by
+/// up to this time.
+const DIGEST_CACHE_MS: u64 = 100;
 
-/// The last digest for the own domain.
+/// The last digest for the own domain, ready to be sent again.
 #[derive(Debug, Default)]
 pub(super) struct DigestCache {
-    made_ms: u64,
+    built_ms: u64,
     message: Option<EncodedMessage>,
 }
 
-/// Sends a beat to the coordinators of the own domain, and to the seeds where it may be needed.
-pub(super) fn send_beat(state: &GatewayState) {
+/// Sends a heartbeat to the coordinators of the own domain, and to the seeds if they are due.
+pub(super) fn send_heartbeat(state: &GatewayState) {
     let now = now_ms();
     let draw = rand::random_range(0..usize::MAX);
-    let (targets, message) = state.with(|beliefs| {
-        beliefs.fleet.advance_sequence(now);
+    let (targets, message) = state.with(|view| {
+        view.fleet.advance_sequence(now);
         let message = GatewayMessage::Heartbeat {
-            heartbeat: beliefs.fleet.own().clone(),
-            shares: beliefs.shares.rows(now),
+            heartbeat: view.fleet.own().clone(),
+            shares: view.shares.rows(now),
         };
-        (beliefs.fleet.heartbeat_targets(now, draw), message)
+        (view.fleet.heartbeat_targets(now, draw), message)
     });
     let Some(message) = encode(state, message) else {
         return;
@@ -70,37 +67,40 @@
     }
 }
 
-/// Lists the seeds that this box beats to now: where it hears of nobody in its own domain, or
-/// coordinates without knowing of another one, and now and then where it coordinates.
+/// Lists the seeds that receive this heartbeat: all, if this box knows no live box of its domain,
+/// or is a coordinator that knows no other domain, or by chance if it is a coordinator; otherwise
+/// none.
 fn seeds_due(state: &GatewayState, now_ms: u64) -> Vec<SocketAddr> {
-    let is_due = state.with(|beliefs| {
-        let fleet = &beliefs.fleet;
-        let lonely = !fleet.has_live_domain_peer(now_ms);
-        let alone = || fleet.is_coordinator(now_ms) && fleet.remote_coordinators(now_ms).is_empty();
-        let looks = || fleet.is_coordinator(now_ms) && rand::random_bool(SEEDS_PART);
-        lonely || alone() || looks()
+    let is_due = state.with(|view| {
+        let fleet = &view.fleet;
+        let is_isolated = !fleet.has_live_domain_peer(now_ms);
+        let is_unconnected =
+            || fleet.is_coordinator(now_ms) && fleet.remote_coordinators(now_ms).is_empty();
+        let is_sampled = || fleet.is_coordinator(now_ms) && rand::random_bool(SEED_PROBABILITY);
+        is_isolated || is_unconnected() || is_sampled()
     });
     if !is_due {
         return Vec::new();
     }
     let settings = state.settings();
     let own = settings.listen.peers;
-    // A seed is where a box tells its state; datagrams have the same port on all boxes.
+    // Seeds are state addresses; the datagram port is the same on all boxes.
     let seeds = settings.seeds.iter();
     let seeds = seeds.map(|seed| SocketAddr::new(seed.ip(), own.port()));
     seeds.filter(|seed| *seed != own).collect()
 }
 
-/// Tells the coordinators of the other domains what this one knows of its own.
-fn send_far_digests(state: &GatewayState, scope: DigestScope) {
+/// Sends a digest of the own domain to the coordinators of the other domains, if this box is a
+/// coordinator.
+fn send_remote_digests(state: &GatewayState, scope: DigestScope) {
     let now = now_ms();
-    let due = state.with(|beliefs| {
-        if !beliefs.fleet.is_coordinator(now) {
+    let due = state.with(|view| {
+        if !view.fleet.is_coordinator(now) {
             return None;
         }
-        let targets = beliefs.fleet.remote_coordinators(now);
-        let shares = beliefs.shares.domain_rows(now);
-        Some((targets, own_digest(beliefs, scope, shares, now)))
+        let targets = view.fleet.remote_coordinators(now);
+        let shares = view.shares.domain_rows(now);
+        Some((targets, digest_message(view, scope, shares, now)))
     });
     let Some((targets, message)) = due.filter(|(targets, _)| !targets.is_empty()) else {
         return;
@@ -113,76 +113,75 @@
     }
 }
 
-fn own_digest(
-    beliefs: &mut GatewayBeliefs,
+fn digest_message(
+    view: &mut GatewayView,
     scope: DigestScope,
     shares: Vec<UsageRow>,
     now_ms: u64,
 ) -> GatewayMessage {
-    beliefs.fleet.advance_sequence(now_ms);
+    view.fleet.advance_sequence(now_ms);
     GatewayMessage::Digest {
-        digest: beliefs.fleet.digest(scope, now_ms),
+        digest: view.fleet.digest(scope, now_ms),
         shares,
     }
 }
 
-/// Answers another box's beat with what this one knows.
-fn answer_beat(state: &GatewayState, from: SocketAddr, is_near: bool) {
+/// Answers a heartbeat with a digest: of the fleet within the domain, an introduction otherwise.
+fn answer_heartbeat(state: &GatewayState, from: SocketAddr, is_same_domain: bool) {
     let now = now_ms();
-    if !is_near {
-        let welcome = DigestScope::Introduction;
-        let message = state.with(|beliefs| own_digest(beliefs, welcome, Vec::new(), now));
+    if !is_same_domain {
+        let scope = DigestScope::Introduction;
+        let message = state.with(|view| digest_message(view, scope, Vec::new(), now));
         return send_datagram(state, from, message);
     }
-    let kept = state.with(|beliefs| {
-        let cache = &beliefs.digest;
-        let is_fresh = cache.made_ms + DIGEST_KEPT_MS > now;
+    let cached = state.with(|view| {
+        let cache = &view.digest;
+        let is_fresh = cache.built_ms + DIGEST_CACHE_MS > now;
         cache.message.clone().filter(|_| is_fresh)
     });
-    let message = kept.or_else(|| make_near_digest(state, now));
+    let message = cached.or_else(|| build_domain_digest(state, now));
     if let Some(message) = message {
         send_encoded(state, from, &message);
     }
 }
 
-fn make_near_digest(state: &GatewayState, now_ms: u64) -> Option<EncodedMessage> {
-    let message = state.with(|beliefs| {
-        let shares = beliefs.shares.fleet_rows(now_ms);
-        own_digest(beliefs, DigestScope::SameDomain, shares, now_ms)
+fn build_domain_digest(state: &GatewayState, now_ms: u64) -> Option<EncodedMessage> {
+    let message = state.with(|view| {
+        let shares = view.shares.fleet_rows(now_ms);
+        digest_message(view, DigestScope::SameDomain, shares, now_ms)
     });
     let message = encode(state, message);
-    state.with(|beliefs| {
-        beliefs.digest = DigestCache {
-            made_ms: now_ms,
+    state.with(|view| {
+        view.digest = DigestCache {
+            built_ms: now_ms,
             message: message.clone(),
         };
     });
     message
 }
 
-/// Says that this box has begun until another one of its domain is heard.
+/// Sends frequent heartbeats until another box of the domain is known.
 ///
-/// Boxes that start together all decide for the same engines until they have heard of each other, and
-/// each admits as much as an engine takes: first events came up to 1.7 s late in the first half second
-/// after six boxes were killed at once.
+/// Boxes that start together all act as owners of the same engines until they know each other, and
+/// may overload the engines meanwhile.
 async fn announce(state: &GatewayState) {
-    // A socket that has just been opened does not know yet that it can be written to.
+    // A new socket is not marked as writable yet.
     if let Err(error) = state.datagrams.writable().await {
         log::warn!("send datagrams: {error}");
     }
-    for count in 0..FIRST_BEATS {
-        send_beat(state);
-        let first_ms = rand::random_range(FIRST_BEAT_MS);
-        let wait_ms = (first_ms << count).min(rand::random_range(BEAT_MS));
+    for count in 0..INITIAL_HEARTBEATS {
+        send_heartbeat(state);
+        let initial_ms = rand::random_range(INITIAL_HEARTBEAT_MS);
+        let wait_ms = (initial_ms << count).min(rand::random_range(HEARTBEAT_MS));
         tokio::time::sleep(Duration::from_millis(wait_ms)).await;
-        if state.with(|beliefs| beliefs.fleet.has_live_domain_peer(now_ms())) {
+        if state.with(|view| view.fleet.has_live_domain_peer(now_ms())) {
             return;
         }
     }
 }
 
-/// Says again and again that this box lives, and lets lapse what has to.
-pub(super) async fn beat(state: Arc<GatewayState>) {
+/// Sends heartbeats and digests, and expires outdated state, until the process ends.
+pub(super) async fn send_heartbeats(state: Arc<GatewayState>) {
     announce(&state).await;
     let mut since_ms = now_ms();
     let mut logged_ms = since_ms;
@@ -191,21 +190,21 @@
         _ => DigestScope::OtherDomain,
     });
     for scope in scopes {
-        let wait_ms = rand::random_range(BEAT_MS);
+        let wait_ms = rand::random_range(HEARTBEAT_MS);
         tokio::time::sleep(Duration::from_millis(wait_ms)).await;
-        send_beat(&state);
-        send_far_digests(&state, scope);
-        quarantine::tell(&state);
+        send_heartbeat(&state);
+        send_remote_digests(&state, scope);
+        quarantine::broadcast_reports(&state);
         let now = now_ms();
         let units_per_s = match state.table().config().limits.units_per_s {
-            // Without a stated rate nobody is ever beyond a share.
+            // Without a configured rate, no workspace exceeds its share.
             rate if rate > 0.0 => rate,
             _ => f64::INFINITY,
         };
-        state.with(|beliefs| {
-            beliefs.shares.tick(now, units_per_s);
-            let behind = beliefs.lag.is_overloaded();
-            beliefs.fleet.set_behind(behind);
+        state.with(|view| {
+            view.shares.tick(now, units_per_s);
+            let is_overloaded = view.lag.is_overloaded();
+            view.fleet.set_behind(is_overloaded);
         });
         if now >= logged_ms + REPORT_INTERVAL_MS {
             log_shares(&state);
@@ -213,23 +212,23 @@
         }
         state.expire(since_ms);
         end_check::note_restarts(&state);
-        report_engines(&state, |owner, told| owner != told);
+        report_runs(&state, |owner, reported_to| owner != reported_to);
         since_ms = now;
     }
 }
 
-/// Tells the boxes that decide for an engine what this box has there and had read there, where they
-/// may not know: `is_due` is given the box that decides now and the one that was told.
-fn report_engines(state: &GatewayState, is_due: impl Fn(BoxKey, BoxKey) -> bool + Copy) {
+/// Reports this box's runs and read prompt parts to the owners of the engines, where `is_due`
+/// returns `true` for the current owner and the box to which the run or read was reported last.
+fn report_runs(state: &GatewayState, is_due: impl Fn(BoxKey, BoxKey) -> bool + Copy) {
     let now = now_ms();
-    let (runs, reads) = state.with(|beliefs| {
-        let GatewayBeliefs {
+    let (runs, reads) = state.with(|view| {
+        let GatewayView {
             endpoints,
             fleet,
             runs,
             reads,
             ..
-        } = beliefs;
+        } = view;
         let owner_of = |endpoint: EndpointId| {
             let entry = endpoints.get(endpoint)?;
             Some(fleet.owner(endpoint, &entry.record.domain, now))
@@ -255,46 +254,48 @@
         } = due;
         (owner, GatewayMessage::PartsRead { endpoint, parts })
     });
-    // What was read goes first: it is older than what runs.
-    let others = reads.chain(runs).filter(|(owner, _)| *owner != state.me());
-    for (owner, message) in others {
+    // Reads are sent first, since they precede the runs.
+    let remote = reads
+        .chain(runs)
+        .filter(|(owner, _)| *owner != state.own_key());
+    for (owner, message) in remote {
         send_to(state, owner, message);
     }
 }
 
-/// Takes in that a box lives, and answers with what this one knows.
-pub(super) fn hear_beat(
+/// Processes a heartbeat of another box, and answers it with a digest.
+pub(super) fn receive_heartbeat(
     state: &GatewayState,
     from: SocketAddr,
-    beat: BoxHeartbeat,
+    heartbeat: BoxHeartbeat,
     incarnation: Incarnation,
     shares: &[UsageRow],
 ) {
     let now = now_ms();
-    let peer = beat.key();
-    let is_near = beat.domain == state.settings().domain;
-    let teller = ShareHeader {
+    let peer = heartbeat.key();
+    let is_same_domain = heartbeat.domain == state.settings().domain;
+    let header = ShareHeader {
         peer,
         incarnation,
-        sequence: beat.sequence,
+        sequence: heartbeat.sequence,
         scope: ShareScope::Own,
     };
-    let news = state.with(|beliefs| {
-        // The coordinators of another domain count what its boxes ask for.
-        if is_near {
-            beliefs.shares.merge(teller, shares, now);
+    let change = state.with(|view| {
+        // The usage of another domain is reported by its coordinators.
+        if is_same_domain {
+            view.shares.merge(header, shares, now);
         }
-        beliefs.fleet.receive_heartbeat(beat, incarnation, now)
+        view.fleet.receive_heartbeat(heartbeat, incarnation, now)
     });
-    take_news(state, &[(peer, news)]);
-    answer_beat(state, from, is_near);
-    if is_near {
-        quarantine::tell_one(state, from, news != BoxChange::None);
+    apply_box_changes(state, &[(peer, change)]);
+    answer_heartbeat(state, from, is_same_domain);
+    if is_same_domain {
+        quarantine::send_reports(state, from, change != BoxChange::None);
     }
 }
 
-/// Takes in what another box passes on.
-pub(super) fn hear_digest(
+/// Processes a digest of another box.
+pub(super) fn receive_digest(
     state: &GatewayState,
     digest: FleetDigest,
     incarnation: Incarnation,
@@ -309,46 +310,48 @@
         }
         DigestScope::Introduction => None,
     };
-    let teller = scope.map(|scope| ShareHeader {
+    let header = scope.map(|scope| ShareHeader {
         peer: digest.sender.key(),
         incarnation,
         sequence: digest.sender.sequence,
         scope,
     });
-    let news = state.with(|beliefs| {
-        if let Some(teller) = teller {
-            beliefs.shares.merge(teller, shares, now);
+    let changes = state.with(|view| {
+        if let Some(header) = header {
+            view.shares.merge(header, shares, now);
         }
-        beliefs.fleet.receive_digest(digest, incarnation, now)
+        view.fleet.receive_digest(digest, incarnation, now)
     });
-    take_news(state, &news);
+    apply_box_changes(state, &changes);
 }
 
-/// Acts on news of boxes: ends the runs of those that remember none, and tells those that decide for
-/// engines what they may not know.
-fn take_news(state: &GatewayState, news: &[(BoxKey, BoxChange)]) {
+/// Handles changes of boxes: ends the runs of restarted boxes, and reports this box's runs to
+/// owners that may have lost or missed them.
+fn apply_box_changes(state: &GatewayState, changes: &[(BoxKey, BoxChange)]) {
     let now = now_ms();
-    let changed = news.iter().filter(|(_, news)| *news != BoxChange::None);
-    let mut seen = Vec::new();
-    for (peer, news) in changed {
-        let told = state.with(|beliefs| {
-            if *news == BoxChange::Restarted {
-                beliefs.engines.forget_entry(*peer, now);
+    let changed = changes
+        .iter()
+        .filter(|(_, change)| *change != BoxChange::None);
+    let mut peers = Vec::new();
+    for (peer, change) in changed {
+        let identity = state.with(|view| {
+            if *change == BoxChange::Restarted {
+                view.engines.forget_entry(*peer, now);
             }
-            let fleet = &beliefs.fleet;
-            let told = fleet.has_heartbeat(*peer);
-            told.then(|| (fleet.name(*peer).to_owned(), fleet.domain(*peer).to_owned()))
+            let fleet = &view.fleet;
+            let is_known = fleet.has_heartbeat(*peer);
+            is_known.then(|| (fleet.name(*peer).to_owned(), fleet.domain(*peer).to_owned()))
         });
-        if let Some((name, domain)) = told {
+        if let Some((name, domain)) = identity {
             log_gateway(&GatewayEvent::BoxSeen {
                 peer: &name,
                 domain: &domain,
             });
         }
-        seen.push(*peer);
+        peers.push(*peer);
     }
-    if !seen.is_empty() {
-        report_engines(state, |_, told| seen.contains(&told));
+    if !peers.is_empty() {
+        report_runs(state, |_, reported_to| peers.contains(&reported_to));
     }
 }
 
--- a/dockgate/src/gateway/notices.rs
+++ b/dockgate/src/gateway/notices.rs
@@ -22,10 +22,9 @@
         return;
     }
     GATEWAY_METRICS.record_notice(notice);
-    let updates = state.with(|beliefs| {
+    let updates = state.with(|view| {
         let draw = rand::random();
-        beliefs
-            .endpoints
+        view.endpoints
             .receive_notice(target.id, notice, now_ms(), draw)
     });
     let endpoint = &target.name;
@@ -45,12 +44,12 @@
 ///
 /// The owner then declines for it, so that other boxes need not learn it from their own requests.
 pub(super) fn report_leaving(state: &GatewayState, target: &EndpointTarget) {
-    let owner = state.with(|beliefs| {
-        let entry = beliefs.endpoints.get(target.id)?;
+    let owner = state.with(|view| {
+        let entry = view.endpoints.get(target.id)?;
         let domain = &entry.record.domain;
-        Some(beliefs.fleet.owner(target.id, domain, now_ms()))
+        Some(view.fleet.owner(target.id, domain, now_ms()))
     });
-    if let Some(owner) = owner.filter(|owner| *owner != state.me()) {
+    if let Some(owner) = owner.filter(|owner| *owner != state.own_key()) {
         let endpoint = target.id;
         send_to(state, owner, GatewayMessage::EndpointLeaving { endpoint });
     }
@@ -58,8 +57,7 @@
 
 /// Applies a report by another box that an endpoint is leaving.
 pub(super) fn receive_reported_leave(state: &GatewayState, endpoint: EndpointId) {
-    let is_believed =
-        state.with(|beliefs| beliefs.endpoints.receive_reported_leave(endpoint, now_ms()));
+    let is_believed = state.with(|view| view.endpoints.receive_reported_leave(endpoint, now_ms()));
     GATEWAY_METRICS.record_announced_notice(is_believed);
 }
 
@@ -74,6 +72,6 @@
 ) -> SendCondition {
     let (state, id) = (state.clone(), target.id);
     SendCondition::new(caller, move || {
-        state.with(|beliefs| beliefs.endpoints.notices().accepts_requests(id, now_ms()))
+        state.with(|view| view.endpoints.notices().accepts_requests(id, now_ms()))
     })
 }
--- a/dockgate/src/gateway/overload.rs
+++ b/dockgate/src/gateway/overload.rs
@@ -48,11 +48,11 @@
         let sample = BusySample::now();
         let busy_fraction = sample.busy_fraction_since(&last_sample);
         last_sample = sample;
-        let (change, lag_ms) = state.with(|beliefs| {
+        let (change, lag_ms) = state.with(|view| {
             let now = now_ms();
-            beliefs.shed.record_sample(busy_fraction, late_ms, now);
-            let change = beliefs.lag.record(late_ms, now);
-            (change, beliefs.lag.lag_ms())
+            view.shedder.record_sample(busy_fraction, late_ms, now);
+            let change = view.lag.record(late_ms, now);
+            (change, view.lag.lag_ms())
         });
         match change {
             LagChange::None => {}
--- a/dockgate/src/gateway/peer_state.rs
+++ b/dockgate/src/gateway/peer_state.rs
@@ -1,16 +1,13 @@
-//! Tells other boxes what this one knows, and asks those that know more.
+//! Serves this box's configuration and endpoints to other boxes, and queries boxes with newer ones.
 //!
-//! A box that the store turns away, or that has just begun while the store is out, learns routes
-//! and endpoints from a box that reaches it. Versions and revisions never go back.
-//!
-//! The two are asked for apart. They came in one answer with one limit once: while a configuration of
-//! 1.2 MB went to 85 boxes, 832 answers took longer than that, and 186 prompts reached engines more than
-//! 3 s after these had said that they leave, since the notice was in the same answers (one run).
+//! A box that does not reach the store gets routes and endpoints from a box that does. Versions and
+//! revisions never decrease. Configuration and endpoints are queried separately, so that a large
+//! configuration does not delay changes of endpoints.
 
 use super::events::{GatewayEvent, log_gateway};
 use super::gateway_metrics::GATEWAY_METRICS;
 use super::gateway_state::GatewayState;
-use super::quarantine_door;
+use super::quarantine_rpc;
 use crate::clock::{now_ms, subscribe_resumes};
 use crate::door::RpcDoor;
 use crate::error::DaemonError;
@@ -28,40 +25,41 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How often this box looks whether another one knows more. The watch of the store usually tells
-/// sooner; this bounds how long a watch whose answer was lost matters.
-const LOOK: Duration = Duration::from_millis(150);
-/// The same for a box that has no configuration yet: it serves nobody until it has.
-const FIRST_LOOK: Duration = Duration::from_millis(40);
-/// How long others must be ahead until a box that follows the store asks, in milliseconds: its own watch
-/// is usually on its way, and pauses for 300 ms between changes.
-const WATCH_PATIENCE_MS: u64 = 700;
-/// How long a box of another domain must be ahead until it is asked, in milliseconds: a beat and a bit, in
-/// which those of the own domain usually know it too, and telling that costs no bytes between domains.
-const FAR_PATIENCE_MS: u64 = 350;
+/// How often this box checks whether another one has newer state. The watch of the store is usually
+/// faster; the check limits the delay if the watch's answer is lost.
+const POLL_INTERVAL: Duration = Duration::from_millis(150);
+/// The same for a box without a configuration, which cannot serve requests yet.
+const INITIAL_POLL_INTERVAL: Duration = Duration::from_millis(40);
+/// How long a box that follows the store waits for its own watch before it queries another box, in
+/// milliseconds; longer than the pause between two watches.
+const WATCH_QUERY_DELAY_MS: u64 = 700;
+/// How long a box waits before it queries one of another domain, in milliseconds: over one
+/// heartbeat, within which a box of the own domain usually has the state too, without traffic
+/// between domains.
+const REMOTE_QUERY_DELAY_MS: u64 = 350;
 /// How long connecting may take.
-const CONNECT: Duration = Duration::from_millis(800);
-/// How long an answer may take at first; twice as long after each one that did not come in time, since how
-/// large the news is, and how busy the other box, is not known before.
-const ANSWER: Duration = Duration::from_millis(800);
-/// How long an answer may take at most: a bound, beyond which the other box is taken for gone.
-const LONGEST_ANSWER: Duration = Duration::from_millis(3_200);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
+/// How long an answer may take at first; doubles after each timeout, since the size of the answer
+/// and the load of the other box are unknown.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(800);
+/// The longest time that an answer may take.
+const MAX_ANSWER_TIMEOUT: Duration = Duration::from_millis(3_200);
 
-/// Makes the door at which other boxes ask. Whoever reaches it may ask: the platform keeps others
-/// away from the boxes' own ports.
+/// Creates the listener for queries of other boxes. It needs no authentication, since the platform
+/// restricts access to the ports between boxes.
 ///
 /// # Errors
 ///
-/// Returns an error where the method cannot be registered.
-pub(super) fn state_door(
+/// Returns an error if a method cannot be registered.
+pub(super) fn state_rpc(
     state: Arc<GatewayState>,
 ) -> Result<RpcDoor<impl Fn(&HeaderMap) -> Result<Extensions, &'static str>>, DaemonError> {
     let mut module = RpcModule::new(state);
     module.register_method(methods::STATE, |params, state, _| {
         let request: StateRequest = params.one()?;
-        Ok::<_, ErrorObjectOwned>(answer(state, request))
+        Ok::<_, ErrorObjectOwned>(answer_query(state, request))
     })?;
-    quarantine_door::register(&mut module)?;
+    quarantine_rpc::register(&mut module)?;
     Ok(RpcDoor {
         name: "state",
         methods: module.into(),
@@ -69,104 +67,108 @@
     })
 }
 
-fn answer(state: &GatewayState, request: StateRequest) -> StateAnswer<Box<RawValue>> {
-    let newer = state.table().config().version > request.config_version;
-    let config = newer.then(|| state.encoded_config()).flatten();
-    state.with(|beliefs| {
-        let endpoints = &beliefs.endpoints;
-        let newer = endpoints.revision() > request.endpoint_revision;
+fn answer_query(state: &GatewayState, request: StateRequest) -> StateAnswer<Box<RawValue>> {
+    let is_newer = state.table().config().version > request.config_version;
+    let config = is_newer.then(|| state.encoded_config()).flatten();
+    state.with(|view| {
+        let endpoints = &view.endpoints;
+        let is_newer = endpoints.revision() > request.endpoint_revision;
         StateAnswer {
             config,
-            endpoints: newer.then(|| endpoints.update_since(request.endpoint_revision, now_ms())),
+            endpoints: is_newer
+                .then(|| endpoints.update_since(request.endpoint_revision, now_ms())),
         }
     })
 }
 
-/// Since when this box has known that others know more, and how it went to ask them.
+/// Delays queries, and extends their timeout after failures.
 #[derive(Debug, Default)]
 struct QueryBackoff {
     behind_since_ms: Option<u64>,
-    /// The last box that gave no answer.
-    silent: Option<SocketAddr>,
-    /// How many answers in a row did not come.
+    /// The last box that did not answer.
+    failed: Option<SocketAddr>,
+    /// The number of consecutive queries without an answer.
     missed: u32,
 }
 
 impl QueryBackoff {
-    /// Returns which box to ask now, if any.
+    /// Returns `source` if it is to be queried now.
     fn due(
         &mut self,
-        better: Option<StateSource>,
+        source: Option<StateSource>,
         has_watch: bool,
         now_ms: u64,
     ) -> Option<StateSource> {
-        let Some(better) = better else {
+        let Some(source) = source else {
             self.behind_since_ms = None;
             return None;
         };
         let behind_ms = now_ms - *self.behind_since_ms.get_or_insert(now_ms);
-        let patience_ms = match (has_watch, better.is_same_domain) {
-            (true, _) => WATCH_PATIENCE_MS,
-            (false, false) => FAR_PATIENCE_MS,
+        let delay_ms = match (has_watch, source.is_same_domain) {
+            (true, _) => WATCH_QUERY_DELAY_MS,
+            (false, false) => REMOTE_QUERY_DELAY_MS,
             (false, true) => 0,
         };
-        (behind_ms >= patience_ms).then_some(better)
+        (behind_ms >= delay_ms).then_some(source)
     }
 
-    /// Returns how long an answer may take.
-    fn limit(&self) -> Duration {
-        (ANSWER * (1 << self.missed.min(8))).min(LONGEST_ANSWER)
+    /// Returns the timeout for the next answer.
+    fn timeout(&self) -> Duration {
+        (ANSWER_TIMEOUT * (1 << self.missed.min(8))).min(MAX_ANSWER_TIMEOUT)
     }
 
-    fn note(&mut self, peer: SocketAddr, answered: bool) {
+    fn record(&mut self, peer: SocketAddr, answered: bool) {
         match answered {
             true => *self = Self::default(),
             false => {
-                self.silent = Some(peer);
+                self.failed = Some(peer);
                 self.missed += 1;
             }
         }
     }
 }
 
-/// Asks boxes that know more of `what`, until the process ends.
+/// Queries boxes with newer state of kind `what`, until the process ends.
 pub(super) async fn query_peers(state: Arc<GatewayState>, what: StateKind) {
     let mut backoff = QueryBackoff::default();
     loop {
         let version = state.table().config().version;
-        let look = if version == 0 { FIRST_LOOK } else { LOOK };
-        tokio::time::sleep(look).await;
+        let interval = if version == 0 {
+            INITIAL_POLL_INTERVAL
+        } else {
+            POLL_INTERVAL
+        };
+        tokio::time::sleep(interval).await;
         let now = now_ms();
-        let better =
-            state.with(|beliefs| beliefs.fleet.find_state_source(what, backoff.silent, now));
-        // A box that knows nothing yet has no time to wait for its watch.
-        let has_watch = version > 0 && state.hears_store();
-        if let Some(better) = backoff.due(better, has_watch, now) {
-            let peer = better.state_address;
+        let source = state.with(|view| view.fleet.find_state_source(what, backoff.failed, now));
+        // A box without a configuration does not wait for its watch.
+        let has_watch = version > 0 && state.reaches_store();
+        if let Some(source) = backoff.due(source, has_watch, now) {
+            let peer = source.state_address;
             let mut resumes = subscribe_resumes();
             let answered = tokio::select! {
-                answered = ask_noted(&state, peer, what, backoff.limit()) => answered,
-                // Whoever was asked before the box slept is asked anew.
+                answered = query_and_record(&state, peer, what, backoff.timeout()) => answered,
+                // A query from before a suspension is abandoned.
                 _ = resumes.changed() => continue,
             };
-            backoff.note(peer, answered);
+            backoff.record(peer, answered);
         }
     }
 }
 
-/// Asks, and notes how long that took and what became of it; returns whether it was answered.
-async fn ask_noted(
+/// Queries a box, and records the outcome and the duration; returns whether it answered.
+async fn query_and_record(
     state: &GatewayState,
     peer: SocketAddr,
     what: StateKind,
-    limit: Duration,
+    timeout: Duration,
 ) -> bool {
-    let began_ms = now_ms();
-    let asked = ask(state, peer, what, limit).await;
-    let took_ms = now_ms() - began_ms;
+    let started_ms = now_ms();
+    let result = query(state, peer, what, timeout).await;
+    let took_ms = now_ms() - started_ms;
     let took = Duration::from_millis(took_ms);
-    GATEWAY_METRICS.record_state_request(what.name(), asked.is_ok(), took);
-    if let Err(error) = &asked {
+    GATEWAY_METRICS.record_state_request(what.name(), result.is_ok(), took);
+    if let Err(error) = &result {
         log_gateway(&GatewayEvent::StateUnanswered {
             peer: &peer.to_string(),
             what: what.name(),
@@ -174,18 +176,18 @@
             problem: error.to_string(),
         });
     }
-    asked.is_ok()
+    result.is_ok()
 }
 
-async fn ask(
+async fn query(
     state: &GatewayState,
     peer: SocketAddr,
     what: StateKind,
-    limit: Duration,
+    timeout: Duration,
 ) -> Result<(), ClientError> {
     let client = WsClientBuilder::new()
-        .request_timeout(limit)
-        .connection_timeout(CONNECT)
+        .request_timeout(timeout)
+        .connection_timeout(CONNECT_TIMEOUT)
         .build(format!("ws://{peer}"))
         .await?;
     let source = peer.to_string();
@@ -196,21 +198,21 @@
             answer
                 .config
                 .into_iter()
-                .for_each(|config| state.offer_routes(config, &source));
+                .for_each(|config| state.apply_routes(config, &source));
         }
         StateKind::Endpoints => {
-            let known = state.with(|beliefs| beliefs.endpoints.revision());
+            let known = state.with(|view| view.endpoints.revision());
             let answer = request_state(&client, StateRequest::endpoints(known)).await?;
-            let agrees = answer
+            let is_consistent = answer
                 .endpoints
-                .is_none_or(|news| state.learn_endpoints(news, &source));
-            if !agrees {
-                // Something was missed on the way here: all endpoints set it right.
+                .is_none_or(|update| state.merge_endpoints(update, &source));
+            if !is_consistent {
+                // An earlier update was missed, so the complete list is requested.
                 let answer =
                     request_state(&client, StateRequest::endpoints(StoreRevision::NONE)).await?;
                 answer
                     .endpoints
-                    .map(|news| state.learn_endpoints(news, &source));
+                    .map(|update| state.merge_endpoints(update, &source));
             }
         }
     }
--- a/dockgate/src/gateway/quarantine_door.rs
+++ b/dockgate/src/gateway/quarantine_rpc.rs
@@ -1,4 +1,4 @@
-//! Shows an operator the requests in quarantine, and releases one.
+//! The RPC method by which an operator lists and releases requests in quarantine.
 
 use super::gateway_state::GatewayState;
 use super::quarantine::release;
@@ -11,47 +11,50 @@
 use jsonrpsee::types::error::INVALID_PARAMS_CODE;
 use std::sync::Arc;
 
-/// Adds the method to the door at which boxes ask each other.
+/// Registers the method with the listener for queries of other boxes.
 ///
 /// # Errors
 ///
-/// Returns an error where the method cannot be registered.
+/// Returns an error if the method cannot be registered.
 pub(super) fn register(
     module: &mut RpcModule<Arc<GatewayState>>,
 ) -> Result<(), RegisterMethodError> {
     module.register_method(methods::QUARANTINE, |params, state, _| {
         let request: QuarantineRequest = params.one()?;
-        if let Some(print) = request.release {
-            release(state, read_print(state, &print)?);
+        if let Some(fingerprint) = request.release {
+            release(state, parse_fingerprint(state, &fingerprint)?);
         }
         Ok::<_, ErrorObjectOwned>(list(state))
     })?;
     Ok(())
 }
 
-/// Reads the print of a request that is in quarantine.
-fn read_print(state: &GatewayState, text: &str) -> Result<RequestFingerprint, ErrorObjectOwned> {
+/// Parses the fingerprint of a request, and checks that it is in quarantine.
+fn parse_fingerprint(
+    state: &GatewayState,
+    text: &str,
+) -> Result<RequestFingerprint, ErrorObjectOwned> {
     let refuse =
         |problem: String| ErrorObjectOwned::owned(INVALID_PARAMS_CODE, problem, None::<()>);
-    let print = text.parse::<RequestFingerprint>().map_err(|_| {
+    let fingerprint = text.parse::<RequestFingerprint>().map_err(|_| {
         refuse(format!(
-            "'{text}' is no print: 32 hexadecimal digits, as log lines have them"
+            "'{text}' is not a request fingerprint: expected 32 hexadecimal digits"
         ))
     })?;
-    let known = state.with(|beliefs| beliefs.suspects.quarantine(print, now_ms()).is_some());
+    let known = state.with(|view| view.suspects.quarantine(fingerprint, now_ms()).is_some());
     known
-        .then_some(print)
-        .ok_or_else(|| refuse(format!("{print} is not in quarantine, as this box knows")))
+        .then_some(fingerprint)
+        .ok_or_else(|| refuse(format!("{fingerprint} is not in quarantine here")))
 }
 
 fn list(state: &GatewayState) -> QuarantineAnswer {
     let now = now_ms();
-    let known = state.with(|beliefs| beliefs.suspects.quarantines(now));
-    let held = known
+    let known = state.with(|view| view.suspects.quarantines(now));
+    let active = known
         .into_iter()
         .filter(|(_, quarantine)| quarantine.stage.is_active());
-    let row = |(print, quarantine): (RequestFingerprint, Quarantine)| QuarantineRow {
-        print: print.to_string(),
+    let row = |(fingerprint, quarantine): (RequestFingerprint, Quarantine)| QuarantineRow {
+        print: fingerprint.to_string(),
         age_ms: (now as i64 - quarantine.at_ms).max(0) as u64,
         trials: quarantine.stage.trials,
         next_trial_ms: quarantine
@@ -59,6 +62,6 @@
             .map(|after| after.as_millis() as u64),
     };
     QuarantineAnswer {
-        requests: held.map(row).collect(),
+        requests: active.map(row).collect(),
     }
 }
--- a/dockgate/src/gateway/suspension.rs
+++ b/dockgate/src/gateway/suspension.rs
@@ -7,7 +7,7 @@
 use super::events::{GatewayEvent, log_gateway};
 use super::gateway_metrics::GATEWAY_METRICS;
 use super::gateway_state::GatewayState;
-use super::membership::send_beat;
+use super::membership::send_heartbeat;
 use crate::clock::{ClockInstant, detect_suspension, now_ms};
 use dockgate_core::gateway::ResumeGate;
 use std::time::Duration;
@@ -30,8 +30,8 @@
     // An idle connection may have died meanwhile, and a request that is not repeatable cannot be
     // retried after it was written to one.
     state.pools.close_all_idle();
-    send_beat(state);
-    state.decide_role();
+    send_heartbeat(state);
+    state.update_role();
 }
 
 /// Waits until the state is up to date or the deadline passes.
@@ -46,18 +46,18 @@
     /// Returns whether the state was confirmed since the last resume.
     pub(super) fn is_fresh(&self) -> bool {
         let now = now_ms();
-        self.with(|beliefs| {
-            if beliefs.gate.is_settled() {
+        self.with(|view| {
+            if view.gate.is_settled() {
                 return true;
             }
-            let proof_ms = beliefs.fleet.agreed_proof_ms(now);
-            beliefs.gate.is_open(proof_ms, now)
+            let proof_ms = view.fleet.agreed_proof_ms(now);
+            view.gate.is_open(proof_ms, now)
         })
     }
 
     /// Marks the state as outdated after a suspension.
     fn mark_outdated(&self) {
         let now = now_ms();
-        self.with(|beliefs| beliefs.forget_reach(now));
+        self.with(|view| view.reset_store_access(now));
     }
 }
