--- a/dockgate/src/gateway/call/send_attempts.rs
+++ b/dockgate/src/gateway/call/send_attempts.rs
@@ -196,7 +196,7 @@
     fn report_suspicion(&self, target: &EndpointTarget, failure: &AttemptFailure) {
         match failure.suspicion {
             EndpointSuspicion::MayHaveEnded => {
-                note_interruption(&self.state, target, self.fingerprint())
+                note_interruption(&self.state, target, self.fingerprint());
             }
             EndpointSuspicion::Gone => note_stopped(&self.state, target),
             EndpointSuspicion::None => {}
