--- a/dockgate-core/benches/decisions.rs
+++ b/dockgate-core/benches/decisions.rs
@@ -3,9 +3,9 @@
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use dockgate_core::{
-    BoxKey, EndpointKey, GrantOffer, Incarnation, LedgerReport, LedgerRow, OrderMode, OrderRule,
-    PauseRule, PoolKey, ScheduleRule, SeekDemand, SettleReport, SlotEndpoint, SlotScheduler,
-    SlotSign, WorkspaceKey,
+    BoxKey, EndpointKey, GrantOffer, Incarnation, LedgerReport, LedgerRow, OrderMode, OrderPolicy,
+    PausePolicy, PoolKey, SchedulePolicy, SettleReport, SlotDemand, SlotEndpoint, SlotOutcome,
+    SlotScheduler, WorkspaceKey,
 };
 use std::hint::black_box;
 use std::time::Duration;
@@ -14,8 +14,8 @@
 const ENTRY: BoxKey = BoxKey(9);
 const SLOTS: u32 = 16;
 
-fn seek(workspace: u32) -> SeekDemand {
-    SeekDemand {
+fn seek(workspace: u32) -> SlotDemand {
+    SlotDemand {
         pool: POOL,
         workspace: WorkspaceKey(workspace),
         waiting: u32::MAX / 2,
@@ -26,19 +26,19 @@
 
 /// Makes a scheduler whose slots are all taken, with every workspace backlogged.
 fn loaded(workspaces: u32, endpoints: u32) -> (SlotScheduler, Vec<GrantOffer>) {
-    let rule = ScheduleRule {
+    let policy = SchedulePolicy {
         mode: OrderMode::Fair,
-        order: OrderRule { horizon_s: 3.0 },
-        pause: PauseRule {
+        order: OrderPolicy { horizon_s: 3.0 },
+        pause: PausePolicy {
             gap_s: 1.0,
-            least_run_ms: 2_000,
+            min_run_ms: 2_000,
             budget: 0.03,
         },
         locality_ms: 250,
         grant_ttl_ms: u64::MAX / 2,
         adopt_ms: 0,
     };
-    let mut scheduler = SlotScheduler::new(BoxKey(1), Incarnation(1), rule);
+    let mut scheduler = SlotScheduler::new(BoxKey(1), Incarnation(1), policy);
     scheduler.set_shares((1..=workspaces).map(|key| (WorkspaceKey(key), 1)).collect());
     let endpoints: Vec<SlotEndpoint> = (1..=endpoints)
         .map(|key| SlotEndpoint {
@@ -49,7 +49,7 @@
         .collect();
     scheduler.set_endpoints(&endpoints, 0);
     for workspace in 1..=workspaces {
-        scheduler.seek(ENTRY, seek(workspace), 1);
+        scheduler.update_demand(ENTRY, seek(workspace), 1);
     }
     let held = scheduler.schedule(1);
     (scheduler, held)
@@ -68,7 +68,7 @@
                 let report = SettleReport {
                     id: held[next].id,
                     cost: 30.0,
-                    ended: Some(SlotSign::Answered),
+                    ended: Some(SlotOutcome::Answered),
                 };
                 black_box(scheduler.settle(ENTRY, report, 2));
                 let granted = scheduler.schedule(2);
--- a/dockgate-core/src/attempt.rs
+++ b/dockgate-core/src/attempt.rs
@@ -73,7 +73,7 @@
     /// Decides whether an attempt that ended in this state is tried again.
     ///
     /// `budget_left` is false once the retry budget or the deadline is used up.
-    pub const fn after_loss(self, repeatable: bool, budget_left: bool) -> RetryVerdict {
+    pub const fn retry_verdict(self, repeatable: bool, budget_left: bool) -> RetryVerdict {
         match self {
             Self::Queued | Self::Bound | Self::Refused if budget_left => RetryVerdict::Retry,
             Self::Sent if repeatable && budget_left => RetryVerdict::Retry,
@@ -92,7 +92,7 @@
 
 impl AttemptTrail {
     /// Notes how far an attempt had come when it ended.
-    pub const fn note(&mut self, state: AttemptState) {
+    pub const fn record(&mut self, state: AttemptState) {
         self.sent |= matches!(state, AttemptState::Sent | AttemptState::Streaming);
     }
 
--- a/dockgate-core/src/attempt/tests.rs
+++ b/dockgate-core/src/attempt/tests.rs
@@ -11,16 +11,16 @@
     streaming_once = { AttemptState::Streaming, false, RetryVerdict::Report(Outcome::Unknown) },
 )]
 fn verdict_with_budget(state: AttemptState, repeatable: bool, verdict: RetryVerdict) {
-    assert_eq!(state.after_loss(repeatable, true), verdict);
+    assert_eq!(state.retry_verdict(repeatable, true), verdict);
 }
 
 #[test]
 fn a_request_that_was_sent_once_is_never_called_not_run() {
     let mut trail = AttemptTrail::default();
-    trail.note(AttemptState::Refused);
+    trail.record(AttemptState::Refused);
     assert_eq!(trail.outcome(AttemptState::Queued, true), Outcome::NotRun);
-    trail.note(AttemptState::Sent);
-    trail.note(AttemptState::Bound);
+    trail.record(AttemptState::Sent);
+    trail.record(AttemptState::Bound);
     assert_eq!(trail.outcome(AttemptState::Queued, true), Outcome::Failed);
 }
 
--- a/dockgate-core/src/entry.rs
+++ b/dockgate-core/src/entry.rs
@@ -6,13 +6,13 @@
 use crate::ids::{BoxKey, EndpointKey, GrantId, PoolKey, WorkspaceKey};
 use crate::queue::{QueueError, RequestQueue, WaitingRequest};
 use crate::scheduler::{AdoptedGrant, GrantOffer};
-use crate::seek::{SeekBook, SeekUpdate};
+use crate::slot_request_table::{SlotRequest, SlotRequestTable};
 use std::collections::{BTreeMap, HashMap, HashSet};
 use xxhash_rust::xxh3::xxh3_64;
 
 /// The settings of an entry's seeks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct SeekRule {
+pub struct SlotRequestPolicy {
     /// How long a request may wait on the one scheduler that was asked first, in milliseconds.
     pub widen_ms: u64,
     /// How many schedulers are asked after that; doubles with every further `widen_ms` times ten.
@@ -23,7 +23,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum EntryAction {
     /// Send a seek.
-    Seek(SeekUpdate),
+    RequestSlots(SlotRequest),
     /// Hand a request the grant it may use.
     Bind(u64, GrantOffer),
     /// Give a grant back to its scheduler.
@@ -59,9 +59,9 @@
 /// The state of one entry.
 #[derive(Debug)]
 pub struct EntryState {
-    rule: SeekRule,
+    policy: SlotRequestPolicy,
     queue: RequestQueue,
-    book: SeekBook,
+    book: SlotRequestTable,
     running: BTreeMap<GrantId, RunningRequest>,
     schedulers: HashMap<PoolKey, Vec<BoxKey>>,
     reachable: HashSet<BoxKey>,
@@ -74,11 +74,11 @@
     const MOST_DOUBLINGS: u32 = 10;
 
     /// Makes an entry with nothing waiting.
-    pub fn new(rule: SeekRule) -> Self {
+    pub fn new(policy: SlotRequestPolicy) -> Self {
         Self {
-            rule,
+            policy,
             queue: RequestQueue::default(),
-            book: SeekBook::default(),
+            book: SlotRequestTable::default(),
             running: BTreeMap::new(),
             schedulers: HashMap::new(),
             reachable: HashSet::new(),
@@ -106,7 +106,7 @@
     }
 
     /// Notes how many slots of a pool a scheduler has free.
-    pub fn note_free(&mut self, scheduler: BoxKey, pool: PoolKey, free: u32) {
+    pub fn set_free_slots(&mut self, scheduler: BoxKey, pool: PoolKey, free: u32) {
         self.free.insert((scheduler, pool), free);
     }
 
@@ -126,11 +126,11 @@
             Some(scheduler) => {
                 let free = self.free.entry((scheduler, pool)).or_default();
                 *free -= 1;
-                vec![EntryAction::Seek(
+                vec![EntryAction::RequestSlots(
                     self.book.ask_one(pool, workspace, scheduler),
                 )]
             }
-            None => self.widen(pool, workspace, request.since_ms),
+            None => self.widen(pool, workspace, request.queued_ms),
         })
     }
 
@@ -151,7 +151,7 @@
         self.book
             .update(pool, workspace, waiting, &targets)
             .into_iter()
-            .map(EntryAction::Seek)
+            .map(EntryAction::RequestSlots)
             .collect()
     }
 
@@ -169,9 +169,9 @@
             .copied()
             .filter(|key| self.reachable.contains(key));
         let mut targets: Vec<BoxKey> = reachable.collect();
-        let doublings = age_ms / (self.rule.widen_ms.max(1) * 10);
+        let doublings = age_ms / (self.policy.widen_ms.max(1) * 10);
         let doublings = u32::try_from(doublings).unwrap_or(u32::MAX);
-        let width = self.rule.width.max(2 * waiting);
+        let width = self.policy.width.max(2 * waiting);
         let width = width << doublings.min(Self::MOST_DOUBLINGS);
         if targets.len() > width {
             targets.sort_by_key(|key| {
@@ -183,7 +183,7 @@
     }
 
     /// Binds the request that goes first to a grant, or gives the grant back.
-    pub fn offer(&mut self, from: BoxKey, grant: GrantOffer) -> Vec<EntryAction> {
+    pub fn bind_grant(&mut self, from: BoxKey, grant: GrantOffer) -> Vec<EntryAction> {
         let (pool, workspace) = (grant.pool, grant.workspace);
         if self.running.contains_key(&grant.id) {
             return Vec::new();
@@ -209,14 +209,14 @@
             .book
             .update(grant.pool, grant.workspace, 0, &believers)
             .into_iter()
-            .map(EntryAction::Seek);
+            .map(EntryAction::RequestSlots);
         std::iter::once(EntryAction::Return(from, grant.id))
             .chain(withdrawals)
             .collect()
     }
 
     /// Notes the cost of a running request; returns whom to tell.
-    pub fn progress(&mut self, grant: GrantId, cost: f64) -> Option<BoxKey> {
+    pub fn record_cost(&mut self, grant: GrantId, cost: f64) -> Option<BoxKey> {
         let running = self.running.get_mut(&grant)?;
         running.cost = running.cost.max(cost);
         Some(running.scheduler)
@@ -248,7 +248,7 @@
         let accounts: Vec<(PoolKey, WorkspaceKey)> = self.queue.accounts().collect();
         for (pool, workspace) in accounts {
             let oldest = self.queue.oldest_ms(pool, workspace).unwrap_or(now_ms);
-            if oldest + self.rule.widen_ms <= now_ms {
+            if oldest + self.policy.widen_ms <= now_ms {
                 actions.extend(self.widen(pool, workspace, now_ms));
             }
         }
@@ -274,7 +274,7 @@
     }
 
     /// Lists what runs by grants of one scheduler, so that it can rebuild its slots.
-    pub fn running_at(&self, scheduler: BoxKey) -> Vec<AdoptedGrant> {
+    pub fn running_under(&self, scheduler: BoxKey) -> Vec<AdoptedGrant> {
         self.running
             .values()
             .filter(|running| running.scheduler == scheduler)
--- a/dockgate-core/src/fair.rs
+++ b/dockgate-core/src/fair.rs
@@ -12,8 +12,8 @@
 //! assert_eq!(ledger.total(PoolKey(1), WorkspaceKey(1)), 30.0);
 //! ```
 
+mod fair_queue;
 mod ledger;
-mod order;
 
+pub use fair_queue::{FairQueue, OrderPolicy};
 pub use ledger::{FairLedger, LedgerReport, LedgerRow};
-pub use order::{FairQueue, OrderRule};
--- a/dockgate-core/src/fair/order.rs
+++ b/dockgate-core/src/fair/fair_queue.rs
@@ -5,12 +5,12 @@
 
 /// What the order key adds to the service delivered.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct OrderRule {
+pub struct OrderPolicy {
     /// For how many seconds ahead a held slot is charged.
     pub horizon_s: f64,
 }
 
-impl OrderRule {
+impl OrderPolicy {
     /// Returns the level plus what the slots held here will take within the horizon, scaled to the
     /// fleet: every scheduler is assumed to hold as many.
     ///
--- a/dockgate-core/src/fair/order/tests.rs
+++ b/dockgate-core/src/fair/fair_queue/tests.rs
@@ -14,6 +14,6 @@
 
 #[test]
 fn a_held_slot_counts_for_what_it_will_take() {
-    let rule = OrderRule { horizon_s: 3.0 };
-    assert_eq!(rule.order_key(100.0, 2, 4, 8, 10.0), 220.0);
+    let policy = OrderPolicy { horizon_s: 3.0 };
+    assert_eq!(policy.order_key(100.0, 2, 4, 8, 10.0), 220.0);
 }
--- a/dockgate-core/src/grants.rs
+++ b/dockgate-core/src/grant_table.rs
@@ -15,7 +15,7 @@
     /// The endpoint.
     pub endpoint: EndpointKey,
     /// When it was given, in milliseconds.
-    pub since_ms: u64,
+    pub granted_ms: u64,
     /// Whether its entry has been asked to pause it.
     pub asked_to_pause: bool,
     /// Service units charged so far.
--- a/dockgate-core/src/lib.rs
+++ b/dockgate-core/src/lib.rs
@@ -19,7 +19,7 @@
 mod entry;
 mod fair;
 pub mod gateway;
-mod grants;
+mod grant_table;
 mod ids;
 mod ini;
 mod invariant;
@@ -27,7 +27,7 @@
 mod plan;
 mod queue;
 mod scheduler;
-mod seek;
+mod slot_request_table;
 mod topology;
 
 pub use attempt::{AttemptState, AttemptTrail, Outcome, RetryVerdict};
@@ -35,9 +35,9 @@
     ChangeError, ConfigChange, ConfigEntry, CostRule, Declaration, EndpointSpec, FleetConfig,
     KeyHash, KindSpec, PoolKind, PoolSpec, SpecArena, WorkspaceSpec, parse_declaration,
 };
-pub use entry::{EntryAction, EntryState, RunningRequest, SeekRule};
-pub use fair::{FairLedger, FairQueue, LedgerReport, LedgerRow, OrderRule};
-pub use grants::{GrantTable, HeldGrant};
+pub use entry::{EntryAction, EntryState, RunningRequest, SlotRequestPolicy};
+pub use fair::{FairLedger, FairQueue, LedgerReport, LedgerRow, OrderPolicy};
+pub use grant_table::{GrantTable, HeldGrant};
 pub use ids::{BoxKey, EndpointKey, GrantId, Incarnation, KindKey, PoolKey, SpecKey, WorkspaceKey};
 pub use ini::{IniDocument, IniProblem, IniProblems, SectionReader};
 pub use invariant::{check_invariant, invariant_violations, set_fatal_invariants};
@@ -45,8 +45,8 @@
 pub use plan::{ConfigPlan, PlanEffect, PlanId, ShareEffect};
 pub use queue::{QueueError, RequestQueue, RequestRank, WaitingRequest};
 pub use scheduler::{
-    AdoptedGrant, GrantOffer, OrderMode, PauseRule, ScheduleRule, SeekDemand, SettleReport,
-    SlotEndpoint, SlotScheduler, SlotSign,
+    AdoptedGrant, GrantOffer, OrderMode, PausePolicy, SchedulePolicy, SettleReport, SlotDemand,
+    SlotEndpoint, SlotOutcome, SlotScheduler,
 };
-pub use seek::{SeekBook, SeekUpdate};
+pub use slot_request_table::{SlotRequest, SlotRequestTable};
 pub use topology::{FleetTopology, LiveBox};
--- a/dockgate-core/src/queue.rs
+++ b/dockgate-core/src/queue.rs
@@ -17,7 +17,7 @@
     /// The deadline in milliseconds.
     deadline_ms: u64,
     /// When it was first queued, in milliseconds.
-    since_ms: u64,
+    queued_ms: u64,
     /// The id, which grows with time.
     id: u64,
 }
@@ -36,7 +36,7 @@
     /// When it is refused if it still waits, in milliseconds.
     pub deadline_ms: u64,
     /// When it was queued, in milliseconds.
-    pub since_ms: u64,
+    pub queued_ms: u64,
     /// Whether it is the rest of an answer that has begun.
     pub resumed: bool,
 }
@@ -50,7 +50,7 @@
             fresh: !self.resumed,
             urgency: Self::TOP_PRIORITY.saturating_sub(self.priority),
             deadline_ms: self.deadline_ms,
-            since_ms: self.since_ms,
+            queued_ms: self.queued_ms,
             id: self.id,
         }
     }
@@ -98,7 +98,7 @@
         queue.insert(request.rank(), request);
         self.index.insert(request.id, (account, request.rank()));
         self.deadlines.insert((request.deadline_ms, request.id));
-        self.ages.insert((account, request.since_ms, request.id));
+        self.ages.insert((account, request.queued_ms, request.id));
         Ok(())
     }
 
@@ -118,7 +118,7 @@
             self.queues.remove(&account);
         }
         self.deadlines.remove(&(request.deadline_ms, request.id));
-        self.ages.remove(&(account, request.since_ms, request.id));
+        self.ages.remove(&(account, request.queued_ms, request.id));
         if let Some(length) = self.lengths.get_mut(&request.workspace) {
             *length -= 1;
         }
@@ -136,7 +136,7 @@
         let mut aged = self
             .ages
             .range((account, 0, 0)..=(account, u64::MAX, u64::MAX));
-        aged.next().map(|(_, since_ms, _)| *since_ms)
+        aged.next().map(|(_, queued_ms, _)| *queued_ms)
     }
 
     /// Returns the ids of the requests whose deadline has passed.
--- a/dockgate-core/src/queue/tests.rs
+++ b/dockgate-core/src/queue/tests.rs
@@ -9,7 +9,7 @@
         workspace: WorkspaceKey(workspace),
         priority,
         deadline_ms,
-        since_ms: id,
+        queued_ms: id,
         resumed: false,
     }
 }
--- a/dockgate-core/src/scheduler.rs
+++ b/dockgate-core/src/scheduler.rs
@@ -4,25 +4,25 @@
 //! both think they own an endpoint are tolerated; the endpoint's own limit and the settles of both
 //! entries keep the promises, and `overcommitted_slots` shows it.
 
-mod demand;
-mod health;
-mod pausing;
-mod rate;
-mod slots;
-
-pub use demand::SeekDemand;
-pub use health::SlotSign;
-pub use pausing::PauseRule;
-pub use slots::SlotEndpoint;
-
-use crate::fair::{FairLedger, FairQueue, LedgerReport, OrderRule};
-use crate::grants::{GrantTable, HeldGrant};
+mod demand_table;
+mod pause_policy;
+mod rate_meter;
+mod slot_health;
+mod slot_table;
+
+pub use demand_table::SlotDemand;
+pub use pause_policy::PausePolicy;
+pub use slot_health::SlotOutcome;
+pub use slot_table::SlotEndpoint;
+
+use crate::fair::{FairLedger, FairQueue, LedgerReport, OrderPolicy};
+use crate::grant_table::{GrantTable, HeldGrant};
 use crate::ids::{BoxKey, EndpointKey, GrantId, Incarnation, PoolKey, WorkspaceKey};
 use crate::invariant::check_invariant;
-use demand::DemandBook;
-use pausing::{LevelGap, PauseBudget};
-use rate::RateMeter;
-use slots::SlotTable;
+use demand_table::DemandTable;
+use pause_policy::{LevelGap, PauseBudget};
+use rate_meter::RateMeter;
+use slot_table::SlotTable;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
 /// How workspaces are ordered; the last two are baselines for measurements.
@@ -39,13 +39,13 @@
 
 /// The settings of a scheduler.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct ScheduleRule {
+pub struct SchedulePolicy {
     /// How workspaces are ordered.
     pub mode: OrderMode,
     /// What the order key adds.
-    pub order: OrderRule,
+    pub order: OrderPolicy,
     /// When streams are paused.
-    pub pause: PauseRule,
+    pub pause: PausePolicy,
     /// How much younger a request at an entry of this scheduler's own domain may be and still go
     /// first, in milliseconds: a slot turns over faster there.
     pub locality_ms: u64,
@@ -94,7 +94,7 @@
     /// The cost so far, in service units.
     pub cost: f64,
     /// How the request ended, if it has.
-    pub ended: Option<SlotSign>,
+    pub ended: Option<SlotOutcome>,
 }
 
 /// Decides who gets the slots of the endpoints that this box owns.
@@ -102,12 +102,12 @@
 pub struct SlotScheduler {
     me: BoxKey,
     incarnation: Incarnation,
-    rule: ScheduleRule,
+    policy: SchedulePolicy,
     counter: u32,
     shares: HashMap<WorkspaceKey, u32>,
     schedulers: HashMap<PoolKey, u32>,
     ledger: FairLedger,
-    demand: DemandBook,
+    demand: DemandTable,
     queues: BTreeMap<PoolKey, FairQueue>,
     floors: HashMap<PoolKey, f64>,
     rates: HashMap<PoolKey, RateMeter>,
@@ -121,16 +121,16 @@
 
 impl SlotScheduler {
     /// Makes a scheduler with no endpoints and no memory.
-    pub fn new(me: BoxKey, incarnation: Incarnation, rule: ScheduleRule) -> Self {
+    pub fn new(me: BoxKey, incarnation: Incarnation, policy: SchedulePolicy) -> Self {
         Self {
             me,
             incarnation,
-            rule,
+            policy,
             counter: 0,
             shares: HashMap::new(),
             schedulers: HashMap::new(),
             ledger: FairLedger::default(),
-            demand: DemandBook::default(),
+            demand: DemandTable::default(),
             queues: BTreeMap::new(),
             floors: HashMap::new(),
             rates: HashMap::new(),
@@ -162,13 +162,13 @@
     }
 
     /// Sets the entries of this scheduler's own failure domain.
-    pub fn set_near(&mut self, near: HashSet<BoxKey>) {
+    pub fn set_local_entries(&mut self, near: HashSet<BoxKey>) {
         self.near = near;
     }
 
     /// Sets the endpoints that this box owns; grants on the others are forgotten, their charges stay.
     pub fn set_endpoints(&mut self, endpoints: &[SlotEndpoint], now_ms: u64) {
-        let ready_ms = now_ms + self.rule.adopt_ms;
+        let ready_ms = now_ms + self.policy.adopt_ms;
         let kept: HashSet<EndpointKey> = endpoints.iter().map(|endpoint| endpoint.key).collect();
         self.slots.replace(endpoints, ready_ms);
         let gone = self
@@ -181,7 +181,7 @@
     }
 
     /// Takes a seek in; an unknown workspace is refused with `false`.
-    pub fn seek(&mut self, entry: BoxKey, seek: SeekDemand, now_ms: u64) -> bool {
+    pub fn update_demand(&mut self, entry: BoxKey, seek: SlotDemand, now_ms: u64) -> bool {
         let Some(share) = self.shares.get(&seek.workspace).copied() else {
             return false;
         };
@@ -202,7 +202,7 @@
         };
         let news = (settle.cost - grant.charged).max(0.0);
         grant.charged += news;
-        grant.expires_ms = now_ms + self.rule.grant_ttl_ms;
+        grant.expires_ms = now_ms + self.policy.grant_ttl_ms;
         let grant = *grant;
         self.ledger.charge(grant.pool, grant.workspace, news);
         self.rates.entry(grant.pool).or_default().add_units(news);
@@ -225,10 +225,10 @@
             pool: adopted.pool,
             workspace: adopted.workspace,
             endpoint: adopted.endpoint,
-            since_ms: now_ms,
+            granted_ms: now_ms,
             asked_to_pause: false,
             charged: adopted.charged,
-            expires_ms: now_ms + self.rule.grant_ttl_ms,
+            expires_ms: now_ms + self.policy.grant_ttl_ms,
         };
         self.grants.insert(adopted.id, grant);
         self.slots.take(adopted.endpoint, adopted.workspace);
@@ -256,7 +256,7 @@
     /// Merges what another scheduler has given.
     pub fn merge(&mut self, report: &LedgerReport, now_ms: u64) {
         let me = (self.me, self.incarnation);
-        if self.rule.mode != OrderMode::Fair || (report.source, report.incarnation) == me {
+        if self.policy.mode != OrderMode::Fair || (report.source, report.incarnation) == me {
             return;
         }
         for (pool, workspace) in self.ledger.merge(report, now_ms) {
@@ -305,7 +305,7 @@
     fn grant_one(&mut self, pool: PoolKey, now_ms: u64) -> Option<GrantOffer> {
         let endpoint = self.slots.pick(pool, now_ms)?;
         let workspace = self.queues.get(&pool)?.first()?;
-        let (near, locality_ms) = (&self.near, self.rule.locality_ms);
+        let (near, locality_ms) = (&self.near, self.policy.locality_ms);
         let handicap = |entry: BoxKey| {
             if near.contains(&entry) {
                 0
@@ -314,7 +314,7 @@
             }
         };
         let entry = self.demand.take(pool, workspace, handicap)?;
-        self.pause_budget.earn(&self.rule.pause);
+        self.pause_budget.earn(&self.policy.pause);
         self.raise_floor(pool, workspace);
         self.counter = self.counter.wrapping_add(1);
         let id = GrantId::new(self.incarnation, self.counter);
@@ -323,10 +323,10 @@
             pool,
             workspace,
             endpoint,
-            since_ms: now_ms,
+            granted_ms: now_ms,
             asked_to_pause: false,
             charged: 0.0,
-            expires_ms: now_ms + self.rule.grant_ttl_ms,
+            expires_ms: now_ms + self.policy.grant_ttl_ms,
         };
         check_invariant("a grant id is new", self.grants.insert(id, grant));
         self.slots.granted(endpoint, now_ms);
@@ -345,10 +345,10 @@
     /// Picks the streams to be paused now: their entries, and their grants.
     ///
     /// A stream is paused where every slot is taken, and its workspace is further ahead of the one
-    /// that waits furthest behind than the rule allows; within a budget, and asked for once.
-    pub fn pauses(&mut self, now_ms: u64) -> Vec<(BoxKey, GrantId)> {
+    /// that waits furthest behind than the policy allows; within a budget, and asked for once.
+    pub fn select_pauses(&mut self, now_ms: u64) -> Vec<(BoxKey, GrantId)> {
         // The baselines of measurements have no such lever.
-        if self.rule.pause.gap_s <= 0.0 || self.rule.mode != OrderMode::Fair {
+        if self.policy.pause.gap_s <= 0.0 || self.policy.mode != OrderMode::Fair {
             return Vec::new();
         }
         let pools: Vec<PoolKey> = self.queues.keys().copied().collect();
@@ -370,9 +370,9 @@
         let gap = LevelGap {
             pool,
             behind: level_of(behind),
-            allowed: self.rule.pause.gap_s * self.fair_rate(pool, now_ms),
+            allowed: self.policy.pause.gap_s * self.fair_rate(pool, now_ms),
         };
-        let id = gap.pick(self.grants.iter(), level_of, &self.rule.pause, now_ms)?;
+        let id = gap.pick(self.grants.iter(), level_of, &self.policy.pause, now_ms)?;
         let grant = self.grants.mark_asked(id)?;
         self.pause_budget.spend(now_ms);
         self.paused += 1;
@@ -417,18 +417,18 @@
     }
 
     fn order_key(&self, pool: PoolKey, workspace: WorkspaceKey) -> f64 {
-        if self.rule.mode == OrderMode::Fcfs {
+        if self.policy.mode == OrderMode::Fcfs {
             return self.demand.arrival_key(pool, workspace);
         }
         let share = self.share(workspace);
         let level = self.ledger.level(pool, workspace, share);
         let held = self.slots.held_of(pool, workspace);
-        let schedulers = match self.rule.mode {
+        let schedulers = match self.policy.mode {
             OrderMode::Fair => self.schedulers.get(&pool).copied().unwrap_or(1),
             _ => 1,
         };
         let rate = self.rates.get(&pool).map_or(0.0, RateMeter::rate);
-        self.rule
+        self.policy
             .order
             .order_key(level, held, share, schedulers, rate)
     }
@@ -470,7 +470,7 @@
     }
 
     /// Returns how many endpoints get no new work for a while, after failures.
-    pub fn resting_endpoints(&self, now_ms: u64) -> usize {
+    pub fn backed_off_endpoints(&self, now_ms: u64) -> usize {
         self.slots.resting(now_ms)
     }
 
--- a/dockgate-core/src/scheduler/demand.rs
+++ b/dockgate-core/src/scheduler/demand_table.rs
@@ -5,7 +5,7 @@
 
 /// A seek as the scheduler takes it in.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct SeekDemand {
+pub struct SlotDemand {
     /// The pool.
     pub pool: PoolKey,
     /// The workspace.
@@ -30,13 +30,13 @@
 
 /// Holds the demand of every entry for every account.
 #[derive(Debug, Default)]
-pub(super) struct DemandBook {
+pub(super) struct DemandTable {
     accounts: HashMap<AccountKey, BTreeMap<BoxKey, EntryDemand>>,
 }
 
-impl DemandBook {
+impl DemandTable {
     /// Takes in what an entry says, less the grants it had not seen yet.
-    pub(super) fn put(&mut self, entry: BoxKey, seek: SeekDemand, now_ms: u64) {
+    pub(super) fn put(&mut self, entry: BoxKey, seek: SlotDemand, now_ms: u64) {
         let account = self
             .accounts
             .entry((seek.pool, seek.workspace))
--- a/dockgate-core/src/scheduler/pausing.rs
+++ b/dockgate-core/src/scheduler/pause_policy.rs
@@ -1,16 +1,16 @@
 //! Which running stream is paused, so that long answers do not lock slots against the workspace
 //! furthest behind.
 
-use crate::grants::HeldGrant;
+use crate::grant_table::HeldGrant;
 use crate::ids::{GrantId, PoolKey, WorkspaceKey};
 
 /// When streams are paused.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct PauseRule {
+pub struct PausePolicy {
     /// How far apart two workspaces may be, in seconds of the fair rate; zero never pauses.
     pub gap_s: f64,
     /// How long a stream is left alone after its grant, in milliseconds.
-    pub least_run_ms: u64,
+    pub min_run_ms: u64,
     /// The part of all grants that may be paused.
     pub budget: f64,
 }
@@ -29,8 +29,8 @@
     const MOST_SAVED: f64 = 10.0;
 
     /// Notes a grant, which earns a part of a pause.
-    pub(super) fn earn(&mut self, rule: &PauseRule) {
-        self.allowance = (self.allowance + rule.budget).min(Self::MOST_SAVED);
+    pub(super) fn earn(&mut self, policy: &PausePolicy) {
+        self.allowance = (self.allowance + policy.budget).min(Self::MOST_SAVED);
     }
 
     /// Tells whether a stream may be paused now.
@@ -62,13 +62,13 @@
         &self,
         grants: impl Iterator<Item = (&'a GrantId, &'a HeldGrant)>,
         level_of: impl Fn(WorkspaceKey) -> f64,
-        rule: &PauseRule,
+        policy: &PausePolicy,
         now_ms: u64,
     ) -> Option<GrantId> {
         grants
             .filter(|(_, grant)| grant.pool == self.pool && !grant.asked_to_pause)
-            .filter(|(_, grant)| grant.since_ms + rule.least_run_ms <= now_ms)
-            .map(|(id, grant)| (level_of(grant.workspace), grant.since_ms, *id))
+            .filter(|(_, grant)| grant.granted_ms + policy.min_run_ms <= now_ms)
+            .map(|(id, grant)| (level_of(grant.workspace), grant.granted_ms, *id))
             .filter(|(level, ..)| *level - self.behind > self.allowed)
             .max_by(|a, b| a.0.total_cmp(&b.0).then(b.1.cmp(&a.1)).then(a.2.cmp(&b.2)))
             .map(|(.., id)| id)
--- a/dockgate-core/src/scheduler/health.rs
+++ b/dockgate-core/src/scheduler/slot_health.rs
@@ -2,13 +2,13 @@
 
 /// What an entry saw of an endpoint when a request ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum SlotSign {
+pub enum SlotOutcome {
     /// It answered.
     Answered,
     /// It refused, as it is full.
     Full,
     /// It refused, and asked to be sent nothing for so many milliseconds.
-    Resting(u32),
+    Backoff(u32),
     /// It could not be reached, or was lost inside an answer.
     Lost,
 }
@@ -64,17 +64,17 @@
     }
 
     /// Notes how a request ended; `held` slots are still held.
-    pub(super) fn note(&mut self, sign: SlotSign, held: u32, now_ms: u64) {
+    pub(super) fn note(&mut self, sign: SlotOutcome, held: u32, now_ms: u64) {
         match sign {
-            SlotSign::Answered => {
+            SlotOutcome::Answered => {
                 self.failures = 0;
                 self.closed_until_ms = 0;
             }
-            SlotSign::Resting(rest_ms) => {
+            SlotOutcome::Backoff(rest_ms) => {
                 let until_ms = now_ms + u64::from(rest_ms);
                 self.rests_until_ms = self.rests_until_ms.max(until_ms);
             }
-            SlotSign::Full => {
+            SlotOutcome::Full => {
                 let since = now_ms.saturating_sub(self.learned_ms);
                 self.refusals = match since {
                     since if since > Self::CALM_MS => 0,
@@ -86,7 +86,7 @@
                 self.learned_ms = now_ms;
                 self.closed_until_ms = now_ms + Self::FULL_REST_MS;
             }
-            SlotSign::Lost => {
+            SlotOutcome::Lost => {
                 self.failures = self.failures.saturating_add(1);
                 self.closed_until_ms = now_ms + self.rest_ms();
             }
--- a/dockgate-core/src/scheduler/slots.rs
+++ b/dockgate-core/src/scheduler/slot_table.rs
@@ -1,6 +1,6 @@
 //! The slots of the endpoints that one scheduler owns.
 
-use super::health::{SlotHealth, SlotSign};
+use super::slot_health::{SlotHealth, SlotOutcome};
 use crate::ids::{EndpointKey, PoolKey, WorkspaceKey};
 use crate::invariant::check_invariant;
 use std::collections::{BTreeMap, HashMap};
@@ -88,7 +88,7 @@
     }
 
     /// Notes how a request on an endpoint ended, after its slot was released.
-    pub(super) fn note(&mut self, endpoint: EndpointKey, sign: SlotSign, now_ms: u64) {
+    pub(super) fn note(&mut self, endpoint: EndpointKey, sign: SlotOutcome, now_ms: u64) {
         if let Some(slots) = self.endpoints.get_mut(&endpoint) {
             slots.health.note(sign, slots.held, now_ms);
         }
--- a/dockgate-core/src/scheduler/tests.rs
+++ b/dockgate-core/src/scheduler/tests.rs
@@ -6,13 +6,13 @@
 const POOL: PoolKey = PoolKey(1);
 const ENTRY: BoxKey = BoxKey(100);
 
-fn rule(mode: OrderMode) -> ScheduleRule {
-    ScheduleRule {
+fn policy(mode: OrderMode) -> SchedulePolicy {
+    SchedulePolicy {
         mode,
-        order: OrderRule { horizon_s: 3.0 },
-        pause: PauseRule {
+        order: OrderPolicy { horizon_s: 3.0 },
+        pause: PausePolicy {
             gap_s: 1.0,
-            least_run_ms: 1_000,
+            min_run_ms: 1_000,
             budget: 1.0,
         },
         locality_ms: 250,
@@ -22,7 +22,7 @@
 }
 
 fn scheduler(mode: OrderMode, endpoints: u32, slots: u32) -> SlotScheduler {
-    let mut scheduler = SlotScheduler::new(BoxKey(1), Incarnation(1), rule(mode));
+    let mut scheduler = SlotScheduler::new(BoxKey(1), Incarnation(1), policy(mode));
     scheduler.set_shares((1..=4).map(|key| (WorkspaceKey(key), key)).collect());
     let endpoints: Vec<SlotEndpoint> = (1..=endpoints)
         .map(|key| SlotEndpoint {
@@ -35,8 +35,8 @@
     scheduler
 }
 
-fn seek(workspace: u32, waiting: u32) -> SeekDemand {
-    SeekDemand {
+fn seek(workspace: u32, waiting: u32) -> SlotDemand {
+    SlotDemand {
         pool: POOL,
         workspace: WorkspaceKey(workspace),
         waiting,
@@ -46,7 +46,7 @@
 }
 
 fn settle(id: GrantId, cost: f64, done: bool) -> SettleReport {
-    let ended = done.then_some(SlotSign::Answered);
+    let ended = done.then_some(SlotOutcome::Answered);
     SettleReport { id, cost, ended }
 }
 
@@ -59,7 +59,7 @@
         for workspace in 1..=4 {
             let mut demand = seek(workspace, 10);
             demand.seen = u32::MAX / 4;
-            scheduler.seek(ENTRY, demand, step);
+            scheduler.update_demand(ENTRY, demand, step);
         }
         running.extend(scheduler.schedule(step));
         let done = running.remove(0);
@@ -77,12 +77,12 @@
 #[test]
 fn a_lost_entry_frees_its_slots_and_a_silent_grant_expires() {
     let mut scheduler = scheduler(OrderMode::Fair, 1, 2);
-    scheduler.seek(ENTRY, seek(1, 5), 0);
+    scheduler.update_demand(ENTRY, seek(1, 5), 0);
     assert_eq!(scheduler.schedule(0).len(), 2);
     assert_eq!(scheduler.schedule(0).len(), 0);
     scheduler.forget_box(ENTRY);
     assert_eq!(scheduler.free_slots(0)[&POOL], 2);
-    scheduler.seek(ENTRY, seek(1, 5), 0);
+    scheduler.update_demand(ENTRY, seek(1, 5), 0);
     scheduler.schedule(0);
     scheduler.tick(6_000);
     assert_eq!(scheduler.expired_grants(), 2);
@@ -91,9 +91,9 @@
 
 #[test]
 fn a_successor_rebuilds_slot_use_before_it_grants() {
-    let mut rule = rule(OrderMode::Fair);
-    rule.adopt_ms = 200;
-    let mut scheduler = SlotScheduler::new(BoxKey(1), Incarnation(2), rule);
+    let mut policy = policy(OrderMode::Fair);
+    policy.adopt_ms = 200;
+    let mut scheduler = SlotScheduler::new(BoxKey(1), Incarnation(2), policy);
     scheduler.set_shares([(WorkspaceKey(1), 1)].into());
     let endpoint = SlotEndpoint {
         key: EndpointKey(1),
@@ -101,7 +101,7 @@
         slots: 2,
     };
     scheduler.set_endpoints(&[endpoint], 0);
-    scheduler.seek(ENTRY, seek(1, 5), 0);
+    scheduler.update_demand(ENTRY, seek(1, 5), 0);
     assert_eq!(scheduler.schedule(100), []);
     let adopted = AdoptedGrant {
         id: GrantId::new(Incarnation(1), 9),
@@ -121,12 +121,12 @@
 fn an_entry_with_a_short_queue_is_not_starved_by_one_with_a_long_queue() {
     let mut scheduler = scheduler(OrderMode::Fair, 1, 1);
     let small = BoxKey(200);
-    scheduler.seek(small, seek(1, 2), 0);
+    scheduler.update_demand(small, seek(1, 2), 0);
     let mut served = 0;
     for now in 1..=20 {
         let mut demand = seek(1, 50);
         demand.seen = u32::MAX / 4;
-        scheduler.seek(ENTRY, demand, now);
+        scheduler.update_demand(ENTRY, demand, now);
         for grant in scheduler.schedule(now) {
             served += u32::from(grant.entry == small);
             scheduler.settle(grant.entry, settle(grant.id, 1.0, true), now);
@@ -142,13 +142,13 @@
     for now in 0..1_000 {
         let mut demand = seek(1, 10);
         demand.seen = u32::MAX / 4;
-        scheduler.seek(ENTRY, demand, now);
+        scheduler.update_demand(ENTRY, demand, now);
         for grant in scheduler.schedule(now) {
             let dead = grant.endpoint == EndpointKey(1);
             let sign = if dead {
-                SlotSign::Lost
+                SlotOutcome::Lost
             } else {
-                SlotSign::Answered
+                SlotOutcome::Answered
             };
             lost += u32::from(dead);
             let mut report = settle(grant.id, 1.0, true);
@@ -162,10 +162,10 @@
 #[test]
 fn nothing_is_granted_to_an_entry_that_cannot_be_reached() {
     let mut scheduler = scheduler(OrderMode::Fair, 1, 2);
-    scheduler.seek(ENTRY, seek(1, 5), 0);
+    scheduler.update_demand(ENTRY, seek(1, 5), 0);
     let running = scheduler.schedule(0).len();
     scheduler.forget_demand(ENTRY);
-    scheduler.seek(BoxKey(200), seek(2, 1), 0);
+    scheduler.update_demand(BoxKey(200), seek(2, 1), 0);
     assert_eq!(scheduler.held_grants(), running, "what runs goes on");
     scheduler.forget_box(ENTRY);
     let entries: Vec<BoxKey> = scheduler
@@ -181,11 +181,11 @@
     let far = BoxKey(200);
     for (age_ms, expected) in [(200, ENTRY), (300, far)] {
         let mut scheduler = scheduler(OrderMode::Fair, 1, 1);
-        scheduler.set_near([ENTRY].into());
+        scheduler.set_local_entries([ENTRY].into());
         let mut older = seek(1, 1);
         older.age_ms = age_ms;
-        scheduler.seek(far, older, 1_000);
-        scheduler.seek(ENTRY, seek(1, 1), 1_000);
+        scheduler.update_demand(far, older, 1_000);
+        scheduler.update_demand(ENTRY, seek(1, 1), 1_000);
         assert_eq!(scheduler.schedule(1_000)[0].entry, expected);
     }
 }
@@ -193,7 +193,7 @@
 #[test]
 fn the_stream_of_the_workspace_furthest_ahead_is_paused_once() {
     let mut scheduler = scheduler(OrderMode::Fair, 1, 2);
-    scheduler.seek(ENTRY, seek(1, 2), 1);
+    scheduler.update_demand(ENTRY, seek(1, 2), 1);
     let running = scheduler.schedule(1);
     for now in [1_001, 2_001, 3_001] {
         for (index, grant) in running.iter().enumerate() {
@@ -202,17 +202,17 @@
         }
         scheduler.tick(now);
     }
-    assert_eq!(scheduler.pauses(3_001), [], "nobody else waits");
-    scheduler.seek(ENTRY, seek(2, 1), 3_001);
-    let paused = scheduler.pauses(3_001);
+    assert_eq!(scheduler.select_pauses(3_001), [], "nobody else waits");
+    scheduler.update_demand(ENTRY, seek(2, 1), 3_001);
+    let paused = scheduler.select_pauses(3_001);
     assert_eq!(paused.len(), 1);
     assert_eq!(
-        scheduler.pauses(3_002),
+        scheduler.select_pauses(3_002),
         [],
         "not two within a tenth of a second"
     );
     assert_ne!(
-        scheduler.pauses(3_200),
+        scheduler.select_pauses(3_200),
         paused,
         "and no stream is asked twice"
     );
@@ -221,8 +221,8 @@
 #[test]
 fn strangers_are_refused() {
     let mut scheduler = scheduler(OrderMode::Fair, 1, 1);
-    assert!(!scheduler.seek(ENTRY, seek(99, 1), 0));
-    scheduler.seek(ENTRY, seek(1, 1), 0);
+    assert!(!scheduler.update_demand(ENTRY, seek(99, 1), 0));
+    scheduler.update_demand(ENTRY, seek(1, 1), 0);
     let grant = scheduler.schedule(0)[0];
     let stranger = BoxKey(200);
     assert!(!scheduler.settle(stranger, settle(grant.id, 1.0, true), 0));
@@ -263,7 +263,7 @@
     for step in steps {
         match *step {
             Step::Seek(entry, workspace, waiting) => {
-                scheduler.seek(BoxKey(entry), seek(workspace, waiting), now);
+                scheduler.update_demand(BoxKey(entry), seek(workspace, waiting), now);
             }
             Step::Settle(index, cost, done) => {
                 if let Some(grant) = grants.get(index) {
--- a/dockgate-core/src/seek.rs
+++ b/dockgate-core/src/slot_request_table.rs
@@ -9,7 +9,7 @@
 
 /// A seek to be sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct SeekUpdate {
+pub struct SlotRequest {
     /// The scheduler.
     pub to: BoxKey,
     /// The pool.
@@ -34,11 +34,11 @@
 
 /// Remembers what every scheduler has been told.
 #[derive(Debug, Default)]
-pub struct SeekBook {
+pub struct SlotRequestTable {
     sought: HashMap<(AccountKey, BoxKey), SoughtScheduler>,
 }
 
-impl SeekBook {
+impl SlotRequestTable {
     /// The most that a seek tells; more makes no difference to a scheduler.
     pub const MOST_WAITING: u32 = 64;
     /// A scheduler is told again when this many times more waits than it believes.
@@ -51,7 +51,7 @@
         workspace: WorkspaceKey,
         waiting: usize,
         schedulers: &[BoxKey],
-    ) -> Vec<SeekUpdate> {
+    ) -> Vec<SlotRequest> {
         let waiting = u32::try_from(waiting).map_or(Self::MOST_WAITING, |waiting| {
             waiting.min(Self::MOST_WAITING)
         });
@@ -67,7 +67,7 @@
                 let sought = self.sought.entry((account, *to)).or_default();
                 due(sought).then(|| {
                     sought.believed = waiting;
-                    SeekUpdate {
+                    SlotRequest {
                         to: *to,
                         pool,
                         workspace,
@@ -80,10 +80,10 @@
     }
 
     /// Asks one scheduler for one slot more.
-    pub fn ask_one(&mut self, pool: PoolKey, workspace: WorkspaceKey, to: BoxKey) -> SeekUpdate {
+    pub fn ask_one(&mut self, pool: PoolKey, workspace: WorkspaceKey, to: BoxKey) -> SlotRequest {
         let sought = self.sought.entry(((pool, workspace), to)).or_default();
         sought.believed += 1;
-        SeekUpdate {
+        SlotRequest {
             to,
             pool,
             workspace,
--- a/dockgate-core/src/seek/tests.rs
+++ b/dockgate-core/src/slot_request_table/tests.rs
@@ -4,7 +4,7 @@
 const WORKSPACE: WorkspaceKey = WorkspaceKey(1);
 const SCHEDULER: BoxKey = BoxKey(5);
 
-fn told(book: &mut SeekBook, waiting: usize) -> Option<u32> {
+fn told(book: &mut SlotRequestTable, waiting: usize) -> Option<u32> {
     book.update(POOL, WORKSPACE, waiting, &[SCHEDULER])
         .first()
         .map(|update| update.waiting)
@@ -12,7 +12,7 @@
 
 #[test]
 fn seeks_are_sent_only_when_they_matter() {
-    let mut book = SeekBook::default();
+    let mut book = SlotRequestTable::default();
     assert_eq!(told(&mut book, 0), None);
     assert_eq!(told(&mut book, 1), Some(1));
     assert_eq!(told(&mut book, 2), None);
@@ -25,7 +25,7 @@
 
 #[test]
 fn a_scheduler_that_believes_nothing_is_told_at_once() {
-    let mut book = SeekBook::default();
+    let mut book = SlotRequestTable::default();
     told(&mut book, 1);
     book.granted(POOL, WORKSPACE, SCHEDULER);
     assert_eq!(told(&mut book, 1), Some(1));
--- a/dockgate/src/caller/answer.rs
+++ b/dockgate/src/caller/answer.rs
@@ -6,7 +6,7 @@
 use crate::logging::{LogEvent, log_event};
 use crate::metrics::METRICS;
 use bytes::Bytes;
-use dockgate_core::{CostRule, GrantId, SlotSign};
+use dockgate_core::{CostRule, GrantId, SlotOutcome};
 use hyper::body::{Body, Frame, Incoming};
 use quick_error::quick_error;
 use std::future::Future;
@@ -44,7 +44,7 @@
     pub(super) dispatch: DispatchHandle,
     pub(super) cost: f64,
     /// What was seen of the endpoint.
-    pub(super) sign: SlotSign,
+    pub(super) sign: SlotOutcome,
 }
 
 impl Drop for RunningGrant {
@@ -161,7 +161,7 @@
     fn fail(&mut self, error: AnswerError) -> AnswerError {
         log::warn!("{error}");
         self.outcome = Some("failed");
-        self.running.sign = SlotSign::Lost;
+        self.running.sign = SlotOutcome::Lost;
         error
     }
 }
--- a/dockgate/src/caller/attempt.rs
+++ b/dockgate/src/caller/attempt.rs
@@ -18,7 +18,7 @@
 use bytes::Bytes;
 use dockgate_core::{
     AttemptState, AttemptTrail, CostRule, EndpointSpec, FleetConfig, GrantOffer, PoolSpec,
-    QueueError, RetryVerdict, SlotSign, WaitingRequest,
+    QueueError, RetryVerdict, SlotOutcome, WaitingRequest,
 };
 use dockgate_proto::{RefusalCode, RequestStep, headers};
 use http::header::CONTENT_TYPE;
@@ -99,11 +99,11 @@
                 },
                 Err(loss) => loss,
             };
-            trail.note(loss.state);
+            trail.record(loss.state);
             sent += u32::from(loss.state == AttemptState::Sent);
             let limits = &self.settings.limits;
             let budget_left = sent < limits.attempts && now_ms() < call.deadline_ms;
-            match loss.state.after_loss(call.repeatable, budget_left) {
+            match loss.state.retry_verdict(call.repeatable, budget_left) {
                 RetryVerdict::Retry => {
                     METRICS.retries.inc();
                     let pause = rand::random_range(RETRY_MS);
@@ -166,7 +166,7 @@
             },
             resumed: wait == SlotWait::Rest,
             // A request that comes back keeps its age, and so its place.
-            since_ms: call.started_ms,
+            queued_ms: call.started_ms,
         };
         // An answer that has begun is not refused for those that have not.
         let limit = match wait {
@@ -205,7 +205,7 @@
         let config = self.cell.current();
         let found = find_endpoint(&config, call, grant);
         let Some((endpoint, pool)) = found else {
-            self.dispatch.finish(grant.id, 0.0, SlotSign::Answered);
+            self.dispatch.finish(grant.id, 0.0, SlotOutcome::Answered);
             return Err(AttemptLoss {
                 state: AttemptState::Bound,
                 message: "the granted endpoint is no longer configured".to_owned(),
@@ -265,7 +265,7 @@
             dispatch: self.dispatch.clone(),
             cost: 0.0,
             // Until it has answered, an attempt that ends has lost its endpoint.
-            sign: SlotSign::Lost,
+            sign: SlotOutcome::Lost,
         };
         let request = self.endpoint_request(call, attempt)?;
         let limit = self.settings.limits.answer_timeout;
@@ -295,7 +295,7 @@
                 let cause = "it is unavailable".to_owned();
                 return Err(loss(AttemptState::Sent, name, cause));
             }
-            _ => running.sign = SlotSign::Answered,
+            _ => running.sign = SlotOutcome::Answered,
         }
         Ok((response, running))
     }
@@ -413,11 +413,11 @@
         let body = match timeout(limit, collected).await {
             Ok(Ok(body)) => body.to_bytes(),
             Ok(Err(error)) => {
-                running.sign = SlotSign::Lost;
+                running.sign = SlotOutcome::Lost;
                 return Err(loss(AttemptState::Sent, name, error));
             }
             Err(_) => {
-                running.sign = SlotSign::Lost;
+                running.sign = SlotOutcome::Lost;
                 let cause = "the answer did not end in time".to_owned();
                 return Err(loss(AttemptState::Sent, name, cause));
             }
--- a/dockgate/src/caller/refusal_sign/tests.rs
+++ b/dockgate/src/caller/refusal_sign/tests.rs
@@ -3,17 +3,17 @@
 use yare::parameterized;
 
 #[parameterized(
-    no_time = { 503, None, SlotSign::Full },
-    seconds = { 503, Some("3"), SlotSign::Resting(3_000) },
-    none = { 503, Some("0"), SlotSign::Full },
-    a_date = { 503, Some("Wed, 21 Oct 2026 07:28:00 GMT"), SlotSign::Full },
-    huge = { 503, Some("4000000000"), SlotSign::Resting(3_600_000) },
-    of_a_workspace = { 429, Some("3"), SlotSign::Full },
+    no_time = { 503, None, SlotOutcome::Full },
+    seconds = { 503, Some("3"), SlotOutcome::Backoff(3_000) },
+    none = { 503, Some("0"), SlotOutcome::Full },
+    a_date = { 503, Some("Wed, 21 Oct 2026 07:28:00 GMT"), SlotOutcome::Full },
+    huge = { 503, Some("4000000000"), SlotOutcome::Backoff(3_600_000) },
+    of_a_workspace = { 429, Some("3"), SlotOutcome::Full },
 )]
 fn a_refusal_that_names_a_time_asks_for_rest(
     status: u16,
     retry_after: Option<&'static str>,
-    sign: SlotSign,
+    sign: SlotOutcome,
 ) {
     let status = StatusCode::from_u16(status).unwrap();
     let values = retry_after.map(HeaderValue::from_static);
--- a/dockgate/src/caller/stream.rs
+++ b/dockgate/src/caller/stream.rs
@@ -12,7 +12,7 @@
 use crate::clock::{now_ms, timeout};
 use crate::metrics::METRICS;
 use bytes::{Bytes, BytesMut};
-use dockgate_core::{CostRule, SlotSign};
+use dockgate_core::{CostRule, SlotOutcome};
 use http_body_util::{BodyExt, StreamBody};
 use hyper::body::{Frame, Incoming};
 use std::time::Duration;
@@ -172,7 +172,7 @@
             }
         };
         if matches!(end, SegmentEnd::Lost(_)) {
-            segment.running.sign = SlotSign::Lost;
+            segment.running.sign = SlotOutcome::Lost;
         }
         progress.events += meter.events();
         progress.cost = before + meter.cost(&segment.rule);
--- a/dockgate/src/dispatch/actor.rs
+++ b/dockgate/src/dispatch/actor.rs
@@ -11,8 +11,8 @@
 use crate::settings::DaemonSettings;
 use dockgate_core::{
     AdoptedGrant, BoxKey, EntryAction, EntryState, FleetConfig, FleetTopology, GrantId, GrantOffer,
-    Incarnation, LiveBox, ScheduleRule, SeekDemand, SeekRule, SettleReport, SlotScheduler,
-    SlotSign,
+    Incarnation, LiveBox, SchedulePolicy, SettleReport, SlotDemand, SlotOutcome, SlotRequestPolicy,
+    SlotScheduler,
 };
 use dockgate_proto::PeerMessage;
 use std::collections::{HashMap, VecDeque};
@@ -55,7 +55,7 @@
             schedules: true,
         };
         let schedule = &settings.schedule;
-        let rule = ScheduleRule {
+        let rule = SchedulePolicy {
             mode: schedule.mode,
             order: schedule.order,
             pause: schedule.pause,
@@ -63,7 +63,7 @@
             grant_ttl_ms: schedule.grant_ttl.as_millis() as u64,
             adopt_ms: schedule.adopt.as_millis() as u64,
         };
-        let seek = SeekRule {
+        let seek = SlotRequestPolicy {
             widen_ms: schedule.widen.as_millis() as u64,
             width: schedule.width,
         };
@@ -106,7 +106,7 @@
             for grant in self.scheduler.schedule(now) {
                 self.log_grant(&grant);
                 match grant.entry == self.me.key {
-                    true => actions.extend(self.entry.offer(self.me.key, grant)),
+                    true => actions.extend(self.entry.bind_grant(self.me.key, grant)),
                     false => self.send(grant.entry, grant_message(&grant)),
                 }
             }
@@ -118,9 +118,9 @@
 
     pub(super) fn act(&mut self, action: EntryAction, now: u64) {
         match action {
-            EntryAction::Seek(seek) => {
+            EntryAction::RequestSlots(seek) => {
                 let age = self.entry.age_ms(seek.pool, seek.workspace, now);
-                let demand = SeekDemand {
+                let demand = SlotDemand {
                     pool: seek.pool,
                     workspace: seek.workspace,
                     waiting: seek.waiting,
@@ -131,7 +131,7 @@
             }
             EntryAction::Bind(id, grant) => self.bind(id, grant),
             EntryAction::Return(to, id) => {
-                self.settle(to, id, 0.0, Some(SlotSign::Answered), now);
+                self.settle(to, id, 0.0, Some(SlotOutcome::Answered), now);
             }
             EntryAction::Expire(id) => {
                 if let Some(reply) = self.waiting.remove(&id) {
@@ -141,9 +141,9 @@
         }
     }
 
-    pub(super) fn seek(&mut self, to: BoxKey, demand: SeekDemand, now: u64) {
+    pub(super) fn seek(&mut self, to: BoxKey, demand: SlotDemand, now: u64) {
         if to == self.me.key {
-            self.scheduler.seek(to, demand, now);
+            self.scheduler.update_demand(to, demand, now);
             return;
         }
         let message = PeerMessage::Seek(
@@ -164,7 +164,7 @@
         let slot = BoundSlot { grant, pause };
         let sent = reply.map(|reply| reply.send(BindReply::Bound(slot)));
         if !matches!(sent, Some(Ok(()))) {
-            self.finish(grant.id, 0.0, SlotSign::Answered);
+            self.finish(grant.id, 0.0, SlotOutcome::Answered);
         }
     }
 
@@ -173,7 +173,7 @@
         to: BoxKey,
         id: GrantId,
         cost: f64,
-        ended: Option<SlotSign>,
+        ended: Option<SlotOutcome>,
         now: u64,
     ) {
         if to == self.me.key {
@@ -184,15 +184,15 @@
         let cost = cost as u64;
         let message = match ended {
             None => PeerMessage::Progress(id, cost),
-            Some(SlotSign::Answered) => PeerMessage::Settle(id, cost),
-            Some(SlotSign::Full) => PeerMessage::Refused(id),
-            Some(SlotSign::Resting(rest_ms)) => PeerMessage::Resting(id, rest_ms),
-            Some(SlotSign::Lost) => PeerMessage::Lost(id, cost),
+            Some(SlotOutcome::Answered) => PeerMessage::Settle(id, cost),
+            Some(SlotOutcome::Full) => PeerMessage::Refused(id),
+            Some(SlotOutcome::Backoff(rest_ms)) => PeerMessage::Resting(id, rest_ms),
+            Some(SlotOutcome::Lost) => PeerMessage::Lost(id, cost),
         };
         self.send(to, message);
     }
 
-    pub(super) fn finish(&mut self, id: GrantId, cost: f64, sign: SlotSign) {
+    pub(super) fn finish(&mut self, id: GrantId, cost: f64, sign: SlotOutcome) {
         self.pauses.remove(&id);
         if let Some(scheduler) = self.entry.finish(id) {
             self.settle(scheduler, id, cost, Some(sign), now_ms());
@@ -208,7 +208,7 @@
 
     /// Asks the entries of streams that run too far ahead to pause them.
     pub(super) fn ask_for_pauses(&mut self, now: u64) {
-        for (entry, id) in self.scheduler.pauses(now) {
+        for (entry, id) in self.scheduler.select_pauses(now) {
             log_event(&LogEvent::PauseAsked {
                 grant: id.to_string(),
                 entry: entry.to_string(),
@@ -238,14 +238,14 @@
         let step = message.step();
         let known = match message {
             PeerMessage::Seek(pool, workspace, waiting, seen, age_ms) => {
-                let demand = SeekDemand {
+                let demand = SlotDemand {
                     pool,
                     workspace,
                     waiting,
                     seen,
                     age_ms,
                 };
-                self.scheduler.seek(from, demand, now)
+                self.scheduler.update_demand(from, demand, now)
             }
             PeerMessage::Grant(id, pool, workspace, endpoint) => {
                 let grant = GrantOffer {
@@ -255,26 +255,26 @@
                     workspace,
                     endpoint,
                 };
-                return self.entry.offer(from, grant);
+                return self.entry.bind_grant(from, grant);
             }
             PeerMessage::Progress(id, cost) => {
                 let report = settle_report(id, cost, None);
                 self.scheduler.settle(from, report, now)
             }
             PeerMessage::Settle(id, cost) => {
-                let report = settle_report(id, cost, Some(SlotSign::Answered));
+                let report = settle_report(id, cost, Some(SlotOutcome::Answered));
                 self.scheduler.settle(from, report, now)
             }
             PeerMessage::Refused(id) => {
-                let report = settle_report(id, 0, Some(SlotSign::Full));
+                let report = settle_report(id, 0, Some(SlotOutcome::Full));
                 self.scheduler.settle(from, report, now)
             }
             PeerMessage::Resting(id, rest_ms) => {
-                let report = settle_report(id, 0, Some(SlotSign::Resting(rest_ms)));
+                let report = settle_report(id, 0, Some(SlotOutcome::Backoff(rest_ms)));
                 self.scheduler.settle(from, report, now)
             }
             PeerMessage::Lost(id, cost) => {
-                let report = settle_report(id, cost, Some(SlotSign::Lost));
+                let report = settle_report(id, cost, Some(SlotOutcome::Lost));
                 self.scheduler.settle(from, report, now)
             }
             PeerMessage::Adopt(id, pool, workspace, endpoint, charged) => {
@@ -292,7 +292,7 @@
                 true
             }
             PeerMessage::Free(pool, free) => {
-                self.entry.note_free(from, pool, free);
+                self.entry.set_free_slots(from, pool, free);
                 true
             }
             PeerMessage::Ledger(report) => {
@@ -351,7 +351,8 @@
             .live
             .iter()
             .filter(|live| live.domain == self.me.domain);
-        self.scheduler.set_near(near.map(|live| live.key).collect());
+        self.scheduler
+            .set_local_entries(near.map(|live| live.key).collect());
         log_event(&LogEvent::Owned {
             endpoints: mine.len(),
             boxes: self.live.len(),
@@ -404,7 +405,7 @@
             }
         }
         for (pool, free) in free {
-            self.entry.note_free(self.me.key, pool, free);
+            self.entry.set_free_slots(self.me.key, pool, free);
         }
     }
 
@@ -416,7 +417,7 @@
         METRICS.expired_grants.set(expired as i64);
         let overcommitted = self.scheduler.overcommitted_slots();
         METRICS.overcommitted.set(i64::from(overcommitted));
-        let resting = self.scheduler.resting_endpoints(now_ms());
+        let resting = self.scheduler.backed_off_endpoints(now_ms());
         METRICS.resting.set(resting as i64);
         METRICS.links.set(self.links.linked_count() as i64);
     }
@@ -459,7 +460,11 @@
     PeerMessage::Grant(grant.id, grant.pool, grant.workspace, grant.endpoint)
 }
 
-pub(super) const fn settle_report(id: GrantId, cost: u64, ended: Option<SlotSign>) -> SettleReport {
+pub(super) const fn settle_report(
+    id: GrantId,
+    cost: u64,
+    ended: Option<SlotOutcome>,
+) -> SettleReport {
     SettleReport {
         id,
         cost: cost as f64,
--- a/dockgate/src/dispatch/handle.rs
+++ b/dockgate/src/dispatch/handle.rs
@@ -7,7 +7,7 @@
 };
 use crate::config_keeper::ConfigCell;
 use crate::members::MemberBox;
-use dockgate_core::{BoxKey, GrantId, GrantOffer, QueueError, SlotSign, WaitingRequest};
+use dockgate_core::{BoxKey, GrantId, GrantOffer, QueueError, SlotOutcome, WaitingRequest};
 use dockgate_proto::{HelloReply, HelloRequest, PeerMessage};
 use futures::FutureExt;
 use std::sync::Arc;
@@ -58,7 +58,8 @@
         // A grant that came while the caller went away is given back.
         match self.receiver.try_recv() {
             Ok(BindReply::Bound(slot)) => {
-                self.dispatch.finish(slot.grant.id, 0.0, SlotSign::Answered);
+                self.dispatch
+                    .finish(slot.grant.id, 0.0, SlotOutcome::Answered);
             }
             Ok(_) => {}
             Err(_) => self.dispatch.tell(Cancel(self.id)),
@@ -139,7 +140,7 @@
     }
 
     /// Ends a running request.
-    pub(crate) fn finish(&self, grant: GrantId, cost: f64, sign: SlotSign) {
+    pub(crate) fn finish(&self, grant: GrantId, cost: f64, sign: SlotOutcome) {
         self.tell(Finish(grant, cost, sign));
     }
 
--- a/dockgate/src/dispatch/handlers.rs
+++ b/dockgate/src/dispatch/handlers.rs
@@ -9,7 +9,7 @@
 use crate::clock::{ClockInstant, now_ms};
 use crate::logging::{LogEvent, log_event};
 use crate::metrics::METRICS;
-use dockgate_core::{SlotSign, WaitingRequest};
+use dockgate_core::{SlotOutcome, WaitingRequest};
 use dockgate_proto::operator::PeerStatus;
 use dockgate_proto::{HelloReply, HelloRequest, PeerMessage};
 use xtra::{Context, Handler};
@@ -59,7 +59,7 @@
 
 handle!(Progress, (), |actor, message| {
     let Progress(id, cost) = message;
-    if let Some(scheduler) = actor.entry.progress(id, cost) {
+    if let Some(scheduler) = actor.entry.record_cost(id, cost) {
         actor.settle(scheduler, id, cost, None, now_ms());
     }
 });
@@ -109,7 +109,7 @@
 
 handle!(PrepareHello, HelloRequest, |actor, message| {
     let peer = message.0;
-    let adopts = actor.entry.running_at(peer).into_iter();
+    let adopts = actor.entry.running_under(peer).into_iter();
     let settles = actor.links.get_mut(peer).map(|link| link.settles.clone());
     HelloRequest {
         settles: settles.unwrap_or_default(),
@@ -163,7 +163,7 @@
         match message {
             // The peer may not have seen the grant: its slot is free again.
             PeerMessage::Grant(id, ..) => {
-                let report = settle_report(id, 0, Some(SlotSign::Answered));
+                let report = settle_report(id, 0, Some(SlotOutcome::Answered));
                 actor.scheduler.settle(peer, report, now_ms());
             }
             message => actor.links.send(peer, message),
--- a/dockgate/src/dispatch/messages.rs
+++ b/dockgate/src/dispatch/messages.rs
@@ -1,7 +1,7 @@
 //! Messages to the control actor.
 
 use crate::members::MemberBox;
-use dockgate_core::{BoxKey, FleetConfig, GrantId, SlotSign, WaitingRequest};
+use dockgate_core::{BoxKey, FleetConfig, GrantId, SlotOutcome, WaitingRequest};
 use dockgate_proto::operator::StatusReply;
 use dockgate_proto::{HelloReply, HelloRequest, PeerMessage};
 use std::sync::Arc;
@@ -26,7 +26,7 @@
 pub(super) struct Progress(pub(super) GrantId, pub(super) f64);
 
 /// Ends a running request.
-pub(super) struct Finish(pub(super) GrantId, pub(super) f64, pub(super) SlotSign);
+pub(super) struct Finish(pub(super) GrantId, pub(super) f64, pub(super) SlotOutcome);
 
 /// A batch from a peer; answered with messages for that peer.
 pub(crate) struct PeerBatch {
--- a/dockgate/src/gateway/call/sending.rs
+++ b/dockgate/src/gateway/call/sending.rs
@@ -52,7 +52,7 @@
                 Ok(response) => return Ok(response),
                 Err(loss) => loss,
             };
-            tries.trail.note(loss.state);
+            tries.trail.record(loss.state);
             if self.caller.has_left() {
                 return Err(RefusalReason::CallerLeft.into());
             }
@@ -81,13 +81,13 @@
             // Nothing was sent, so this costs no one anything but time.
             let unreached = tries.endpoints.len() - tries.sent as usize;
             let left = unreached < MOST_UNREACHED && !self.left().is_zero();
-            return state.after_loss(repeatable, left);
+            return state.retry_verdict(repeatable, left);
         }
         let allowed = tries.sent < self.route().attempts
             && !self.left().is_zero()
             && quarantine::find(&self.state, || self.print()).is_none();
         // The fleet's budget is asked last, so that it is not spent in vain.
-        let wanted = state.after_loss(repeatable, allowed) == RetryVerdict::Retry;
+        let wanted = state.retry_verdict(repeatable, allowed) == RetryVerdict::Retry;
         let service = &self.service().name;
         let left = wanted
             && self
@@ -96,7 +96,7 @@
         if left {
             METRICS.retries.inc();
         }
-        state.after_loss(repeatable, left)
+        state.retry_verdict(repeatable, left)
     }
 
     /// Returns what is said of a request whose last attempt ended in `state`.
--- a/dockgate/src/settings.rs
+++ b/dockgate/src/settings.rs
@@ -4,7 +4,8 @@
 use crate::members::MemberBox;
 use clap::Parser;
 use dockgate_core::{
-    BoxKey, IniDocument, IniProblem, IniProblems, OrderMode, OrderRule, PauseRule, SectionReader,
+    BoxKey, IniDocument, IniProblem, IniProblems, OrderMode, OrderPolicy, PausePolicy,
+    SectionReader,
 };
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -138,9 +139,9 @@
     /// How workspaces are ordered.
     pub(crate) mode: OrderMode,
     /// What the order key adds.
-    pub(crate) order: OrderRule,
+    pub(crate) order: OrderPolicy,
     /// When streams are paused.
-    pub(crate) pause: PauseRule,
+    pub(crate) pause: PausePolicy,
     /// How much younger a request at an entry of the scheduler's domain may be and still go first.
     pub(crate) locality: Duration,
     /// How often service given is reported to other schedulers.
@@ -431,14 +432,14 @@
         |part| (0.0..=1.0).contains(part),
     );
     ScheduleSettings {
-        pause: PauseRule {
+        pause: PausePolicy {
             gap_s: pause_gap_s,
-            least_run_ms: take_ms(section, "pause_after_ms", 2_000, 0, 600_000).as_millis() as u64,
+            min_run_ms: take_ms(section, "pause_after_ms", 2_000, 0, 600_000).as_millis() as u64,
             budget: pause_budget,
         },
         locality: take_ms(section, "locality_ms", 250, 0, 60_000),
         mode,
-        order: OrderRule { horizon_s },
+        order: OrderPolicy { horizon_s },
         report_every: take_ms(section, "report_every_ms", 1_000, 10, 60_000),
         grant_ttl: take_ms(section, "grant_ttl_ms", 5_000, 100, 600_000),
         progress_every: take_ms(section, "progress_every_ms", 500, 10, 60_000),
