--- a/dockgate-core/benches/decisions.rs
+++ b/dockgate-core/benches/decisions.rs
@@ -1,5 +1,5 @@
-//! The cost of a decision: pick, grant and settle together, and the merge of a ledger report, by the
-//! number of backlogged workspaces and of endpoints.
+//! Time of a grant with its settle report, and of the merge of a ledger report, by the number of
+//! waiting workspaces and of endpoints.
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use dockgate_core::{
@@ -14,18 +14,18 @@
 const ENTRY: BoxKey = BoxKey(9);
 const SLOTS: u32 = 16;
 
-fn seek(workspace: u32) -> SlotDemand {
+fn demand(workspace: u32) -> SlotDemand {
     SlotDemand {
         pool: POOL,
         workspace: WorkspaceKey(workspace),
         waiting: u32::MAX / 2,
-        seen: 0,
+        grants_seen: 0,
         age_ms: 0,
     }
 }
 
-/// Makes a scheduler whose slots are all taken, with every workspace backlogged.
-fn loaded(workspaces: u32, endpoints: u32) -> (SlotScheduler, Vec<GrantOffer>) {
+/// Creates a scheduler without free slots and with demand of every workspace.
+fn loaded_scheduler(workspaces: u32, endpoints: u32) -> (SlotScheduler, Vec<GrantOffer>) {
     let policy = SchedulePolicy {
         mode: OrderMode::Fair,
         order: OrderPolicy { horizon_s: 3.0 },
@@ -49,7 +49,7 @@
         .collect();
     scheduler.set_endpoints(&endpoints, 0);
     for workspace in 1..=workspaces {
-        scheduler.update_demand(ENTRY, seek(workspace), 1);
+        scheduler.update_demand(ENTRY, demand(workspace), 1);
     }
     let held = scheduler.schedule(1);
     (scheduler, held)
@@ -58,7 +58,7 @@
 fn grant_and_settle(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("grant_and_settle");
     for (workspaces, endpoints) in [(16, 32), (150, 32), (1_500, 32), (150, 320)] {
-        let (mut scheduler, mut held) = loaded(workspaces, endpoints);
+        let (mut scheduler, mut held) = loaded_scheduler(workspaces, endpoints);
         let id =
             BenchmarkId::from_parameter(format!("{workspaces}-workspaces-{endpoints}-endpoints"));
         let mut next = 0;
@@ -82,7 +82,7 @@
 fn merge_report(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("merge_report_row");
     for workspaces in [16, 150, 1_500] {
-        let (mut scheduler, _) = loaded(workspaces, 32);
+        let (mut scheduler, _) = loaded_scheduler(workspaces, 32);
         let mut units = 0;
         let mut workspace = 0;
         group.bench_function(BenchmarkId::from_parameter(workspaces), |bencher| {
--- a/dockgate-core/src/attempt.rs
+++ b/dockgate-core/src/attempt.rs
@@ -1,8 +1,7 @@
-//! What may be retried, and what may be said to the caller, after each step of an attempt.
+//! Retry decisions and outcomes by the state that an attempt has reached.
 //!
-//! The whole rule stands in one state machine: `not_run` is legal only while no byte of the request
-//! has gone to an endpoint, or on a refusal by an endpoint that is declared honest about not having
-//! started.
+//! `not_run` may be reported only if no byte of the request was sent to an endpoint, or if an
+//! endpoint declared with `honest_refusal` refused the request without starting it.
 //!
 //! ```
 //! use dockgate_core::{AttemptState, Outcome};
@@ -13,20 +12,20 @@
 
 use serde::{Deserialize, Serialize};
 
-/// What dockgate answers for.
+/// The outcome of a request without a complete answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
     /// No endpoint has run any part of the request.
     NotRun,
-    /// The request ran and did not give a whole answer.
+    /// The request may have run, did not give a complete answer and is declared repeatable.
     Failed,
     /// The request may or may not have run.
     Unknown,
 }
 
 impl Outcome {
-    /// Returns the word used in bodies, logs and metrics.
+    /// Returns the name used in response bodies, logs and metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::NotRun => "not_run",
@@ -36,32 +35,32 @@
     }
 }
 
-/// How far an attempt has come.
+/// The state of an attempt to serve a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptState {
     /// Waiting for a grant.
     Queued,
     /// Bound to a grant; connecting, nothing sent yet.
     Bound,
-    /// An endpoint declared honest refused without starting.
+    /// Refused before any processing by an endpoint declared with `honest_refusal`.
     Refused,
     /// At least one byte of the request may have reached an endpoint.
     Sent,
-    /// Bytes of an answer have reached the caller.
+    /// Bytes of the answer have been sent to the caller.
     Streaming,
 }
 
-/// What to do after an attempt ended without a whole answer.
+/// The decision after an attempt ended without a complete answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetryVerdict {
     /// Queue the request again.
     Retry,
-    /// Give up and tell the caller this.
+    /// Report this outcome to the caller.
     Report(Outcome),
 }
 
 impl AttemptState {
-    /// Returns what may be said of an attempt that ended in this state.
+    /// Returns the outcome of an attempt that ended in this state.
     pub const fn outcome(self, repeatable: bool) -> Outcome {
         match self {
             Self::Queued | Self::Bound | Self::Refused => Outcome::NotRun,
@@ -70,9 +69,9 @@
         }
     }
 
-    /// Decides whether an attempt that ended in this state is tried again.
+    /// Returns whether to retry after an attempt that ended in this state.
     ///
-    /// `budget_left` is false once the retry budget or the deadline is used up.
+    /// `budget_left` is false if the retry budget or the deadline is exhausted.
     pub const fn retry_verdict(self, repeatable: bool, budget_left: bool) -> RetryVerdict {
         match self {
             Self::Queued | Self::Bound | Self::Refused if budget_left => RetryVerdict::Retry,
@@ -82,21 +81,21 @@
     }
 }
 
-/// What has been sent for one request over all its attempts.
+/// Tracks whether any attempt of a request may have sent bytes to an endpoint.
 ///
-/// Once a byte of any attempt may have reached an endpoint, no later refusal may say `not_run`.
+/// If one has, the request is never reported as `not_run`.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct AttemptTrail {
     sent: bool,
 }
 
 impl AttemptTrail {
-    /// Notes how far an attempt had come when it ended.
+    /// Records the state in which an attempt ended.
     pub const fn record(&mut self, state: AttemptState) {
         self.sent |= matches!(state, AttemptState::Sent | AttemptState::Streaming);
     }
 
-    /// Returns what may be said of the whole request when its last attempt ended in `state`.
+    /// Returns the outcome of the request if its last attempt ended in `state`.
     pub const fn outcome(self, state: AttemptState, repeatable: bool) -> Outcome {
         match self.sent {
             true => AttemptState::Sent.outcome(repeatable),
--- a/dockgate-core/src/attempt/tests.rs
+++ b/dockgate-core/src/attempt/tests.rs
@@ -10,12 +10,12 @@
     streaming = { AttemptState::Streaming, true, RetryVerdict::Report(Outcome::Failed) },
     streaming_once = { AttemptState::Streaming, false, RetryVerdict::Report(Outcome::Unknown) },
 )]
-fn verdict_with_budget(state: AttemptState, repeatable: bool, verdict: RetryVerdict) {
+fn verdict_with_retry_budget(state: AttemptState, repeatable: bool, verdict: RetryVerdict) {
     assert_eq!(state.retry_verdict(repeatable, true), verdict);
 }
 
 #[test]
-fn a_request_that_was_sent_once_is_never_called_not_run() {
+fn sent_request_is_never_reported_as_not_run() {
     let mut trail = AttemptTrail::default();
     trail.record(AttemptState::Refused);
     assert_eq!(trail.outcome(AttemptState::Queued, true), Outcome::NotRun);
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn not_run_is_never_said_after_sending() {
+fn outcome_after_sending_is_never_not_run() {
     for state in [AttemptState::Sent, AttemptState::Streaming] {
         for repeatable in [true, false] {
             assert_ne!(state.outcome(repeatable), Outcome::NotRun);
--- a/dockgate-core/src/entry.rs
+++ b/dockgate-core/src/entry.rs
@@ -1,7 +1,8 @@
-//! The entry's decisions: which request is bound to which grant, and who is asked for slots.
+//! The entry's part in scheduling: it requests slots and binds waiting requests to grants.
 //!
-//! A request is bound late. While schedulers are known to have free slots, one of them is asked;
-//! what has waited a little is asked for at many, so that no slot idles while work waits.
+//! A request is bound when a grant arrives. While a scheduler is known to have free slots, it alone
+//! gets the slot request. Requests that keep waiting are announced to many schedulers, so that no
+//! slot stays idle.
 
 use crate::ids::{BoxKey, EndpointKey, GrantId, PoolKey, WorkspaceKey};
 use crate::queue::{QueueError, RequestQueue, WaitingRequest};
@@ -10,41 +11,41 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The settings of an entry's seeks.
+/// The settings of an entry's slot requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SlotRequestPolicy {
-    /// How long a request may wait on the one scheduler that was asked first, in milliseconds.
+    /// The time for which a request waits on the first scheduler alone, in milliseconds.
     pub widen_ms: u64,
-    /// How many schedulers are asked after that; doubles with every further `widen_ms` times ten.
+    /// The number of schedulers asked after that. Doubles with every ten times `widen_ms`.
     pub width: usize,
 }
 
-/// Something to be done by the daemon around an entry.
+/// An action for the daemon to carry out.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum EntryAction {
-    /// Send a seek.
+    /// Send a slot request.
     RequestSlots(SlotRequest),
-    /// Hand a request the grant it may use.
+    /// Give a grant to the waiting request with this id.
     Bind(u64, GrantOffer),
-    /// Give a grant back to its scheduler.
+    /// Return a grant to its scheduler.
     Return(BoxKey, GrantId),
-    /// Tell a request that it has waited too long.
+    /// Refuse the request with this id, as its deadline has passed.
     Expire(u64),
 }
 
 /// A request that runs on an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RunningRequest {
-    /// The grant that it uses.
+    /// The grant that the request uses.
     pub grant: GrantOffer,
-    /// The scheduler that is told of its cost.
+    /// The scheduler that receives the cost reports.
     pub scheduler: BoxKey,
-    /// Service units so far.
+    /// The cost so far, in service units.
     pub cost: f64,
 }
 
 impl RunningRequest {
-    /// Returns what a scheduler needs to count this request.
+    /// Returns the record with which a new owner of the endpoint adopts this request.
     const fn adopted(&self) -> AdoptedGrant {
         AdoptedGrant {
             id: self.grant.id,
@@ -56,33 +57,33 @@
     }
 }
 
-/// The state of one entry.
+/// The waiting and running requests of one entry, and its view of the schedulers.
 #[derive(Debug)]
 pub struct EntryState {
     policy: SlotRequestPolicy,
     queue: RequestQueue,
-    book: SlotRequestTable,
+    slot_requests: SlotRequestTable,
     running: BTreeMap<GrantId, RunningRequest>,
     schedulers: HashMap<PoolKey, Vec<BoxKey>>,
     reachable: HashSet<BoxKey>,
-    free: HashMap<(BoxKey, PoolKey), u32>,
+    free_slots: HashMap<(BoxKey, PoolKey), u32>,
     overgranted: u64,
 }
 
 impl EntryState {
-    /// The most doublings of the width.
-    const MOST_DOUBLINGS: u32 = 10;
+    /// The maximum number of doublings of the width.
+    const MAX_DOUBLINGS: u32 = 10;
 
-    /// Makes an entry with nothing waiting.
+    /// Creates an entry without requests.
     pub fn new(policy: SlotRequestPolicy) -> Self {
         Self {
             policy,
             queue: RequestQueue::default(),
-            book: SlotRequestTable::default(),
+            slot_requests: SlotRequestTable::default(),
             running: BTreeMap::new(),
             schedulers: HashMap::new(),
             reachable: HashSet::new(),
-            free: HashMap::new(),
+            free_slots: HashMap::new(),
             overgranted: 0,
         }
     }
@@ -92,29 +93,29 @@
         self.schedulers = schedulers;
     }
 
-    /// Notes that a scheduler can be reached and knows nothing of this entry yet.
+    /// Adds a reachable scheduler that has no state of this entry yet.
     pub fn connect(&mut self, scheduler: BoxKey) {
-        self.book.forget(scheduler);
+        self.slot_requests.forget(scheduler);
         self.reachable.insert(scheduler);
     }
 
-    /// Notes that a scheduler cannot be reached.
+    /// Removes a scheduler that has become unreachable.
     pub fn disconnect(&mut self, scheduler: BoxKey) {
-        self.book.forget(scheduler);
+        self.slot_requests.forget(scheduler);
         self.reachable.remove(&scheduler);
-        self.free.retain(|(known, _), _| *known != scheduler);
+        self.free_slots.retain(|(known, _), _| *known != scheduler);
     }
 
-    /// Notes how many slots of a pool a scheduler has free.
+    /// Sets the number of free slots that a scheduler has in a pool.
     pub fn set_free_slots(&mut self, scheduler: BoxKey, pool: PoolKey, free: u32) {
-        self.free.insert((scheduler, pool), free);
+        self.free_slots.insert((scheduler, pool), free);
     }
 
-    /// Queues a request and asks for a slot.
+    /// Queues a request and requests a slot.
     ///
     /// # Errors
     ///
-    /// Returns [`QueueError::Full`] where the workspace has its limit waiting here.
+    /// Returns [`QueueError::Full`] if the workspace has `limit` requests waiting here.
     pub fn enqueue(
         &mut self,
         request: WaitingRequest,
@@ -122,41 +123,52 @@
     ) -> Result<Vec<EntryAction>, QueueError> {
         let (pool, workspace) = (request.pool, request.workspace);
         self.queue.push(request, limit)?;
-        Ok(match self.freest(pool) {
+        Ok(match self.nearest_free_scheduler(pool) {
             Some(scheduler) => {
-                let free = self.free.entry((scheduler, pool)).or_default();
+                let free = self.free_slots.entry((scheduler, pool)).or_default();
                 *free -= 1;
                 vec![EntryAction::RequestSlots(
-                    self.book.ask_one(pool, workspace, scheduler),
+                    self.slot_requests.request_one(pool, workspace, scheduler),
                 )]
             }
-            None => self.widen(pool, workspace, request.queued_ms),
+            None => self.request_from_many(pool, workspace, request.queued_ms),
         })
     }
 
-    /// Returns the nearest reachable scheduler known to have free slots; the freest among equals.
-    fn freest(&self, pool: PoolKey) -> Option<BoxKey> {
-        let near_first = self.schedulers.get(&pool)?;
-        near_first.iter().copied().find(|scheduler| {
+    /// Returns the nearest reachable scheduler known to have free slots.
+    fn nearest_free_scheduler(&self, pool: PoolKey) -> Option<BoxKey> {
+        let schedulers = self.schedulers.get(&pool)?;
+        schedulers.iter().copied().find(|scheduler| {
             self.reachable.contains(scheduler)
-                && self.free.get(&(*scheduler, pool)).copied().unwrap_or(0) > 0
+                && self
+                    .free_slots
+                    .get(&(*scheduler, pool))
+                    .copied()
+                    .unwrap_or(0)
+                    > 0
         })
     }
 
-    /// Asks many schedulers for what waits.
-    fn widen(&mut self, pool: PoolKey, workspace: WorkspaceKey, now_ms: u64) -> Vec<EntryAction> {
+    /// Requests slots for an account from many schedulers.
+    fn request_from_many(
+        &mut self,
+        pool: PoolKey,
+        workspace: WorkspaceKey,
+        now_ms: u64,
+    ) -> Vec<EntryAction> {
         let waiting = self.queue.waiting(pool, workspace);
         let oldest = self.queue.oldest_ms(pool, workspace).unwrap_or(now_ms);
-        let targets = self.sample(pool, workspace, waiting, now_ms.saturating_sub(oldest));
-        self.book
+        let targets =
+            self.select_schedulers(pool, workspace, waiting, now_ms.saturating_sub(oldest));
+        self.slot_requests
             .update(pool, workspace, waiting, &targets)
             .into_iter()
             .map(EntryAction::RequestSlots)
             .collect()
     }
 
-    /// Picks the schedulers to ask: all where there are few, else a sample that grows with age.
-    fn sample(
+    /// Selects the schedulers to ask: all if they are few, else a sample that grows with age.
+    fn select_schedulers(
         &self,
         pool: PoolKey,
         workspace: WorkspaceKey,
@@ -172,7 +184,7 @@
         let doublings = age_ms / (self.policy.widen_ms.max(1) * 10);
         let doublings = u32::try_from(doublings).unwrap_or(u32::MAX);
         let width = self.policy.width.max(2 * waiting);
-        let width = width << doublings.min(Self::MOST_DOUBLINGS);
+        let width = width << doublings.min(Self::MAX_DOUBLINGS);
         if targets.len() > width {
             targets.sort_by_key(|key| {
                 xxh3_64(&[key.0.to_le_bytes(), workspace.0.to_le_bytes()].concat())
@@ -182,16 +194,16 @@
         targets
     }
 
-    /// Binds the request that goes first to a grant, or gives the grant back.
+    /// Binds the first waiting request to a grant, or returns the grant if none waits.
     pub fn bind_grant(&mut self, from: BoxKey, grant: GrantOffer) -> Vec<EntryAction> {
         let (pool, workspace) = (grant.pool, grant.workspace);
         if self.running.contains_key(&grant.id) {
             return Vec::new();
         }
-        self.book.granted(pool, workspace, from);
+        self.slot_requests.record_grant(pool, workspace, from);
         let Some(request) = self.queue.pop(pool, workspace) else {
             self.overgranted += 1;
-            return self.give_back(from, grant);
+            return self.return_grant(from, grant);
         };
         let running = RunningRequest {
             grant,
@@ -202,12 +214,14 @@
         vec![EntryAction::Bind(request.id, grant)]
     }
 
-    /// Gives a grant back, and tells everyone who believes that something waits.
-    fn give_back(&mut self, from: BoxKey, grant: GrantOffer) -> Vec<EntryAction> {
-        let believers = self.book.believers(grant.pool, grant.workspace);
+    /// Returns a grant, and withdraws the outstanding slot requests of its account.
+    fn return_grant(&mut self, from: BoxKey, grant: GrantOffer) -> Vec<EntryAction> {
+        let schedulers = self
+            .slot_requests
+            .schedulers_with_demand(grant.pool, grant.workspace);
         let withdrawals = self
-            .book
-            .update(grant.pool, grant.workspace, 0, &believers)
+            .slot_requests
+            .update(grant.pool, grant.workspace, 0, &schedulers)
             .into_iter()
             .map(EntryAction::RequestSlots);
         std::iter::once(EntryAction::Return(from, grant.id))
@@ -215,29 +229,29 @@
             .collect()
     }
 
-    /// Notes the cost of a running request; returns whom to tell.
+    /// Records the cost of a running request. Returns the scheduler to report it to.
     pub fn record_cost(&mut self, grant: GrantId, cost: f64) -> Option<BoxKey> {
         let running = self.running.get_mut(&grant)?;
         running.cost = running.cost.max(cost);
         Some(running.scheduler)
     }
 
-    /// Ends a running request; returns whom to tell.
+    /// Ends a running request. Returns the scheduler to report it to.
     pub fn finish(&mut self, grant: GrantId) -> Option<BoxKey> {
         let running = self.running.remove(&grant)?;
         let key = (running.scheduler, running.grant.pool);
-        if let Some(free) = self.free.get_mut(&key) {
+        if let Some(free) = self.free_slots.get_mut(&key) {
             *free += 1;
         }
         Some(running.scheduler)
     }
 
-    /// Takes a waiting request out, as when its caller has gone.
+    /// Removes a waiting request, as when its caller disconnects. Returns whether it was waiting.
     pub fn cancel(&mut self, request: u64) -> bool {
         self.queue.remove(request).is_some()
     }
 
-    /// Expires what is past its deadline, and asks more widely for what has waited.
+    /// Expires requests past their deadline, and asks more schedulers for those that still wait.
     pub fn tick(&mut self, now_ms: u64) -> Vec<EntryAction> {
         let expired = self.queue.expired(now_ms);
         let mut actions = Vec::new();
@@ -249,13 +263,15 @@
         for (pool, workspace) in accounts {
             let oldest = self.queue.oldest_ms(pool, workspace).unwrap_or(now_ms);
             if oldest + self.policy.widen_ms <= now_ms {
-                actions.extend(self.widen(pool, workspace, now_ms));
+                actions.extend(self.request_from_many(pool, workspace, now_ms));
             }
         }
         actions
     }
 
-    /// Reports what runs to the schedulers that own the endpoints now, where that has changed.
+    /// Assigns running requests to the new owners of their endpoints.
+    ///
+    /// Returns the requests to report to each new owner.
     pub fn reassign(
         &mut self,
         owner_of: impl Fn(EndpointKey) -> Option<BoxKey>,
@@ -273,8 +289,8 @@
         moved
     }
 
-    /// Lists what runs by grants of one scheduler, so that it can rebuild its slots.
-    pub fn running_under(&self, scheduler: BoxKey) -> Vec<AdoptedGrant> {
+    /// Returns the running requests of one scheduler, so that it can rebuild its slot counts.
+    pub fn running_requests_of(&self, scheduler: BoxKey) -> Vec<AdoptedGrant> {
         self.running
             .values()
             .filter(|running| running.scheduler == scheduler)
@@ -282,23 +298,23 @@
             .collect()
     }
 
-    /// Returns how many requests run.
+    /// Returns the number of running requests.
     pub fn running_count(&self) -> usize {
         self.running.len()
     }
 
-    /// Returns how many requests wait.
+    /// Returns the number of waiting requests.
     pub fn waiting(&self) -> usize {
         self.queue.len()
     }
 
-    /// Returns for how long the oldest request of an account has waited, in milliseconds.
+    /// Returns the age of the oldest waiting request of an account, in milliseconds.
     pub fn age_ms(&self, pool: PoolKey, workspace: WorkspaceKey, now_ms: u64) -> u64 {
         let oldest = self.queue.oldest_ms(pool, workspace);
         oldest.map_or(0, |oldest| now_ms.saturating_sub(oldest))
     }
 
-    /// Returns how many grants came for which nothing waited any more.
+    /// Returns the number of grants received while no request waited.
     pub const fn overgranted(&self) -> u64 {
         self.overgranted
     }
--- a/dockgate-core/src/entry/tests.rs
+++ b/dockgate-core/src/entry/tests.rs
@@ -39,52 +39,59 @@
     }
 }
 
-fn asked(actions: &[EntryAction]) -> Vec<(BoxKey, u32)> {
-    let seeks = actions.iter().filter_map(|action| match action {
-        EntryAction::RequestSlots(seek) => Some((seek.to, seek.waiting)),
+fn slot_requests(actions: &[EntryAction]) -> Vec<(BoxKey, u32)> {
+    let requests = actions.iter().filter_map(|action| match action {
+        EntryAction::RequestSlots(request) => Some((request.to, request.waiting)),
         _ => None,
     });
-    seeks.collect()
+    requests.collect()
 }
 
 #[test]
-fn one_scheduler_is_asked_while_slots_are_free_and_all_when_none_is() {
+fn scheduler_with_free_slots_is_asked_first() {
     let mut entry = entry();
     entry.set_free_slots(FAR, POOL, 1);
-    assert_eq!(asked(&entry.enqueue(request(1, 0), 9).unwrap()), [(FAR, 1)]);
+    assert_eq!(
+        slot_requests(&entry.enqueue(request(1, 0), 9).unwrap()),
+        [(FAR, 1)]
+    );
     let actions = entry.enqueue(request(2, 0), 9).unwrap();
-    assert_eq!(asked(&actions), [(NEAR, 2)]);
+    assert_eq!(slot_requests(&actions), [(NEAR, 2)]);
 }
 
 #[test]
-fn what_waits_is_asked_for_more_widely() {
+fn waiting_requests_are_announced_to_more_schedulers() {
     let mut entry = entry();
     entry.set_free_slots(NEAR, POOL, 4);
     assert_eq!(
-        asked(&entry.enqueue(request(1, 0), 9).unwrap()),
+        slot_requests(&entry.enqueue(request(1, 0), 9).unwrap()),
         [(NEAR, 1)]
     );
     assert_eq!(entry.tick(4), []);
-    assert_eq!(asked(&entry.tick(5)), [(FAR, 1)]);
+    assert_eq!(slot_requests(&entry.tick(5)), [(FAR, 1)]);
     assert_eq!(entry.tick(6), []);
 }
 
 #[test]
-fn a_grant_too_many_is_given_back_and_the_others_are_told() {
+fn surplus_grant_is_returned() {
     let mut entry = entry();
     entry.enqueue(request(1, 0), 9).unwrap();
     assert_eq!(
         entry.bind_grant(NEAR, grant(1)),
         [EntryAction::Bind(1, grant(1))]
     );
-    assert_eq!(entry.bind_grant(NEAR, grant(1)), [], "told twice");
+    assert_eq!(
+        entry.bind_grant(NEAR, grant(1)),
+        [],
+        "a duplicate grant is ignored"
+    );
     let actions = entry.bind_grant(FAR, grant(2));
     assert_eq!(actions, [EntryAction::Return(FAR, grant(2).id)]);
     assert_eq!(entry.overgranted(), 1);
 }
 
 #[test]
-fn deadlines_end_the_wait() {
+fn requests_expire_at_their_deadline() {
     let mut entry = entry();
     entry.enqueue(request(1, 0), 9).unwrap();
     assert_eq!(entry.tick(1_000), [EntryAction::Expire(1)]);
@@ -92,7 +99,7 @@
 }
 
 #[test]
-fn what_runs_is_reported_to_the_new_owner() {
+fn running_requests_are_reported_to_the_new_owner() {
     let mut entry = entry();
     entry.enqueue(request(1, 0), 9).unwrap();
     entry.bind_grant(NEAR, grant(1));
@@ -100,17 +107,17 @@
     assert_eq!(entry.reassign(|_| Some(NEAR)), []);
     let moved = entry.reassign(|_| Some(FAR));
     assert_eq!((moved[0].0, moved[0].1.charged), (FAR, 12.0));
-    assert_eq!(entry.running_under(FAR).len(), 1);
+    assert_eq!(entry.running_requests_of(FAR).len(), 1);
     assert_eq!(entry.finish(grant(1).id), Some(FAR));
     assert_eq!(entry.finish(grant(1).id), None);
 }
 
 #[test]
-fn an_unreachable_scheduler_is_not_asked() {
+fn unreachable_scheduler_gets_no_slot_requests() {
     let mut entry = entry();
     entry.disconnect(NEAR);
     let actions = entry.enqueue(request(1, 0), 9).unwrap();
-    assert_eq!(asked(&actions), [(FAR, 1)]);
+    assert_eq!(slot_requests(&actions), [(FAR, 1)]);
     entry.connect(NEAR);
-    assert_eq!(asked(&entry.tick(5)), [(NEAR, 1)]);
+    assert_eq!(slot_requests(&entry.tick(5)), [(NEAR, 1)]);
 }
--- a/dockgate-core/src/fair.rs
+++ b/dockgate-core/src/fair.rs
@@ -1,8 +1,8 @@
-//! Fair shares over the fleet: what each workspace has been given, and who is furthest behind.
+//! Fair shares over the fleet: the service given to each workspace, and the order of grants.
 //!
-//! Service is counted for each pair of pool and workspace. Every scheduler counts its own charges;
-//! the sums of the others arrive as [`LedgerReport`]s, which are cumulative for one incarnation, so
-//! that late and doubled reports change nothing.
+//! Service is counted per pool and workspace. Every scheduler counts its own charges and receives
+//! the sums of the others as [`LedgerReport`]s. These are cumulative for one incarnation, so that
+//! late and duplicate reports have no effect.
 //!
 //! ```
 //! use dockgate_core::{FairLedger, PoolKey, WorkspaceKey};
--- a/dockgate-core/src/fair/fair_queue.rs
+++ b/dockgate-core/src/fair/fair_queue.rs
@@ -1,29 +1,29 @@
-//! The order in which backlogged workspaces of one pool are granted slots.
+//! The order in which the waiting workspaces of one pool are granted slots.
 
 use crate::ids::WorkspaceKey;
 use std::collections::{BTreeSet, HashMap};
 
-/// What the order key adds to the service delivered.
+/// How held slots count in the order key of a workspace.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct OrderPolicy {
-    /// For how many seconds ahead a held slot is charged.
+    /// The time for which a held slot is charged in advance, in seconds.
     pub horizon_s: f64,
 }
 
 impl OrderPolicy {
-    /// Returns the level plus what the slots held here will take within the horizon, scaled to the
-    /// fleet: every scheduler is assumed to hold as many.
+    /// Returns the level plus the service that held slots are expected to take within the horizon.
     ///
-    /// `rate` is service units a second for one held slot, `schedulers` how many schedule the pool.
+    /// Each of the pool's `schedulers` is assumed to hold `held` slots for the workspace. `rate` is
+    /// in service units per second and held slot.
     pub fn order_key(self, level: f64, held: u32, share: u32, schedulers: u32, rate: f64) -> f64 {
-        let ahead = f64::from(held) * f64::from(schedulers.max(1)) * rate * self.horizon_s;
-        level + ahead / f64::from(share.max(1))
+        let expected = f64::from(held) * f64::from(schedulers.max(1)) * rate * self.horizon_s;
+        level + expected / f64::from(share.max(1))
     }
 }
 
-/// The workspaces of one pool that have work waiting, furthest behind first.
+/// The waiting workspaces of one pool, lowest order key first.
 ///
-/// Insertion, removal and the pick take time logarithmic in the number of workspaces.
+/// Insertion, removal and lookup of the first take time logarithmic in the number of workspaces.
 #[derive(Debug, Default)]
 pub struct FairQueue {
     order: BTreeSet<(u64, WorkspaceKey)>,
@@ -31,38 +31,38 @@
 }
 
 impl FairQueue {
-    /// Puts a workspace at its order key, which must not be negative.
-    pub fn put(&mut self, workspace: WorkspaceKey, order_key: f64) {
-        // The bits of non-negative floats sort as the floats do.
+    /// Inserts or moves a workspace at an order key. Negative keys count as zero.
+    pub fn insert(&mut self, workspace: WorkspaceKey, order_key: f64) {
+        // The bit patterns of non-negative floats sort like the floats.
         let bits = order_key.max(0.0).to_bits();
         self.remove(workspace);
         self.keys.insert(workspace, bits);
         self.order.insert((bits, workspace));
     }
 
-    /// Takes a workspace out.
+    /// Removes a workspace.
     pub fn remove(&mut self, workspace: WorkspaceKey) {
         if let Some(bits) = self.keys.remove(&workspace) {
             self.order.remove(&(bits, workspace));
         }
     }
 
-    /// Returns the workspace furthest behind.
+    /// Returns the workspace with the lowest order key.
     pub fn first(&self) -> Option<WorkspaceKey> {
         self.order.first().map(|(_, workspace)| *workspace)
     }
 
-    /// Returns how many workspaces wait.
+    /// Returns the number of waiting workspaces.
     pub fn len(&self) -> usize {
         self.order.len()
     }
 
-    /// Tells whether none waits.
+    /// Returns whether no workspace waits.
     pub fn is_empty(&self) -> bool {
         self.order.is_empty()
     }
 
-    /// Returns every workspace, furthest behind first.
+    /// Returns the workspaces, lowest order key first.
     pub fn iter(&self) -> impl Iterator<Item = WorkspaceKey> {
         self.order.iter().map(|(_, workspace)| *workspace)
     }
--- a/dockgate-core/src/fair/ledger.rs
+++ b/dockgate-core/src/fair/ledger.rs
@@ -1,4 +1,4 @@
-//! Sums of service over the fleet.
+//! Totals of the service given over the fleet.
 
 use crate::ids::{BoxKey, Incarnation, PoolKey, WorkspaceKey};
 use crate::invariant::check_invariant;
@@ -17,11 +17,11 @@
     pub WorkspaceKey,
     /// Service units since the scheduler started, rounded down.
     pub u64,
-    /// The lift of the workspace, in units for a share of one, rounded down.
+    /// The level offset of the workspace, in units for a share of one, rounded down.
     pub u64,
 );
 
-/// What one scheduler tells the others, or passes on of a third.
+/// The service given by one scheduler, as sent by it or forwarded by another.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LedgerReport {
     /// The scheduler that gave the service.
@@ -35,17 +35,18 @@
     pub rows: Vec<LedgerRow>,
 }
 
-/// One workspace's account in one pool.
+/// The account of one workspace in one pool, in service units.
 #[derive(Debug, Clone, Copy, Default)]
 struct FairAccount {
     own: f64,
     others: f64,
-    lift: f64,
+    /// Added to the level, in units for a share of one.
+    level_offset: f64,
     last_active_ms: u64,
     reported: (u64, u64),
 }
 
-/// Adds up the service given to each workspace in each pool.
+/// Sums the service given to each workspace in each pool.
 #[derive(Debug, Default)]
 pub struct FairLedger {
     accounts: BTreeMap<AccountKey, FairAccount>,
@@ -53,7 +54,7 @@
 }
 
 impl FairLedger {
-    /// How long an account counts as active after its last sign of work, in milliseconds.
+    /// The time for which an account counts as active after its last demand, in milliseconds.
     const ACTIVE_FOR_MS: u64 = 2_000;
 
     /// Adds service given by this scheduler.
@@ -63,24 +64,26 @@
         }
     }
 
-    /// Returns the service given over the fleet, as far as it is known here, in service units.
+    /// Returns the service known to be given over the fleet, in service units.
     pub fn total(&self, pool: PoolKey, workspace: WorkspaceKey) -> f64 {
         self.accounts
             .get(&(pool, workspace))
             .map_or(0.0, |account| account.own + account.others)
     }
 
-    /// Returns the service for a share of one, lift included: the quantity that is kept equal.
+    /// Returns the level: the service for a share of one plus the offset.
+    ///
+    /// The scheduler keeps the levels of the waiting workspaces equal.
     pub fn level(&self, pool: PoolKey, workspace: WorkspaceKey, share: u32) -> f64 {
         self.accounts
             .get(&(pool, workspace))
             .map_or(0.0, |account| {
-                (account.own + account.others) / f64::from(share.max(1)) + account.lift
+                (account.own + account.others) / f64::from(share.max(1)) + account.level_offset
             })
     }
 
-    /// Notes that an account has work, and lifts it to `floor` if it comes back from idle.
-    pub fn touch(
+    /// Marks an account as active, and raises its level to `floor` if it returns from idle.
+    pub fn mark_active(
         &mut self,
         pool: PoolKey,
         workspace: WorkspaceKey,
@@ -90,15 +93,15 @@
     ) {
         let level = self.level(pool, workspace, share);
         let account = self.accounts.entry((pool, workspace)).or_default();
-        let idle =
+        let is_idle =
             account.last_active_ms + Self::ACTIVE_FOR_MS < now_ms || account.last_active_ms == 0;
-        if idle && level < floor {
-            account.lift += floor - level;
+        if is_idle && level < floor {
+            account.level_offset += floor - level;
         }
         account.last_active_ms = now_ms;
     }
 
-    /// Returns the workspaces that had work in a pool a moment ago.
+    /// Returns the workspaces that were recently active in a pool.
     pub fn active(&self, pool: PoolKey, now_ms: u64) -> impl Iterator<Item = WorkspaceKey> {
         let range = (pool, WorkspaceKey(0))..=(pool, WorkspaceKey(u32::MAX));
         self.accounts
@@ -107,44 +110,47 @@
             .map(|((_, workspace), _)| *workspace)
     }
 
-    /// Keeps the level of an account where it was when its share changes.
+    /// Adjusts the offset so that a change of share keeps the level.
     pub fn change_share(&mut self, workspace: WorkspaceKey, old: u32, new: u32) {
         for ((_, key), account) in &mut self.accounts {
             if *key == workspace {
                 let total = account.own + account.others;
-                account.lift += total / f64::from(old.max(1)) - total / f64::from(new.max(1));
+                account.level_offset +=
+                    total / f64::from(old.max(1)) - total / f64::from(new.max(1));
             }
         }
     }
 
-    /// Merges a report; rows that are not news change nothing. Returns the accounts that moved.
+    /// Merges a report and returns the accounts that it lists.
+    ///
+    /// Late and duplicate rows do not change the totals.
     pub fn merge(&mut self, report: &LedgerReport, now_ms: u64) -> Vec<(PoolKey, WorkspaceKey)> {
         let source = self
             .sources
             .entry((report.source, report.incarnation))
             .or_default();
-        let mut moved = Vec::new();
-        for LedgerRow(pool, workspace, units, lift) in &report.rows {
+        let mut accounts = Vec::new();
+        for LedgerRow(pool, workspace, units, level_offset) in &report.rows {
             let account = self.accounts.entry((*pool, *workspace)).or_default();
             let known = source.entry((*pool, *workspace)).or_default();
-            let news = units.saturating_sub(*known);
-            *known += news;
-            account.others += news as f64;
-            account.lift = account.lift.max(*lift as f64);
+            let increase = units.saturating_sub(*known);
+            *known += increase;
+            account.others += increase as f64;
+            account.level_offset = account.level_offset.max(*level_offset as f64);
             account.last_active_ms = now_ms;
-            moved.push((*pool, *workspace));
+            accounts.push((*pool, *workspace));
         }
-        moved
+        accounts
     }
 
-    /// Takes the rows of this scheduler that changed since the last call.
+    /// Returns the rows of this scheduler that changed since the last call.
     pub fn take_report(&mut self, source: BoxKey, incarnation: Incarnation) -> LedgerReport {
         let mut rows = Vec::new();
         for ((pool, workspace), account) in &mut self.accounts {
-            let state = (account.own as u64, account.lift.max(0.0) as u64);
-            if state != account.reported {
-                account.reported = state;
-                rows.push(LedgerRow(*pool, *workspace, state.0, state.1));
+            let totals = (account.own as u64, account.level_offset.max(0.0) as u64);
+            if totals != account.reported {
+                account.reported = totals;
+                rows.push(LedgerRow(*pool, *workspace, totals.0, totals.1));
             }
         }
         LedgerReport {
@@ -154,7 +160,7 @@
         }
     }
 
-    /// Returns everything known, one report a source, for a daemon that starts with no memory.
+    /// Returns the whole ledger, one report per source, for a daemon that has just started.
     pub fn full_reports(&self, source: BoxKey, incarnation: Incarnation) -> Vec<LedgerReport> {
         let own = self
             .accounts
@@ -164,7 +170,7 @@
                     *pool,
                     *workspace,
                     account.own as u64,
-                    account.lift.max(0.0) as u64,
+                    account.level_offset.max(0.0) as u64,
                 )
             })
             .collect();
--- a/dockgate-core/src/fair/ledger/tests.rs
+++ b/dockgate-core/src/fair/ledger/tests.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn doubled_and_late_reports_change_nothing() {
+fn duplicate_and_late_reports_have_no_effect() {
     let mut ledger = FairLedger::default();
     for units in [10, 30, 30, 20] {
         ledger.merge(&report(1, units), 1);
@@ -24,16 +24,16 @@
 }
 
 #[test]
-fn idle_time_is_not_saved_up() {
+fn returning_from_idle_raises_the_level_to_the_floor() {
     let mut ledger = FairLedger::default();
-    ledger.touch(POOL, WORKSPACE, 2, 500.0, 10_000);
+    ledger.mark_active(POOL, WORKSPACE, 2, 500.0, 10_000);
     assert_eq!(ledger.level(POOL, WORKSPACE, 2), 500.0);
-    ledger.touch(POOL, WORKSPACE, 2, 900.0, 10_500);
+    ledger.mark_active(POOL, WORKSPACE, 2, 900.0, 10_500);
     assert_eq!(ledger.level(POOL, WORKSPACE, 2), 500.0, "it was not idle");
 }
 
 #[test]
-fn a_share_change_keeps_the_level() {
+fn share_change_keeps_the_level() {
     let mut ledger = FairLedger::default();
     ledger.charge(POOL, WORKSPACE, 100.0);
     ledger.change_share(WORKSPACE, 1, 4);
@@ -42,7 +42,7 @@
 
 proptest! {
     #[test]
-    fn merging_in_any_order_gives_the_same_total(
+    fn merge_order_does_not_change_the_total(
         mut reports in prop::collection::vec((0u32..3, 0u64..1000), 1..40),
         seed in 0usize..40,
     ) {
@@ -54,26 +54,26 @@
             ledger.total(POOL, WORKSPACE)
         };
         let first = sum(&reports);
-        let turn = seed % reports.len();
-        reports.rotate_left(turn);
-        reports.extend_from_within(..turn);
+        let rotation = seed % reports.len();
+        reports.rotate_left(rotation);
+        reports.extend_from_within(..rotation);
         prop_assert_eq!(first, sum(&reports));
     }
 
     #[test]
-    fn a_newcomer_learns_the_same_totals(
+    fn full_reports_reproduce_the_totals(
         reports in prop::collection::vec((0u32..3, 0u64..1000), 1..20),
         own in 0u64..1000,
     ) {
-        let mut old = FairLedger::default();
-        old.charge(POOL, WORKSPACE, own as f64);
+        let mut ledger = FairLedger::default();
+        ledger.charge(POOL, WORKSPACE, own as f64);
         for (incarnation, units) in &reports {
-            old.merge(&report(*incarnation, *units), 1);
+            ledger.merge(&report(*incarnation, *units), 1);
         }
-        let mut newcomer = FairLedger::default();
-        for report in old.full_reports(BoxKey(1), Incarnation(1)) {
-            newcomer.merge(&report, 2);
+        let mut copy = FairLedger::default();
+        for report in ledger.full_reports(BoxKey(1), Incarnation(1)) {
+            copy.merge(&report, 2);
         }
-        prop_assert_eq!(old.total(POOL, WORKSPACE), newcomer.total(POOL, WORKSPACE));
+        prop_assert_eq!(ledger.total(POOL, WORKSPACE), copy.total(POOL, WORKSPACE));
     }
 }
--- a/dockgate-core/src/grant_table.rs
+++ b/dockgate-core/src/grant_table.rs
@@ -1,12 +1,12 @@
-//! The grants that a scheduler has given out and not seen settled.
+//! The grants of a scheduler that are not yet settled.
 
 use crate::ids::{BoxKey, EndpointKey, GrantId, PoolKey, WorkspaceKey};
 use std::collections::HashMap;
 
-/// A slot given to an entry for one request of a workspace.
+/// A slot granted to an entry for one request of a workspace.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct HeldGrant {
-    /// The box whose caller it serves.
+    /// The box that runs the request.
     pub entry: BoxKey,
     /// The pool.
     pub pool: PoolKey,
@@ -14,71 +14,71 @@
     pub workspace: WorkspaceKey,
     /// The endpoint.
     pub endpoint: EndpointKey,
-    /// When it was given, in milliseconds.
+    /// The time of the grant, in milliseconds.
     pub granted_ms: u64,
-    /// Whether its entry has been asked to pause it.
-    pub asked_to_pause: bool,
-    /// Service units charged so far.
+    /// Whether the entry has been asked to pause the request.
+    pub pause_requested: bool,
+    /// The service units charged so far.
     pub charged: f64,
-    /// When it lapses unless the entry reports on it, in milliseconds.
+    /// The time at which the grant expires without a report of the entry, in milliseconds.
     pub expires_ms: u64,
 }
 
-/// Holds grants by their id.
+/// The grants held, by id.
 #[derive(Debug, Default)]
 pub struct GrantTable {
     grants: HashMap<GrantId, HeldGrant>,
 }
 
 impl GrantTable {
-    /// Adds a grant; returns false where the id is known already.
+    /// Adds a grant. Returns false if it replaced one with the same id.
     pub fn insert(&mut self, id: GrantId, grant: HeldGrant) -> bool {
         self.grants.insert(id, grant).is_none()
     }
 
-    /// Tells whether a grant is held.
+    /// Returns whether a grant is held.
     pub fn contains(&self, id: GrantId) -> bool {
         self.grants.contains_key(&id)
     }
 
-    /// Returns a grant of an entry, to be changed.
+    /// Returns a grant if this entry holds it.
     pub fn get_mut(&mut self, id: GrantId, entry: BoxKey) -> Option<&mut HeldGrant> {
         self.grants
             .get_mut(&id)
             .filter(|grant| grant.entry == entry)
     }
 
-    /// Notes that a grant's entry is asked to pause it.
-    pub fn mark_asked(&mut self, id: GrantId) -> Option<HeldGrant> {
+    /// Marks a grant as asked to pause.
+    pub fn mark_pause_requested(&mut self, id: GrantId) -> Option<HeldGrant> {
         let grant = self.grants.get_mut(&id)?;
-        grant.asked_to_pause = true;
+        grant.pause_requested = true;
         Some(*grant)
     }
 
-    /// Takes a grant out.
+    /// Removes a grant.
     pub fn remove(&mut self, id: GrantId) -> Option<HeldGrant> {
         self.grants.remove(&id)
     }
 
-    /// Takes out every grant that `gone` accepts.
-    pub fn remove_where(&mut self, gone: impl Fn(&HeldGrant) -> bool) -> Vec<HeldGrant> {
+    /// Removes and returns every grant that matches `predicate`.
+    pub fn remove_where(&mut self, predicate: impl Fn(&HeldGrant) -> bool) -> Vec<HeldGrant> {
         self.grants
-            .extract_if(|_, grant| gone(grant))
+            .extract_if(|_, grant| predicate(grant))
             .map(|(_, grant)| grant)
             .collect()
     }
 
-    /// Returns how many grants are held.
+    /// Returns the number of grants.
     pub fn len(&self) -> usize {
         self.grants.len()
     }
 
-    /// Tells whether none is held.
+    /// Returns whether the table is empty.
     pub fn is_empty(&self) -> bool {
         self.grants.is_empty()
     }
 
-    /// Returns every grant.
+    /// Returns an iterator over the grants.
     pub fn iter(&self) -> impl Iterator<Item = (&GrantId, &HeldGrant)> {
         self.grants.iter()
     }
--- a/dockgate-core/src/queue.rs
+++ b/dockgate-core/src/queue.rs
@@ -1,53 +1,53 @@
-//! Requests that wait at an entry, one bounded queue for each workspace and pool.
+//! Requests that wait at an entry, one queue per workspace and pool.
 //!
-//! Inside a workspace the order is priority, then deadline, then age. A full queue refuses, so that
-//! a flood fills its own queue and nobody else's.
+//! A queue is ordered by priority, then deadline, then age. The number of waiting requests is
+//! limited per workspace, so that a burst of one workspace does not affect the others.
 
 use crate::ids::{PoolKey, WorkspaceKey};
 use quick_error::quick_error;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// The order inside a workspace: higher priority, then earlier deadline, then older.
+/// The rank of a request in its workspace: higher priority, then earlier deadline, then older.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RequestRank {
-    /// False for the rest of an answer that was paused or lost its endpoint: it goes first.
-    fresh: bool,
+    /// False if the request continues an answer that was interrupted; such requests go first.
+    is_new: bool,
     /// Nine minus the priority, so that a higher priority sorts first.
     urgency: u8,
-    /// The deadline in milliseconds.
+    /// The deadline, in milliseconds.
     deadline_ms: u64,
-    /// When it was first queued, in milliseconds.
+    /// The time at which the request was first queued, in milliseconds.
     queued_ms: u64,
-    /// The id, which grows with time.
+    /// The id, which increases with time.
     id: u64,
 }
 
-/// One request that waits.
+/// A request that waits for a slot.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct WaitingRequest {
-    /// The id given by the entry, growing with time.
+    /// The id assigned by the entry, which increases with time.
     pub id: u64,
-    /// The pool that can serve it.
+    /// The pool that serves the request.
     pub pool: PoolKey,
-    /// The workspace it belongs to.
+    /// The workspace.
     pub workspace: WorkspaceKey,
-    /// The priority inside the workspace, 0 to 9.
+    /// The priority in the workspace, from 0 to 9 (highest).
     pub priority: u8,
-    /// When it is refused if it still waits, in milliseconds.
+    /// The time at which the request is refused if it still waits, in milliseconds.
     pub deadline_ms: u64,
-    /// When it was queued, in milliseconds.
+    /// The time at which the request was first queued, in milliseconds.
     pub queued_ms: u64,
-    /// Whether it is the rest of an answer that has begun.
+    /// Whether the request continues an interrupted answer.
     pub resumed: bool,
 }
 
 impl WaitingRequest {
     const TOP_PRIORITY: u8 = 9;
 
-    /// Returns its place in the order.
+    /// Returns the rank of the request.
     pub const fn rank(&self) -> RequestRank {
         RequestRank {
-            fresh: !self.resumed,
+            is_new: !self.resumed,
             urgency: Self::TOP_PRIORITY.saturating_sub(self.priority),
             deadline_ms: self.deadline_ms,
             queued_ms: self.queued_ms,
@@ -57,10 +57,10 @@
 }
 
 quick_error! {
-    /// Why a request is not queued.
+    /// The reason why a request is not queued.
     #[derive(Debug, Clone, Copy, PartialEq, Eq)]
     pub enum QueueError {
-        /// The workspace's own queue is full.
+        /// The workspace has reached its limit of waiting requests.
         Full(limit: usize) {
             display("the workspace has {} requests waiting here, its limit", limit)
         }
@@ -69,14 +69,14 @@
 
 type AccountKey = (PoolKey, WorkspaceKey);
 
-/// Holds every request that waits at one entry.
+/// The requests that wait at one entry.
 #[derive(Debug, Default)]
 pub struct RequestQueue {
     queues: HashMap<AccountKey, BTreeMap<RequestRank, WaitingRequest>>,
     index: HashMap<u64, (AccountKey, RequestRank)>,
-    /// By deadline, so that a look for expired requests costs nothing while there are none.
+    /// Deadlines and ids, ordered to find expired requests.
     deadlines: BTreeSet<(u64, u64)>,
-    /// By account and age, so that the oldest is found without a scan.
+    /// Accounts, queue times and ids, ordered to find the oldest request of an account.
     ages: BTreeSet<(AccountKey, u64, u64)>,
     lengths: HashMap<WorkspaceKey, usize>,
 }
@@ -86,7 +86,7 @@
     ///
     /// # Errors
     ///
-    /// Returns [`QueueError::Full`] where the workspace has `limit` requests waiting.
+    /// Returns [`QueueError::Full`] if the workspace has `limit` requests waiting.
     pub fn push(&mut self, request: WaitingRequest, limit: usize) -> Result<(), QueueError> {
         let length = self.lengths.entry(request.workspace).or_default();
         if *length >= limit {
@@ -102,14 +102,14 @@
         Ok(())
     }
 
-    /// Takes the request of a workspace that goes first.
+    /// Removes and returns the first request of an account.
     pub fn pop(&mut self, pool: PoolKey, workspace: WorkspaceKey) -> Option<WaitingRequest> {
         let queue = self.queues.get(&(pool, workspace))?;
         let id = queue.first_key_value()?.1.id;
         self.remove(id)
     }
 
-    /// Takes a request out, by its id.
+    /// Removes a request by its id.
     pub fn remove(&mut self, id: u64) -> Option<WaitingRequest> {
         let (account, rank) = self.index.remove(&id)?;
         let queue = self.queues.get_mut(&account)?;
@@ -125,18 +125,18 @@
         Some(request)
     }
 
-    /// Returns how many requests of a workspace wait for a pool.
+    /// Returns the number of requests of a workspace that wait for a pool.
     pub fn waiting(&self, pool: PoolKey, workspace: WorkspaceKey) -> usize {
         self.queues.get(&(pool, workspace)).map_or(0, BTreeMap::len)
     }
 
-    /// Returns when the oldest request of an account was queued, in milliseconds.
+    /// Returns the queue time of the oldest request of an account, in milliseconds.
     pub fn oldest_ms(&self, pool: PoolKey, workspace: WorkspaceKey) -> Option<u64> {
         let account = (pool, workspace);
-        let mut aged = self
+        let mut ages = self
             .ages
             .range((account, 0, 0)..=(account, u64::MAX, u64::MAX));
-        aged.next().map(|(_, queued_ms, _)| *queued_ms)
+        ages.next().map(|(_, queued_ms, _)| *queued_ms)
     }
 
     /// Returns the ids of the requests whose deadline has passed.
@@ -152,12 +152,12 @@
         self.queues.keys().copied()
     }
 
-    /// Returns how many requests wait in all.
+    /// Returns the total number of waiting requests.
     pub fn len(&self) -> usize {
         self.index.len()
     }
 
-    /// Tells whether none waits.
+    /// Returns whether no request waits.
     pub fn is_empty(&self) -> bool {
         self.index.is_empty()
     }
--- a/dockgate-core/src/queue/tests.rs
+++ b/dockgate-core/src/queue/tests.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn priority_then_deadline_then_age() {
+fn requests_are_ordered_by_priority_deadline_and_age() {
     let mut queue = RequestQueue::default();
     for request in [
         request(1, 1, 0, 900),
@@ -33,14 +33,14 @@
 }
 
 #[test]
-fn the_rest_of_an_answer_goes_before_everything_else() {
+fn resumed_requests_go_first() {
     let mut queue = RequestQueue::default();
     queue.push(request(1, 1, 9, 10), 10).unwrap();
-    let rest = WaitingRequest {
+    let resumed = WaitingRequest {
         resumed: true,
         ..request(2, 1, 0, 99)
     };
-    queue.push(rest, 10).unwrap();
+    queue.push(resumed, 10).unwrap();
     assert_eq!(
         queue.pop(POOL, WorkspaceKey(1)).map(|request| request.id),
         Some(2)
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_flood_fills_its_own_queue_only() {
+fn queue_limit_applies_per_workspace() {
     let mut queue = RequestQueue::default();
     for id in 0..3 {
         queue.push(request(id, 1, 0, 10), 3).unwrap();
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn deadlines_pass_and_ages_are_known() {
+fn expired_and_oldest_requests_are_found() {
     let mut queue = RequestQueue::default();
     queue.push(request(1, 1, 0, 10), 3).unwrap();
     queue.push(request(2, 1, 9, 20), 3).unwrap();
--- a/dockgate-core/src/scheduler.rs
+++ b/dockgate-core/src/scheduler.rs
@@ -1,8 +1,8 @@
-//! Which workspace gets each free slot of the endpoints that this box schedules.
+//! Grants free slots of the endpoints that this box schedules to workspaces.
 //!
-//! A plain state machine: seeks, settles and reports go in, grants come out. Two schedulers that
-//! both think they own an endpoint are tolerated; the endpoint's own limit and the settles of both
-//! entries keep the promises, and `overcommitted_slots` shows it.
+//! The scheduler is a state machine without I/O: slot demand, settle reports and ledger reports go
+//! in, grants come out. Two schedulers may briefly own the same endpoint. The endpoint's own limit
+//! then bounds its load, and `overcommitted_slots` counts the excess.
 
 mod demand_table;
 mod pause_policy;
@@ -25,41 +25,41 @@
 use slot_table::SlotTable;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-/// How workspaces are ordered; the last two are baselines for measurements.
+/// The order in which workspaces are served. `Local` and `Fcfs` are baselines for benchmarks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum OrderMode {
-    /// Fair over the whole fleet.
+    /// Fair shares of the service given by the whole fleet.
     #[default]
     Fair,
-    /// Fair by what this box has given alone.
+    /// Fair shares of the service given by this box only.
     Local,
     /// First come, first served.
     Fcfs,
 }
 
-/// The settings of a scheduler.
+/// The settings of a [`SlotScheduler`].
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SchedulePolicy {
-    /// How workspaces are ordered.
+    /// The order in which workspaces are served.
     pub mode: OrderMode,
-    /// What the order key adds.
+    /// How held slots count in the order of workspaces.
     pub order: OrderPolicy,
     /// When streams are paused.
     pub pause: PausePolicy,
-    /// How much younger a request at an entry of this scheduler's own domain may be and still go
-    /// first, in milliseconds: a slot turns over faster there.
+    /// The head start of requests at entries in this scheduler's own failure domain, in
+    /// milliseconds. Slots turn over faster there.
     pub locality_ms: u64,
-    /// How long a grant lasts without a sign of the entry, in milliseconds.
+    /// The time after which a grant expires if its entry does not report, in milliseconds.
     pub grant_ttl_ms: u64,
-    /// How long a newly owned endpoint is left alone while entries report what runs on it, in
-    /// milliseconds.
+    /// The time for which a newly owned endpoint gets no grants, in milliseconds. Entries report
+    /// the requests that run on it in this time.
     pub adopt_ms: u64,
 }
 
-/// A grant to be sent to an entry.
+/// A grant to send to an entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct GrantOffer {
-    /// The entry.
+    /// The box that holds the waiting request.
     pub entry: BoxKey,
     /// The grant.
     pub id: GrantId,
@@ -71,10 +71,10 @@
     pub endpoint: EndpointKey,
 }
 
-/// A running request that an entry reports to the scheduler that now owns its endpoint.
+/// A running request that an entry reports to the new owner of its endpoint.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct AdoptedGrant {
-    /// The grant, as the former scheduler named it.
+    /// The id assigned by the former scheduler.
     pub id: GrantId,
     /// The pool.
     pub pool: PoolKey,
@@ -82,68 +82,68 @@
     pub workspace: WorkspaceKey,
     /// The endpoint.
     pub endpoint: EndpointKey,
-    /// The service units that the former scheduler was told of.
+    /// The service units already reported to the former scheduler.
     pub charged: f64,
 }
 
-/// What an entry says of a grant.
+/// An entry's report on the cost or the end of a granted request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SettleReport {
     /// The grant.
     pub id: GrantId,
-    /// The cost so far, in service units.
+    /// The total cost so far, in service units.
     pub cost: f64,
-    /// How the request ended, if it has.
+    /// The outcome, or `None` while the request runs.
     pub ended: Option<SlotOutcome>,
 }
 
-/// Decides who gets the slots of the endpoints that this box owns.
+/// Grants the slots of the endpoints that this box owns.
 #[derive(Debug)]
 pub struct SlotScheduler {
-    me: BoxKey,
+    own_key: BoxKey,
     incarnation: Incarnation,
     policy: SchedulePolicy,
-    counter: u32,
+    grant_counter: u32,
     shares: HashMap<WorkspaceKey, u32>,
-    schedulers: HashMap<PoolKey, u32>,
+    scheduler_counts: HashMap<PoolKey, u32>,
     ledger: FairLedger,
     demand: DemandTable,
     queues: BTreeMap<PoolKey, FairQueue>,
-    floors: HashMap<PoolKey, f64>,
+    idle_floors: HashMap<PoolKey, f64>,
     rates: HashMap<PoolKey, RateMeter>,
     slots: SlotTable,
     grants: GrantTable,
-    expired: u64,
-    near: HashSet<BoxKey>,
+    expired_grants: u64,
+    local_entries: HashSet<BoxKey>,
     pause_budget: PauseBudget,
-    paused: u64,
+    paused_streams: u64,
 }
 
 impl SlotScheduler {
-    /// Makes a scheduler with no endpoints and no memory.
-    pub fn new(me: BoxKey, incarnation: Incarnation, policy: SchedulePolicy) -> Self {
+    /// Creates a scheduler without endpoints and with an empty ledger.
+    pub fn new(own_key: BoxKey, incarnation: Incarnation, policy: SchedulePolicy) -> Self {
         Self {
-            me,
+            own_key,
             incarnation,
             policy,
-            counter: 0,
+            grant_counter: 0,
             shares: HashMap::new(),
-            schedulers: HashMap::new(),
+            scheduler_counts: HashMap::new(),
             ledger: FairLedger::default(),
             demand: DemandTable::default(),
             queues: BTreeMap::new(),
-            floors: HashMap::new(),
+            idle_floors: HashMap::new(),
             rates: HashMap::new(),
             slots: SlotTable::default(),
             grants: GrantTable::default(),
-            expired: 0,
-            near: HashSet::new(),
+            expired_grants: 0,
+            local_entries: HashSet::new(),
             pause_budget: PauseBudget::default(),
-            paused: 0,
+            paused_streams: 0,
         }
     }
 
-    /// Sets the shares in force; levels stay where they are.
+    /// Sets the shares of the workspaces. Their levels do not change.
     pub fn set_shares(&mut self, shares: HashMap<WorkspaceKey, u32>) {
         for (workspace, new) in &shares {
             match self.shares.get(workspace) {
@@ -155,67 +155,75 @@
         self.reorder_all();
     }
 
-    /// Sets how many schedulers each pool has.
-    pub fn set_schedulers(&mut self, schedulers: HashMap<PoolKey, u32>) {
-        self.schedulers = schedulers;
+    /// Sets the number of schedulers of each pool.
+    pub fn set_scheduler_counts(&mut self, scheduler_counts: HashMap<PoolKey, u32>) {
+        self.scheduler_counts = scheduler_counts;
         self.reorder_all();
     }
 
     /// Sets the entries of this scheduler's own failure domain.
-    pub fn set_local_entries(&mut self, near: HashSet<BoxKey>) {
-        self.near = near;
+    pub fn set_local_entries(&mut self, local_entries: HashSet<BoxKey>) {
+        self.local_entries = local_entries;
     }
 
-    /// Sets the endpoints that this box owns; grants on the others are forgotten, their charges stay.
+    /// Sets the endpoints that this box owns.
+    ///
+    /// Drops the grants on other endpoints and keeps their charges.
     pub fn set_endpoints(&mut self, endpoints: &[SlotEndpoint], now_ms: u64) {
         let ready_ms = now_ms + self.policy.adopt_ms;
         let kept: HashSet<EndpointKey> = endpoints.iter().map(|endpoint| endpoint.key).collect();
         self.slots.replace(endpoints, ready_ms);
-        let gone = self
+        let removed = self
             .grants
             .remove_where(|grant| !kept.contains(&grant.endpoint));
-        for grant in gone {
-            self.slots.drop_held(grant.pool, grant.workspace);
-            self.refresh(grant.pool, grant.workspace);
+        for grant in removed {
+            self.slots.decrement_held(grant.pool, grant.workspace);
+            self.update_position(grant.pool, grant.workspace);
         }
     }
 
-    /// Takes a seek in; an unknown workspace is refused with `false`.
-    pub fn update_demand(&mut self, entry: BoxKey, seek: SlotDemand, now_ms: u64) -> bool {
-        let Some(share) = self.shares.get(&seek.workspace).copied() else {
+    /// Updates the demand of an entry. Returns false if the workspace is unknown.
+    pub fn update_demand(&mut self, entry: BoxKey, demand: SlotDemand, now_ms: u64) -> bool {
+        let Some(share) = self.shares.get(&demand.workspace).copied() else {
             return false;
         };
-        let (pool, workspace) = (seek.pool, seek.workspace);
-        self.demand.put(entry, seek, now_ms);
+        let (pool, workspace) = (demand.pool, demand.workspace);
+        self.demand.update(entry, demand, now_ms);
         if self.demand.waiting(pool, workspace) > 0 {
-            let floor = self.floors.get(&pool).copied().unwrap_or_default();
-            self.ledger.touch(pool, workspace, share, floor, now_ms);
+            let floor = self.idle_floors.get(&pool).copied().unwrap_or_default();
+            self.ledger
+                .mark_active(pool, workspace, share, floor, now_ms);
         }
-        self.refresh(pool, workspace);
+        self.update_position(pool, workspace);
         true
     }
 
-    /// Takes a settle in; an unknown grant, or one of another entry, is refused with `false`.
-    pub fn settle(&mut self, entry: BoxKey, settle: SettleReport, now_ms: u64) -> bool {
-        let Some(grant) = self.grants.get_mut(settle.id, entry) else {
+    /// Applies a settle report. Returns false if the entry does not hold the grant.
+    pub fn settle(&mut self, entry: BoxKey, report: SettleReport, now_ms: u64) -> bool {
+        let Some(grant) = self.grants.get_mut(report.id, entry) else {
             return false;
         };
-        let news = (settle.cost - grant.charged).max(0.0);
-        grant.charged += news;
+        let increase = (report.cost - grant.charged).max(0.0);
+        grant.charged += increase;
         grant.expires_ms = now_ms + self.policy.grant_ttl_ms;
         let grant = *grant;
-        self.ledger.charge(grant.pool, grant.workspace, news);
-        self.rates.entry(grant.pool).or_default().add_units(news);
-        if let Some(sign) = settle.ended {
-            self.grants.remove(settle.id);
+        self.ledger.charge(grant.pool, grant.workspace, increase);
+        self.rates
+            .entry(grant.pool)
+            .or_default()
+            .add_units(increase);
+        if let Some(outcome) = report.ended {
+            self.grants.remove(report.id);
             self.slots.release(grant.endpoint, grant.workspace);
-            self.slots.note(grant.endpoint, sign, now_ms);
+            self.slots.record_outcome(grant.endpoint, outcome, now_ms);
         }
-        self.refresh(grant.pool, grant.workspace);
+        self.update_position(grant.pool, grant.workspace);
         true
     }
 
-    /// Takes a running request over from a scheduler that is gone.
+    /// Takes over a running request from the former owner of its endpoint.
+    ///
+    /// Returns false if the endpoint is not owned here or the grant is already known.
     pub fn adopt(&mut self, entry: BoxKey, adopted: AdoptedGrant, now_ms: u64) -> bool {
         if !self.slots.owns(adopted.endpoint) || self.grants.contains(adopted.id) {
             return false;
@@ -226,60 +234,62 @@
             workspace: adopted.workspace,
             endpoint: adopted.endpoint,
             granted_ms: now_ms,
-            asked_to_pause: false,
+            pause_requested: false,
             charged: adopted.charged,
             expires_ms: now_ms + self.policy.grant_ttl_ms,
         };
         self.grants.insert(adopted.id, grant);
-        self.slots.take(adopted.endpoint, adopted.workspace);
-        self.refresh(adopted.pool, adopted.workspace);
+        self.slots.acquire(adopted.endpoint, adopted.workspace);
+        self.update_position(adopted.pool, adopted.workspace);
         true
     }
 
-    /// Forgets what waits at an entry that cannot be reached, so that no grant is sent into the
-    /// void; what runs there goes on.
+    /// Drops the demand of an unreachable entry, so that it gets no further grants.
+    ///
+    /// Grants of its running requests stay.
     pub fn forget_demand(&mut self, entry: BoxKey) {
         for (pool, workspace) in self.demand.forget(entry) {
-            self.refresh(pool, workspace);
+            self.update_position(pool, workspace);
         }
     }
 
-    /// Forgets a box: its seeks go, and its grants are free again since its connections are cut.
+    /// Drops the demand of a box and releases its grants, as its connections are closed.
     pub fn forget_box(&mut self, entry: BoxKey) {
         self.forget_demand(entry);
         for grant in self.grants.remove_where(|grant| grant.entry == entry) {
             self.slots.release(grant.endpoint, grant.workspace);
-            self.refresh(grant.pool, grant.workspace);
+            self.update_position(grant.pool, grant.workspace);
         }
     }
 
-    /// Merges what another scheduler has given.
+    /// Merges the service given by another scheduler.
     pub fn merge(&mut self, report: &LedgerReport, now_ms: u64) {
-        let me = (self.me, self.incarnation);
-        if self.policy.mode != OrderMode::Fair || (report.source, report.incarnation) == me {
+        let own_source = (self.own_key, self.incarnation);
+        if self.policy.mode != OrderMode::Fair || (report.source, report.incarnation) == own_source
+        {
             return;
         }
         for (pool, workspace) in self.ledger.merge(report, now_ms) {
-            self.refresh(pool, workspace);
+            self.update_position(pool, workspace);
         }
     }
 
-    /// Takes what the other schedulers are to be told.
+    /// Returns the ledger rows that changed since the last call, for the other schedulers.
     pub fn take_report(&mut self) -> LedgerReport {
-        self.ledger.take_report(self.me, self.incarnation)
+        self.ledger.take_report(self.own_key, self.incarnation)
     }
 
-    /// Returns everything known, for a daemon that starts with no memory.
+    /// Returns the whole ledger, for a daemon that has just started.
     pub fn full_reports(&self) -> Vec<LedgerReport> {
-        self.ledger.full_reports(self.me, self.incarnation)
+        self.ledger.full_reports(self.own_key, self.incarnation)
     }
 
-    /// Releases grants without a sign of their entry, and measures the rates.
+    /// Releases expired grants and updates the service rates.
     pub fn tick(&mut self, now_ms: u64) {
         for grant in self.grants.remove_where(|grant| grant.expires_ms <= now_ms) {
-            self.expired += 1;
+            self.expired_grants += 1;
             self.slots.release(grant.endpoint, grant.workspace);
-            self.refresh(grant.pool, grant.workspace);
+            self.update_position(grant.pool, grant.workspace);
         }
         let mut rates_changed = false;
         for (pool, held) in self.slots.held_by_pool() {
@@ -290,49 +300,49 @@
         }
     }
 
-    /// Gives every free slot to the workspace furthest behind that waits for it.
+    /// Grants every free slot to the waiting workspace with the lowest order key.
     pub fn schedule(&mut self, now_ms: u64) -> Vec<GrantOffer> {
         let pools: Vec<PoolKey> = self.queues.keys().copied().collect();
         let mut offers = Vec::new();
         for pool in pools {
-            while let Some(offer) = self.grant_one(pool, now_ms) {
+            while let Some(offer) = self.grant_slot(pool, now_ms) {
                 offers.push(offer);
             }
         }
         offers
     }
 
-    fn grant_one(&mut self, pool: PoolKey, now_ms: u64) -> Option<GrantOffer> {
-        let endpoint = self.slots.pick(pool, now_ms)?;
+    fn grant_slot(&mut self, pool: PoolKey, now_ms: u64) -> Option<GrantOffer> {
+        let endpoint = self.slots.least_loaded(pool, now_ms)?;
         let workspace = self.queues.get(&pool)?.first()?;
-        let (near, locality_ms) = (&self.near, self.policy.locality_ms);
-        let handicap = |entry: BoxKey| {
-            if near.contains(&entry) {
+        let (local_entries, locality_ms) = (&self.local_entries, self.policy.locality_ms);
+        let penalty_ms = |entry: BoxKey| {
+            if local_entries.contains(&entry) {
                 0
             } else {
                 locality_ms
             }
         };
-        let entry = self.demand.take(pool, workspace, handicap)?;
+        let entry = self.demand.take(pool, workspace, penalty_ms)?;
         self.pause_budget.earn(&self.policy.pause);
-        self.raise_floor(pool, workspace);
-        self.counter = self.counter.wrapping_add(1);
-        let id = GrantId::new(self.incarnation, self.counter);
+        self.raise_idle_floor(pool, workspace);
+        self.grant_counter = self.grant_counter.wrapping_add(1);
+        let id = GrantId::new(self.incarnation, self.grant_counter);
         let grant = HeldGrant {
             entry,
             pool,
             workspace,
             endpoint,
             granted_ms: now_ms,
-            asked_to_pause: false,
+            pause_requested: false,
             charged: 0.0,
             expires_ms: now_ms + self.policy.grant_ttl_ms,
         };
-        check_invariant("a grant id is new", self.grants.insert(id, grant));
-        self.slots.granted(endpoint, now_ms);
-        let free = self.slots.take(endpoint, workspace);
-        check_invariant("slots never above capacity", free);
-        self.refresh(pool, workspace);
+        check_invariant("grant ids are unique", self.grants.insert(id, grant));
+        self.slots.record_grant(endpoint, now_ms);
+        let within_capacity = self.slots.acquire(endpoint, workspace);
+        check_invariant("slots never above capacity", within_capacity);
+        self.update_position(pool, workspace);
         Some(GrantOffer {
             entry,
             id,
@@ -342,25 +352,26 @@
         })
     }
 
-    /// Picks the streams to be paused now: their entries, and their grants.
+    /// Selects the streams to pause now, as pairs of entry and grant.
     ///
-    /// A stream is paused where every slot is taken, and its workspace is further ahead of the one
-    /// that waits furthest behind than the policy allows; within a budget, and asked for once.
+    /// A stream qualifies if its pool has no free slot and the level of its workspace exceeds that
+    /// of the first waiting workspace by more than the policy allows. Each stream is selected at
+    /// most once, and the pause budget limits the total.
     pub fn select_pauses(&mut self, now_ms: u64) -> Vec<(BoxKey, GrantId)> {
-        // The baselines of measurements have no such lever.
+        // The baseline order modes never pause streams.
         if self.policy.pause.gap_s <= 0.0 || self.policy.mode != OrderMode::Fair {
             return Vec::new();
         }
         let pools: Vec<PoolKey> = self.queues.keys().copied().collect();
         pools
             .into_iter()
-            .filter_map(|pool| self.pause_one(pool, now_ms))
+            .filter_map(|pool| self.select_pause(pool, now_ms))
             .collect()
     }
 
-    fn pause_one(&mut self, pool: PoolKey, now_ms: u64) -> Option<(BoxKey, GrantId)> {
-        let behind = self.queues.get(&pool)?.first()?;
-        if !self.pause_budget.allows(now_ms) || self.slots.pick(pool, now_ms).is_some() {
+    fn select_pause(&mut self, pool: PoolKey, now_ms: u64) -> Option<(BoxKey, GrantId)> {
+        let first = self.queues.get(&pool)?.first()?;
+        if !self.pause_budget.allows(now_ms) || self.slots.least_loaded(pool, now_ms).is_some() {
             return None;
         }
         let level_of = |workspace| {
@@ -369,34 +380,34 @@
         };
         let gap = LevelGap {
             pool,
-            behind: level_of(behind),
-            allowed: self.policy.pause.gap_s * self.fair_rate(pool, now_ms),
+            first_level: level_of(first),
+            max_gap: self.policy.pause.gap_s * self.fair_rate(pool, now_ms),
         };
-        let id = gap.pick(self.grants.iter(), level_of, &self.policy.pause, now_ms)?;
-        let grant = self.grants.mark_asked(id)?;
+        let id = gap.select(self.grants.iter(), level_of, &self.policy.pause, now_ms)?;
+        let grant = self.grants.mark_pause_requested(id)?;
         self.pause_budget.spend(now_ms);
-        self.paused += 1;
+        self.paused_streams += 1;
         Some((grant.entry, id))
     }
 
-    /// Returns what a backlogged workspace gets a second for a share of one, over the fleet.
+    /// Returns the service units per second that the fleet gives to a share of one.
     fn fair_rate(&self, pool: PoolKey, now_ms: u64) -> f64 {
         let shares: u32 = self
             .ledger
             .active(pool, now_ms)
             .map(|workspace| self.share(workspace))
             .sum();
-        let own = self.slots.slots_of(pool);
-        let schedulers = self.schedulers.get(&pool).copied().unwrap_or(1);
+        let own_slots = self.slots.declared_slots(pool);
+        let schedulers = self.scheduler_counts.get(&pool).copied().unwrap_or(1);
         let rate = self.rates.get(&pool).map_or(0.0, RateMeter::rate);
-        f64::from(own) * f64::from(schedulers) * rate / f64::from(shares.max(1))
+        f64::from(own_slots) * f64::from(schedulers) * rate / f64::from(shares.max(1))
     }
 
-    /// Raises the level to which workspaces that come back from idle are lifted.
-    fn raise_floor(&mut self, pool: PoolKey, workspace: WorkspaceKey) {
+    /// Raises the minimum level of workspaces that return from idle.
+    fn raise_idle_floor(&mut self, pool: PoolKey, workspace: WorkspaceKey) {
         let share = self.share(workspace);
         let level = self.ledger.level(pool, workspace, share);
-        let floor = self.floors.entry(pool).or_default();
+        let floor = self.idle_floors.entry(pool).or_default();
         *floor = floor.max(level);
     }
 
@@ -404,14 +415,14 @@
         self.shares.get(&workspace).copied().unwrap_or(1)
     }
 
-    /// Puts a workspace where its key says, or takes it out when nothing of it waits.
-    fn refresh(&mut self, pool: PoolKey, workspace: WorkspaceKey) {
+    /// Updates the position of a workspace in its queue, or removes it if nothing waits.
+    fn update_position(&mut self, pool: PoolKey, workspace: WorkspaceKey) {
         let queue = self.queues.entry(pool).or_default();
         match self.demand.waiting(pool, workspace) {
             0 => queue.remove(workspace),
             _ => {
                 let key = self.order_key(pool, workspace);
-                self.queues.entry(pool).or_default().put(workspace, key);
+                self.queues.entry(pool).or_default().insert(workspace, key);
             }
         }
     }
@@ -424,7 +435,7 @@
         let level = self.ledger.level(pool, workspace, share);
         let held = self.slots.held_of(pool, workspace);
         let schedulers = match self.policy.mode {
-            OrderMode::Fair => self.schedulers.get(&pool).copied().unwrap_or(1),
+            OrderMode::Fair => self.scheduler_counts.get(&pool).copied().unwrap_or(1),
             _ => 1,
         };
         let rate = self.rates.get(&pool).map_or(0.0, RateMeter::rate);
@@ -440,46 +451,46 @@
             .flat_map(|(pool, queue)| queue.iter().map(|workspace| (*pool, workspace)))
             .collect();
         for (pool, workspace) in waiting {
-            self.refresh(pool, workspace);
+            self.update_position(pool, workspace);
         }
     }
 
-    /// Returns the free slots of each pool.
+    /// Returns the number of free slots in each pool.
     pub fn free_slots(&self, now_ms: u64) -> BTreeMap<PoolKey, u32> {
         self.slots.free_by_pool(now_ms)
     }
 
-    /// Returns how many grants are held.
+    /// Returns the number of grants held.
     pub fn held_grants(&self) -> usize {
         self.grants.len()
     }
 
-    /// Returns how many grants lapsed without a sign of their entry.
+    /// Returns the number of grants that expired because their entry did not report.
     pub const fn expired_grants(&self) -> u64 {
-        self.expired
+        self.expired_grants
     }
 
-    /// Returns how many streams were asked to pause.
+    /// Returns the number of streams selected for a pause.
     pub const fn paused_streams(&self) -> u64 {
-        self.paused
+        self.paused_streams
     }
 
-    /// Returns how many slots are held beyond capacity, as when two boxes own an endpoint.
+    /// Returns the number of slots held beyond capacity, as when two boxes own an endpoint.
     pub fn overcommitted_slots(&self) -> u32 {
         self.slots.overcommitted()
     }
 
-    /// Returns how many endpoints get no new work for a while, after failures.
+    /// Returns the number of endpoints in backoff.
     pub fn backed_off_endpoints(&self, now_ms: u64) -> usize {
-        self.slots.resting(now_ms)
+        self.slots.backed_off(now_ms)
     }
 
-    /// Returns the endpoints that this box schedules.
+    /// Returns the number of endpoints that this box schedules.
     pub fn endpoint_count(&self) -> usize {
         self.slots.len()
     }
 
-    /// Returns the sums of service.
+    /// Returns the ledger of service given.
     pub const fn ledger(&self) -> &FairLedger {
         &self.ledger
     }
--- a/dockgate-core/src/scheduler/demand_table.rs
+++ b/dockgate-core/src/scheduler/demand_table.rs
@@ -1,20 +1,20 @@
-//! What waits at every entry, as far as this scheduler was told.
+//! The slot demand reported by the entries.
 
 use crate::ids::{BoxKey, PoolKey, WorkspaceKey};
 use std::collections::{BTreeMap, HashMap};
 
-/// A seek as the scheduler takes it in.
+/// The demand of one entry for slots of a pool, as it reports it to a scheduler.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SlotDemand {
     /// The pool.
     pub pool: PoolKey,
     /// The workspace.
     pub workspace: WorkspaceKey,
-    /// How many requests wait at the entry.
+    /// The number of requests that wait at the entry.
     pub waiting: u32,
-    /// How many grants of this scheduler the entry had seen when it sent the seek.
-    pub seen: u32,
-    /// For how long the oldest has waited, in milliseconds.
+    /// The number of this scheduler's grants that the entry had received before its report.
+    pub grants_seen: u32,
+    /// The age of the oldest waiting request, in milliseconds.
     pub age_ms: u32,
 }
 
@@ -25,63 +25,63 @@
     waiting: u32,
     granted: u32,
     oldest_ms: u64,
-    told_ms: u64,
+    updated_ms: u64,
 }
 
-/// Holds the demand of every entry for every account.
+/// The demand of each entry, by pool and workspace.
 #[derive(Debug, Default)]
 pub(super) struct DemandTable {
     accounts: HashMap<AccountKey, BTreeMap<BoxKey, EntryDemand>>,
 }
 
 impl DemandTable {
-    /// Takes in what an entry says, less the grants it had not seen yet.
-    pub(super) fn put(&mut self, entry: BoxKey, seek: SlotDemand, now_ms: u64) {
+    /// Stores the demand of an entry, less the grants that it had not received yet.
+    pub(super) fn update(&mut self, entry: BoxKey, report: SlotDemand, now_ms: u64) {
         let account = self
             .accounts
-            .entry((seek.pool, seek.workspace))
+            .entry((report.pool, report.workspace))
             .or_default();
         let demand = account.entry(entry).or_default();
-        let unseen = demand.granted.wrapping_sub(seek.seen);
-        // A wrapped difference means that one side has lost its memory; the seek then stands.
+        let unseen = demand.granted.wrapping_sub(report.grants_seen);
+        // The difference wraps if one side has restarted; the report then counts in full.
         let unseen = if unseen > u32::MAX / 2 { 0 } else { unseen };
-        demand.waiting = seek.waiting.saturating_sub(unseen);
-        demand.oldest_ms = now_ms.saturating_sub(u64::from(seek.age_ms));
-        demand.told_ms = now_ms;
+        demand.waiting = report.waiting.saturating_sub(unseen);
+        demand.oldest_ms = now_ms.saturating_sub(u64::from(report.age_ms));
+        demand.updated_ms = now_ms;
     }
 
-    /// Returns how many requests of an account wait over all entries.
+    /// Returns the number of requests of an account that wait at all entries.
     pub(super) fn waiting(&self, pool: PoolKey, workspace: WorkspaceKey) -> u32 {
         self.accounts.get(&(pool, workspace)).map_or(0, |entries| {
             entries.values().map(|entry| entry.waiting).sum()
         })
     }
 
-    /// Takes one request of an account: at the entry where the oldest waits, after a handicap in
-    /// milliseconds for each entry.
+    /// Takes one request of an account and returns its entry: the one whose oldest request has
+    /// waited longest, less the penalty of the entry.
     ///
-    /// Taking it where most wait would starve an entry whose queue only shrinks, such as that of a
-    /// box that is stopping.
+    /// Choosing the longest queue instead would starve entries whose queue only shrinks, such as
+    /// that of a stopping box.
     pub(super) fn take(
         &mut self,
         pool: PoolKey,
         workspace: WorkspaceKey,
-        handicap: impl Fn(BoxKey) -> u64,
+        penalty_ms: impl Fn(BoxKey) -> u64,
     ) -> Option<BoxKey> {
         let entries = self.accounts.get_mut(&(pool, workspace))?;
         let (entry, demand) = entries
             .iter_mut()
             .filter(|(_, demand)| demand.waiting > 0)
-            .min_by_key(|(entry, demand)| demand.oldest_ms + handicap(**entry))?;
-        // The next request is assumed to be younger by an equal part of the queue's age.
-        let spread = demand.told_ms.saturating_sub(demand.oldest_ms);
-        demand.oldest_ms += spread / u64::from(demand.waiting);
+            .min_by_key(|(entry, demand)| demand.oldest_ms + penalty_ms(**entry))?;
+        // Assumes that the arrivals are spread evenly over the age of the queue.
+        let age_ms = demand.updated_ms.saturating_sub(demand.oldest_ms);
+        demand.oldest_ms += age_ms / u64::from(demand.waiting);
         demand.waiting -= 1;
         demand.granted = demand.granted.wrapping_add(1);
         Some(*entry)
     }
 
-    /// Returns when the oldest request arrived: the order key of first come, first served.
+    /// Returns the arrival time of the oldest request, the order key of `OrderMode::Fcfs`.
     pub(super) fn arrival_key(&self, pool: PoolKey, workspace: WorkspaceKey) -> f64 {
         let oldest = self
             .accounts
@@ -94,7 +94,7 @@
         oldest.unwrap_or_default() as f64
     }
 
-    /// Forgets an entry; returns the accounts it had.
+    /// Removes an entry and returns its accounts.
     pub(super) fn forget(&mut self, entry: BoxKey) -> Vec<AccountKey> {
         self.accounts
             .iter_mut()
--- a/dockgate-core/src/scheduler/rate_meter.rs
+++ b/dockgate-core/src/scheduler/rate_meter.rs
@@ -1,6 +1,6 @@
-//! How much service a held slot takes a second.
+//! The rate at which held slots consume service.
 
-/// A moving average of service units a second for one held slot.
+/// A moving average of service units per second and held slot.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct RateMeter {
     units: f64,
@@ -9,20 +9,22 @@
 }
 
 impl RateMeter {
-    /// The shortest window that is worth a sample, in milliseconds.
-    const WINDOW_MS: u64 = 1_000;
-    /// The weight of a new sample.
-    const WEIGHT: f64 = 0.3;
+    /// The minimum window of a sample, in milliseconds.
+    const MIN_WINDOW_MS: u64 = 1_000;
+    /// The weight of a new sample in the average.
+    const SAMPLE_WEIGHT: f64 = 0.3;
 
-    /// Counts service given.
+    /// Adds service units to the current window.
     pub(super) fn add_units(&mut self, units: f64) {
         self.units += units;
     }
 
-    /// Closes the window if it is long enough, and tells whether it was; `held` slots were held in it.
+    /// Closes the window if it is long enough, and returns whether it was closed.
+    ///
+    /// `held` is the number of slots held in the window.
     pub(super) fn advance(&mut self, now_ms: u64, held: u32) -> bool {
         let elapsed = now_ms.saturating_sub(self.last_ms);
-        if elapsed < Self::WINDOW_MS {
+        if elapsed < Self::MIN_WINDOW_MS {
             return false;
         }
         if held > 0 && self.last_ms > 0 {
@@ -30,7 +32,7 @@
             let sample = self.units / slot_seconds;
             self.rate = match self.rate {
                 0.0 => sample,
-                old => old + Self::WEIGHT * (sample - old),
+                old => old + Self::SAMPLE_WEIGHT * (sample - old),
             };
         }
         self.units = 0.0;
@@ -38,7 +40,7 @@
         true
     }
 
-    /// Returns service units a second for one held slot.
+    /// Returns the service units per second and held slot.
     pub(super) const fn rate(&self) -> f64 {
         self.rate
     }
--- a/dockgate-core/src/scheduler/slot_health.rs
+++ b/dockgate-core/src/scheduler/slot_health.rs
@@ -1,105 +1,105 @@
-//! How far an endpoint is trusted with new work: circuit breaking with probes, and learned slots.
+//! Circuit breaking and capacity estimation for the slots of an endpoint.
 
-/// What an entry saw of an endpoint when a request ended.
+/// The result of a request on a slot, as its entry observed it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SlotOutcome {
-    /// It answered.
+    /// The endpoint answered.
     Answered,
-    /// It refused, as it is full.
+    /// The endpoint refused the request because it is full.
     Full,
-    /// It refused, and asked to be sent nothing for so many milliseconds.
+    /// The endpoint refused the request and asked for a backoff of this many milliseconds.
     Backoff(u32),
-    /// It could not be reached, or was lost inside an answer.
+    /// The endpoint was unreachable, or its connection was lost during the answer.
     Lost,
 }
 
-/// The trust in one endpoint.
+/// The availability of one endpoint and the number of its usable slots.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct SlotHealth {
     failures: u32,
-    closed_until_ms: u64,
-    /// Until when it asked to be sent nothing: an answer that was under way says nothing of that.
-    rests_until_ms: u64,
-    /// Slots that it was seen to have, where that is fewer than it is declared to have.
-    learned: Option<u32>,
-    learned_ms: u64,
-    /// Refusals in a row, without a calm time between them.
+    blocked_until_ms: u64,
+    /// The end of the backoff that the endpoint asked for. Answers in progress do not shorten it.
+    backoff_until_ms: u64,
+    /// The number of slots held when the endpoint was last full.
+    observed_slots: Option<u32>,
+    observed_ms: u64,
+    /// Consecutive refusals, each at most `REFUSAL_RESET_MS` after the last.
     refusals: u32,
 }
 
 impl SlotHealth {
-    /// How long an endpoint rests after its first failure, in milliseconds; doubles with each more.
-    const REST_MS: u64 = 100;
-    /// The longest rest, in milliseconds.
-    const MOST_REST_MS: u64 = 5_000;
-    /// How long a full endpoint rests, in milliseconds.
-    const FULL_REST_MS: u64 = 20;
-    /// After how many milliseconds without a refusal one slot more is tried, then two, then four;
-    /// doubles with every refusal in a row.
-    const REGROW_MS: u64 = 50;
-    /// How long no refusal must come until they no longer count as in a row, in milliseconds.
-    const CALM_MS: u64 = 3_000;
-    /// The most doublings.
-    const MOST_DOUBLINGS: u32 = 6;
+    /// The backoff after the first failure, in milliseconds. Doubles with each further failure.
+    const INITIAL_BACKOFF_MS: u64 = 100;
+    /// The maximum backoff after failures, in milliseconds.
+    const MAX_BACKOFF_MS: u64 = 5_000;
+    /// The backoff of a full endpoint, in milliseconds.
+    const FULL_BACKOFF_MS: u64 = 20;
+    /// The interval without a refusal after which slots are added again, in milliseconds: one,
+    /// then two more, then four more. Doubles with each consecutive refusal.
+    const REGROWTH_INTERVAL_MS: u64 = 50;
+    /// The time without a refusal that resets the count of refusals, in milliseconds.
+    const REFUSAL_RESET_MS: u64 = 3_000;
+    /// The maximum number of doublings of an interval.
+    const MAX_DOUBLINGS: u32 = 6;
 
-    /// Tells whether the endpoint may get new work now.
-    pub(super) const fn is_open(&self, now_ms: u64) -> bool {
-        now_ms >= self.closed_until_ms && now_ms >= self.rests_until_ms
+    /// Returns whether the endpoint may get new requests.
+    pub(super) const fn is_available(&self, now_ms: u64) -> bool {
+        now_ms >= self.blocked_until_ms && now_ms >= self.backoff_until_ms
     }
 
-    /// Returns how many slots to count on.
+    /// Returns the number of slots that the endpoint is expected to have.
     pub(super) fn slots(&self, declared: u32, now_ms: u64) -> u32 {
-        self.learned.map_or(declared, |learned| {
-            let steps = now_ms.saturating_sub(self.learned_ms) / self.regrow_ms();
-            let regrown = (1_u32 << steps.min(16)) - 1;
-            learned.saturating_add(regrown).min(declared)
+        self.observed_slots.map_or(declared, |observed_slots| {
+            let intervals = now_ms.saturating_sub(self.observed_ms) / self.regrowth_interval_ms();
+            let added_slots = (1_u32 << intervals.min(16)) - 1;
+            observed_slots.saturating_add(added_slots).min(declared)
         })
     }
 
-    /// Notes new work: while it is doubted, an endpoint gets one request at a time as a probe.
-    pub(super) fn granted(&mut self, now_ms: u64) {
+    /// Records a grant. An endpoint that has failed gets one request at a time as a probe.
+    pub(super) fn record_grant(&mut self, now_ms: u64) {
         if self.failures > 0 {
-            self.closed_until_ms = now_ms + self.rest_ms();
+            self.blocked_until_ms = now_ms + self.backoff_ms();
         }
     }
 
-    /// Notes how a request ended; `held` slots are still held.
-    pub(super) fn note(&mut self, sign: SlotOutcome, held: u32, now_ms: u64) {
-        match sign {
+    /// Records how a request ended, with `held` slots still in use.
+    pub(super) fn record_outcome(&mut self, outcome: SlotOutcome, held: u32, now_ms: u64) {
+        match outcome {
             SlotOutcome::Answered => {
                 self.failures = 0;
-                self.closed_until_ms = 0;
+                self.blocked_until_ms = 0;
             }
-            SlotOutcome::Backoff(rest_ms) => {
-                let until_ms = now_ms + u64::from(rest_ms);
-                self.rests_until_ms = self.rests_until_ms.max(until_ms);
+            SlotOutcome::Backoff(backoff_ms) => {
+                let until_ms = now_ms + u64::from(backoff_ms);
+                self.backoff_until_ms = self.backoff_until_ms.max(until_ms);
             }
             SlotOutcome::Full => {
-                let since = now_ms.saturating_sub(self.learned_ms);
-                self.refusals = match since {
-                    since if since > Self::CALM_MS => 0,
-                    // Requests that were under way together are refused together: that is one sign.
-                    since if since < self.regrow_ms() => self.refusals,
+                let elapsed_ms = now_ms.saturating_sub(self.observed_ms);
+                self.refusals = match elapsed_ms {
+                    elapsed_ms if elapsed_ms > Self::REFUSAL_RESET_MS => 0,
+                    // Concurrent requests that are refused together count as one refusal.
+                    elapsed_ms if elapsed_ms < self.regrowth_interval_ms() => self.refusals,
                     _ => self.refusals + 1,
                 };
-                self.learned = Some(held.max(1));
-                self.learned_ms = now_ms;
-                self.closed_until_ms = now_ms + Self::FULL_REST_MS;
+                self.observed_slots = Some(held.max(1));
+                self.observed_ms = now_ms;
+                self.blocked_until_ms = now_ms + Self::FULL_BACKOFF_MS;
             }
             SlotOutcome::Lost => {
                 self.failures = self.failures.saturating_add(1);
-                self.closed_until_ms = now_ms + self.rest_ms();
+                self.blocked_until_ms = now_ms + self.backoff_ms();
             }
         }
     }
 
-    fn regrow_ms(&self) -> u64 {
-        Self::REGROW_MS << self.refusals.min(Self::MOST_DOUBLINGS)
+    fn regrowth_interval_ms(&self) -> u64 {
+        Self::REGROWTH_INTERVAL_MS << self.refusals.min(Self::MAX_DOUBLINGS)
     }
 
-    fn rest_ms(&self) -> u64 {
-        let doublings = self.failures.saturating_sub(1).min(Self::MOST_DOUBLINGS);
-        Self::MOST_REST_MS.min(Self::REST_MS << doublings)
+    fn backoff_ms(&self) -> u64 {
+        let doublings = self.failures.saturating_sub(1).min(Self::MAX_DOUBLINGS);
+        Self::MAX_BACKOFF_MS.min(Self::INITIAL_BACKOFF_MS << doublings)
     }
 }
 
--- a/dockgate-core/src/scheduler/slot_health/tests.rs
+++ b/dockgate-core/src/scheduler/slot_health/tests.rs
@@ -1,54 +1,58 @@
 use super::*;
 
 #[test]
-fn a_failing_endpoint_is_probed_ever_less_and_trusted_after_one_answer() {
+fn failing_endpoint_is_probed_with_backoff_until_it_answers() {
     let mut health = SlotHealth::default();
-    health.note(SlotOutcome::Lost, 0, 0);
-    assert!(!health.is_open(99));
-    assert!(health.is_open(100));
-    health.granted(100);
-    assert!(!health.is_open(150), "one probe at a time");
-    health.note(SlotOutcome::Lost, 0, 160);
-    assert!(!health.is_open(359));
-    assert!(health.is_open(360));
-    health.granted(360);
-    health.note(SlotOutcome::Answered, 0, 400);
-    assert!(health.is_open(400));
+    health.record_outcome(SlotOutcome::Lost, 0, 0);
+    assert!(!health.is_available(99));
+    assert!(health.is_available(100));
+    health.record_grant(100);
+    assert!(!health.is_available(150), "only one probe runs at a time");
+    health.record_outcome(SlotOutcome::Lost, 0, 160);
+    assert!(!health.is_available(359));
+    assert!(health.is_available(360));
+    health.record_grant(360);
+    health.record_outcome(SlotOutcome::Answered, 0, 400);
+    assert!(health.is_available(400));
 }
 
 #[test]
-fn a_full_endpoint_is_believed_and_tried_again_ever_more_boldly() {
+fn full_endpoint_regains_slots_exponentially() {
     let mut health = SlotHealth::default();
-    health.note(SlotOutcome::Full, 3, 10_000);
+    health.record_outcome(SlotOutcome::Full, 3, 10_000);
     assert_eq!(health.slots(16, 10_000), 3);
-    assert!(!health.is_open(10_010));
-    assert!(health.is_open(10_020));
+    assert!(!health.is_available(10_010));
+    assert!(health.is_available(10_020));
     assert_eq!(health.slots(16, 10_050), 4);
     assert_eq!(health.slots(16, 10_150), 10);
     assert_eq!(health.slots(16, 10_200), 16);
     for _ in 0..16 {
-        health.note(SlotOutcome::Full, 3, 10_200);
+        health.record_outcome(SlotOutcome::Full, 3, 10_200);
     }
     assert_eq!(
         health.slots(16, 10_250),
         3,
-        "it waits longer after a second sign"
+        "the interval doubles after a second refusal"
     );
     assert_eq!(
         health.slots(16, 10_300),
         4,
-        "but not for every refusal of a burst"
+        "a burst of refusals counts once"
     );
 }
 
 #[test]
-fn an_endpoint_that_asks_for_rest_gets_it_whatever_it_answers_meanwhile() {
+fn requested_backoff_is_kept_despite_later_answers() {
     let mut health = SlotHealth::default();
-    health.note(SlotOutcome::Backoff(3_000), 2, 1_000);
-    health.note(SlotOutcome::Answered, 1, 1_200);
-    health.note(SlotOutcome::Backoff(500), 1, 1_300);
-    health.note(SlotOutcome::Lost, 0, 1_400);
-    assert!(!health.is_open(3_999));
-    assert!(health.is_open(4_000));
-    assert_eq!(health.slots(16, 4_000), 16, "it is not full");
+    health.record_outcome(SlotOutcome::Backoff(3_000), 2, 1_000);
+    health.record_outcome(SlotOutcome::Answered, 1, 1_200);
+    health.record_outcome(SlotOutcome::Backoff(500), 1, 1_300);
+    health.record_outcome(SlotOutcome::Lost, 0, 1_400);
+    assert!(!health.is_available(3_999));
+    assert!(health.is_available(4_000));
+    assert_eq!(
+        health.slots(16, 4_000),
+        16,
+        "a backoff does not reduce the slots"
+    );
 }
--- a/dockgate-core/src/scheduler/slot_table.rs
+++ b/dockgate-core/src/scheduler/slot_table.rs
@@ -5,14 +5,14 @@
 use crate::invariant::check_invariant;
 use std::collections::{BTreeMap, HashMap};
 
-/// An endpoint as its scheduler sees it.
+/// An endpoint with the slots that its scheduler may grant.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SlotEndpoint {
     /// The endpoint.
     pub key: EndpointKey,
-    /// Its pool.
+    /// The pool.
     pub pool: PoolKey,
-    /// How many requests it runs at once.
+    /// The declared number of concurrent requests.
     pub slots: u32,
 }
 
@@ -27,7 +27,7 @@
 
 impl EndpointSlots {
     fn free(&self, now_ms: u64) -> u32 {
-        match now_ms < self.ready_ms || !self.health.is_open(now_ms) {
+        match now_ms < self.ready_ms || !self.health.is_available(now_ms) {
             true => 0,
             false => {
                 let slots = self.health.slots(self.slots, now_ms);
@@ -37,7 +37,7 @@
     }
 }
 
-/// Counts the slots held on each endpoint and by each workspace.
+/// The slots held on each endpoint and by each workspace.
 #[derive(Debug, Default)]
 pub(super) struct SlotTable {
     endpoints: BTreeMap<EndpointKey, EndpointSlots>,
@@ -45,9 +45,9 @@
 }
 
 impl SlotTable {
-    /// Takes a new set of endpoints; known ones keep their counts, new ones wait until `ready_ms`.
+    /// Replaces the set of endpoints. Known ones keep their counts, new ones wait until `ready_ms`.
     ///
-    /// The caller releases nothing for endpoints that are gone: their counts go here.
+    /// Drops the counts of removed endpoints; the caller must not release their slots.
     pub(super) fn replace(&mut self, endpoints: &[SlotEndpoint], ready_ms: u64) {
         let old = std::mem::take(&mut self.endpoints);
         for endpoint in endpoints {
@@ -63,13 +63,13 @@
         }
     }
 
-    /// Tells whether an endpoint is owned here.
+    /// Returns whether this scheduler owns an endpoint.
     pub(super) fn owns(&self, endpoint: EndpointKey) -> bool {
         self.endpoints.contains_key(&endpoint)
     }
 
-    /// Picks the endpoint of a pool with the smallest part of its slots held.
-    pub(super) fn pick(&self, pool: PoolKey, now_ms: u64) -> Option<EndpointKey> {
+    /// Returns the available endpoint of a pool with the smallest fraction of its slots held.
+    pub(super) fn least_loaded(&self, pool: PoolKey, now_ms: u64) -> Option<EndpointKey> {
         self.endpoints
             .iter()
             .filter(|(_, endpoint)| endpoint.pool == pool && endpoint.free(now_ms) > 0)
@@ -80,22 +80,27 @@
             .map(|(key, _)| *key)
     }
 
-    /// Notes that an endpoint gets new work.
-    pub(super) fn granted(&mut self, endpoint: EndpointKey, now_ms: u64) {
+    /// Records a grant on an endpoint.
+    pub(super) fn record_grant(&mut self, endpoint: EndpointKey, now_ms: u64) {
         if let Some(slots) = self.endpoints.get_mut(&endpoint) {
-            slots.health.granted(now_ms);
+            slots.health.record_grant(now_ms);
         }
     }
 
-    /// Notes how a request on an endpoint ended, after its slot was released.
-    pub(super) fn note(&mut self, endpoint: EndpointKey, sign: SlotOutcome, now_ms: u64) {
+    /// Records how a request on an endpoint ended, after its slot was released.
+    pub(super) fn record_outcome(
+        &mut self,
+        endpoint: EndpointKey,
+        outcome: SlotOutcome,
+        now_ms: u64,
+    ) {
         if let Some(slots) = self.endpoints.get_mut(&endpoint) {
-            slots.health.note(sign, slots.held, now_ms);
+            slots.health.record_outcome(outcome, slots.held, now_ms);
         }
     }
 
-    /// Holds a slot for a workspace; returns false beyond capacity.
-    pub(super) fn take(&mut self, endpoint: EndpointKey, workspace: WorkspaceKey) -> bool {
+    /// Takes a slot for a workspace. Returns false if the endpoint is unknown or over capacity.
+    pub(super) fn acquire(&mut self, endpoint: EndpointKey, workspace: WorkspaceKey) -> bool {
         let Some(slots) = self.endpoints.get_mut(&endpoint) else {
             return false;
         };
@@ -104,7 +109,7 @@
         slots.held <= slots.slots
     }
 
-    /// Frees a slot of a workspace.
+    /// Releases a slot of a workspace.
     pub(super) fn release(&mut self, endpoint: EndpointKey, workspace: WorkspaceKey) {
         let Some(slots) = self.endpoints.get_mut(&endpoint) else {
             return;
@@ -113,28 +118,28 @@
         if check_invariant("slots never negative", slots.held > 0) {
             slots.held -= 1;
         }
-        self.drop_held(pool, workspace);
+        self.decrement_held(pool, workspace);
     }
 
-    /// Takes a slot off a workspace's count.
-    pub(super) fn drop_held(&mut self, pool: PoolKey, workspace: WorkspaceKey) {
+    /// Decrements the count of slots that a workspace holds in a pool.
+    pub(super) fn decrement_held(&mut self, pool: PoolKey, workspace: WorkspaceKey) {
         let held = self.held.entry((pool, workspace)).or_default();
         if check_invariant("held slots never negative", *held > 0) {
             *held -= 1;
         }
     }
 
-    /// Returns the slots that a workspace holds in a pool.
+    /// Returns the number of slots that a workspace holds in a pool.
     pub(super) fn held_of(&self, pool: PoolKey, workspace: WorkspaceKey) -> u32 {
         self.held.get(&(pool, workspace)).copied().unwrap_or(0)
     }
 
-    /// Returns the slots held in each pool.
+    /// Returns the number of slots held in each pool.
     pub(super) fn held_by_pool(&self) -> BTreeMap<PoolKey, u32> {
         self.sum_by_pool(|endpoint| endpoint.held)
     }
 
-    /// Returns the free slots of each pool.
+    /// Returns the number of free slots in each pool.
     pub(super) fn free_by_pool(&self, now_ms: u64) -> BTreeMap<PoolKey, u32> {
         self.sum_by_pool(|endpoint| endpoint.free(now_ms))
     }
@@ -147,7 +152,7 @@
         sums
     }
 
-    /// Returns how many slots are held beyond capacity.
+    /// Returns the number of slots held beyond capacity.
     pub(super) fn overcommitted(&self) -> u32 {
         self.endpoints
             .values()
@@ -155,8 +160,8 @@
             .sum()
     }
 
-    /// Returns the declared slots of a pool.
-    pub(super) fn slots_of(&self, pool: PoolKey) -> u32 {
+    /// Returns the declared number of slots of a pool.
+    pub(super) fn declared_slots(&self, pool: PoolKey) -> u32 {
         let endpoints = self.endpoints.values();
         endpoints
             .filter(|endpoint| endpoint.pool == pool)
@@ -164,15 +169,15 @@
             .sum()
     }
 
-    /// Returns how many endpoints are resting after failures.
-    pub(super) fn resting(&self, now_ms: u64) -> usize {
+    /// Returns the number of endpoints that get no new requests for now.
+    pub(super) fn backed_off(&self, now_ms: u64) -> usize {
         let endpoints = self.endpoints.values();
         endpoints
-            .filter(|endpoint| !endpoint.health.is_open(now_ms))
+            .filter(|endpoint| !endpoint.health.is_available(now_ms))
             .count()
     }
 
-    /// Returns how many endpoints are owned.
+    /// Returns the number of endpoints.
     pub(super) fn len(&self) -> usize {
         self.endpoints.len()
     }
--- a/dockgate-core/src/slot_request_table.rs
+++ b/dockgate-core/src/slot_request_table.rs
@@ -1,13 +1,13 @@
-//! What an entry asks of which scheduler.
+//! The slot requests of an entry to each scheduler.
 //!
-//! A seek is a level, not an event: "this many requests of the workspace wait here". It is sent
-//! again only where the scheduler's idea of it has become useless: it thinks that nothing waits
-//! while something does, that something waits while nothing does, or that much less waits.
+//! A slot request states the number of requests of a workspace that wait at the entry. It is sent
+//! again only if the number last announced, less the grants since, is zero while requests wait,
+//! not zero while none wait, or much too low.
 
 use crate::ids::{BoxKey, PoolKey, WorkspaceKey};
 use std::collections::HashMap;
 
-/// A seek to be sent.
+/// A slot request to send to a scheduler.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SlotRequest {
     /// The scheduler.
@@ -16,35 +16,35 @@
     pub pool: PoolKey,
     /// The workspace.
     pub workspace: WorkspaceKey,
-    /// How many requests wait.
+    /// The number of waiting requests.
     pub waiting: u32,
-    /// How many grants of this scheduler the entry has seen for this workspace and pool.
-    pub seen: u32,
+    /// The number of grants received from this scheduler for this workspace and pool.
+    pub grants_seen: u32,
 }
 
 #[derive(Debug, Clone, Copy, Default)]
-struct SoughtScheduler {
-    /// What the scheduler was last told, less the grants seen since.
-    believed: u32,
-    /// Grants seen from it.
-    seen: u32,
+struct AnnouncedDemand {
+    /// The number of requests last announced, less the grants received since.
+    outstanding: u32,
+    /// The number of grants received.
+    grants_seen: u32,
 }
 
 type AccountKey = (PoolKey, WorkspaceKey);
 
-/// Remembers what every scheduler has been told.
+/// The demand announced to each scheduler.
 #[derive(Debug, Default)]
 pub struct SlotRequestTable {
-    sought: HashMap<(AccountKey, BoxKey), SoughtScheduler>,
+    announced: HashMap<(AccountKey, BoxKey), AnnouncedDemand>,
 }
 
 impl SlotRequestTable {
-    /// The most that a seek tells; more makes no difference to a scheduler.
-    pub const MOST_WAITING: u32 = 64;
-    /// A scheduler is told again when this many times more waits than it believes.
-    const GROWTH: u32 = 4;
+    /// The maximum number of waiting requests in a slot request.
+    pub const MAX_WAITING: u32 = 64;
+    /// The ratio of waiting to outstanding requests that triggers a new slot request.
+    const GROWTH_FACTOR: u32 = 4;
 
-    /// Lists the seeks due to `schedulers` now that `waiting` requests wait.
+    /// Returns the slot requests due to `schedulers` when `waiting` requests wait.
     pub fn update(
         &mut self,
         pool: PoolKey,
@@ -52,65 +52,71 @@
         waiting: usize,
         schedulers: &[BoxKey],
     ) -> Vec<SlotRequest> {
-        let waiting = u32::try_from(waiting).map_or(Self::MOST_WAITING, |waiting| {
-            waiting.min(Self::MOST_WAITING)
-        });
+        let waiting = u32::try_from(waiting)
+            .map_or(Self::MAX_WAITING, |waiting| waiting.min(Self::MAX_WAITING));
         let account = (pool, workspace);
-        let due = |sought: &SoughtScheduler| match (waiting, sought.believed) {
-            (0, believed) => believed > 0,
+        let is_due = |announced: &AnnouncedDemand| match (waiting, announced.outstanding) {
+            (0, outstanding) => outstanding > 0,
             (_, 0) => true,
-            (waiting, believed) => waiting >= believed * Self::GROWTH,
+            (waiting, outstanding) => waiting >= outstanding * Self::GROWTH_FACTOR,
         };
         schedulers
             .iter()
             .filter_map(|to| {
-                let sought = self.sought.entry((account, *to)).or_default();
-                due(sought).then(|| {
-                    sought.believed = waiting;
+                let announced = self.announced.entry((account, *to)).or_default();
+                is_due(announced).then(|| {
+                    announced.outstanding = waiting;
                     SlotRequest {
                         to: *to,
                         pool,
                         workspace,
                         waiting,
-                        seen: sought.seen,
+                        grants_seen: announced.grants_seen,
                     }
                 })
             })
             .collect()
     }
 
-    /// Asks one scheduler for one slot more.
-    pub fn ask_one(&mut self, pool: PoolKey, workspace: WorkspaceKey, to: BoxKey) -> SlotRequest {
-        let sought = self.sought.entry(((pool, workspace), to)).or_default();
-        sought.believed += 1;
+    /// Returns a request for one more slot of one scheduler.
+    pub fn request_one(
+        &mut self,
+        pool: PoolKey,
+        workspace: WorkspaceKey,
+        to: BoxKey,
+    ) -> SlotRequest {
+        let announced = self.announced.entry(((pool, workspace), to)).or_default();
+        announced.outstanding += 1;
         SlotRequest {
             to,
             pool,
             workspace,
-            waiting: sought.believed,
-            seen: sought.seen,
+            waiting: announced.outstanding,
+            grants_seen: announced.grants_seen,
         }
     }
 
-    /// Lists the schedulers that believe something of this account waits here.
-    pub fn believers(&self, pool: PoolKey, workspace: WorkspaceKey) -> Vec<BoxKey> {
-        self.sought
+    /// Returns the schedulers with outstanding requests of an account.
+    pub fn schedulers_with_demand(&self, pool: PoolKey, workspace: WorkspaceKey) -> Vec<BoxKey> {
+        self.announced
             .iter()
-            .filter(|((account, _), sought)| *account == (pool, workspace) && sought.believed > 0)
+            .filter(|((account, _), announced)| {
+                *account == (pool, workspace) && announced.outstanding > 0
+            })
             .map(|((_, to), _)| *to)
             .collect()
     }
 
-    /// Notes a grant.
-    pub fn granted(&mut self, pool: PoolKey, workspace: WorkspaceKey, from: BoxKey) {
-        let sought = self.sought.entry(((pool, workspace), from)).or_default();
-        sought.seen = sought.seen.wrapping_add(1);
-        sought.believed = sought.believed.saturating_sub(1);
+    /// Records a grant.
+    pub fn record_grant(&mut self, pool: PoolKey, workspace: WorkspaceKey, from: BoxKey) {
+        let announced = self.announced.entry(((pool, workspace), from)).or_default();
+        announced.grants_seen = announced.grants_seen.wrapping_add(1);
+        announced.outstanding = announced.outstanding.saturating_sub(1);
     }
 
-    /// Forgets a scheduler that is gone or has lost its memory.
+    /// Removes a scheduler that disconnected or restarted.
     pub fn forget(&mut self, scheduler: BoxKey) {
-        self.sought.retain(|(_, to), _| *to != scheduler);
+        self.announced.retain(|(_, to), _| *to != scheduler);
     }
 }
 
--- a/dockgate/src/dispatch/actor.rs
+++ b/dockgate/src/dispatch/actor.rs
@@ -124,7 +124,7 @@
                     pool: seek.pool,
                     workspace: seek.workspace,
                     waiting: seek.waiting,
-                    seen: seek.seen,
+                    grants_seen: seek.grants_seen,
                     age_ms: u32::try_from(age).unwrap_or(u32::MAX),
                 };
                 self.seek(seek.to, demand, now);
@@ -150,7 +150,7 @@
             demand.pool,
             demand.workspace,
             demand.waiting,
-            demand.seen,
+            demand.grants_seen,
             demand.age_ms,
         );
         self.send(to, message);
@@ -237,12 +237,12 @@
     ) -> Vec<EntryAction> {
         let step = message.step();
         let known = match message {
-            PeerMessage::Seek(pool, workspace, waiting, seen, age_ms) => {
+            PeerMessage::Seek(pool, workspace, waiting, grants_seen, age_ms) => {
                 let demand = SlotDemand {
                     pool,
                     workspace,
                     waiting,
-                    seen,
+                    grants_seen,
                     age_ms,
                 };
                 self.scheduler.update_demand(from, demand, now)
@@ -360,7 +360,7 @@
         METRICS.endpoints.set(mine.len() as i64);
         self.scheduler.set_endpoints(&mine, now_ms());
         self.scheduler
-            .set_schedulers(self.topology.scheduler_counts());
+            .set_scheduler_counts(self.topology.scheduler_counts());
         self.entry
             .set_schedulers(self.topology.schedulers_from(self.me.key));
         let topology = &self.topology;
--- a/dockgate/src/dispatch/handlers.rs
+++ b/dockgate/src/dispatch/handlers.rs
@@ -109,7 +109,7 @@
 
 handle!(PrepareHello, HelloRequest, |actor, message| {
     let peer = message.0;
-    let adopts = actor.entry.running_under(peer).into_iter();
+    let adopts = actor.entry.running_requests_of(peer).into_iter();
     let settles = actor.links.get_mut(peer).map(|link| link.settles.clone());
     HelloRequest {
         settles: settles.unwrap_or_default(),
