--- a/dockgate-core/src/entry.rs
+++ b/dockgate-core/src/entry.rs
@@ -214,7 +214,7 @@
         vec![EntryAction::Bind(request.id, grant)]
     }
 
-    /// Returns a grant, and withdraws the outstanding slot requests of its account.
+    /// Returns a grant, and withdraws the pending slot requests of its account.
     fn return_grant(&mut self, from: BoxKey, grant: GrantOffer) -> Vec<EntryAction> {
         let schedulers = self
             .slot_requests
--- a/dockgate-core/src/slot_request_table.rs
+++ b/dockgate-core/src/slot_request_table.rs
@@ -25,7 +25,7 @@
 #[derive(Debug, Clone, Copy, Default)]
 struct AnnouncedDemand {
     /// The number of requests last announced, less the grants received since.
-    outstanding: u32,
+    pending: u32,
     /// The number of grants received.
     grants_seen: u32,
 }
@@ -40,8 +40,8 @@
 
 impl SlotRequestTable {
     /// The maximum number of waiting requests in a slot request.
-    pub const MAX_WAITING: u32 = 64;
-    /// The ratio of waiting to outstanding requests that triggers a new slot request.
+    pub const MAX_ANNOUNCED: u32 = 64;
+    /// The ratio of waiting to pending requests that triggers a new slot request.
     const GROWTH_FACTOR: u32 = 4;
 
     /// Returns the slot requests due to `schedulers` when `waiting` requests wait.
@@ -52,26 +52,27 @@
         waiting: usize,
         schedulers: &[BoxKey],
     ) -> Vec<SlotRequest> {
-        let waiting = u32::try_from(waiting)
-            .map_or(Self::MAX_WAITING, |waiting| waiting.min(Self::MAX_WAITING));
+        let waiting = u32::try_from(waiting).map_or(Self::MAX_ANNOUNCED, |waiting| {
+            waiting.min(Self::MAX_ANNOUNCED)
+        });
         let account = (pool, workspace);
-        let is_due = |announced: &AnnouncedDemand| match (waiting, announced.outstanding) {
-            (0, outstanding) => outstanding > 0,
+        let is_due = |demand: &AnnouncedDemand| match (waiting, demand.pending) {
+            (0, pending) => pending > 0,
             (_, 0) => true,
-            (waiting, outstanding) => waiting >= outstanding * Self::GROWTH_FACTOR,
+            (waiting, pending) => waiting >= pending * Self::GROWTH_FACTOR,
         };
         schedulers
             .iter()
             .filter_map(|to| {
-                let announced = self.announced.entry((account, *to)).or_default();
-                is_due(announced).then(|| {
-                    announced.outstanding = waiting;
+                let demand = self.announced.entry((account, *to)).or_default();
+                is_due(demand).then(|| {
+                    demand.pending = waiting;
                     SlotRequest {
                         to: *to,
                         pool,
                         workspace,
                         waiting,
-                        grants_seen: announced.grants_seen,
+                        grants_seen: demand.grants_seen,
                     }
                 })
             })
@@ -85,33 +86,31 @@
         workspace: WorkspaceKey,
         to: BoxKey,
     ) -> SlotRequest {
-        let announced = self.announced.entry(((pool, workspace), to)).or_default();
-        announced.outstanding += 1;
+        let demand = self.announced.entry(((pool, workspace), to)).or_default();
+        demand.pending += 1;
         SlotRequest {
             to,
             pool,
             workspace,
-            waiting: announced.outstanding,
-            grants_seen: announced.grants_seen,
+            waiting: demand.pending,
+            grants_seen: demand.grants_seen,
         }
     }
 
-    /// Returns the schedulers with outstanding requests of an account.
+    /// Returns the schedulers with pending requests of an account.
     pub fn schedulers_with_demand(&self, pool: PoolKey, workspace: WorkspaceKey) -> Vec<BoxKey> {
         self.announced
             .iter()
-            .filter(|((account, _), announced)| {
-                *account == (pool, workspace) && announced.outstanding > 0
-            })
+            .filter(|((account, _), demand)| *account == (pool, workspace) && demand.pending > 0)
             .map(|((_, to), _)| *to)
             .collect()
     }
 
     /// Records a grant.
     pub fn record_grant(&mut self, pool: PoolKey, workspace: WorkspaceKey, from: BoxKey) {
-        let announced = self.announced.entry(((pool, workspace), from)).or_default();
-        announced.grants_seen = announced.grants_seen.wrapping_add(1);
-        announced.outstanding = announced.outstanding.saturating_sub(1);
+        let demand = self.announced.entry(((pool, workspace), from)).or_default();
+        demand.grants_seen = demand.grants_seen.wrapping_add(1);
+        demand.pending = demand.pending.saturating_sub(1);
     }
 
     /// Removes a scheduler that disconnected or restarted.
--- a/dockgate-core/src/slot_request_table/tests.rs
+++ b/dockgate-core/src/slot_request_table/tests.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn scheduler_without_outstanding_requests_is_updated_at_once() {
+fn scheduler_without_pending_requests_is_updated_at_once() {
     let mut table = SlotRequestTable::default();
     update(&mut table, 1);
     table.record_grant(POOL, WORKSPACE, SCHEDULER);
