--- a/dockgate-core/src/entry.rs
+++ b/dockgate-core/src/entry.rs
@@ -16,7 +16,7 @@
 pub struct SlotRequestPolicy {
     /// The time for which a request waits on the first scheduler alone, in milliseconds.
     pub widen_ms: u64,
-    /// The number of schedulers asked after that. Doubles with every ten times `widen_ms`.
+    /// The number of schedulers asked after that. Doubles for every `10 * widen_ms` of waiting.
     pub width: usize,
 }
 
