--- a/dockgate/src/gateway/call/send_attempts.rs
+++ b/dockgate/src/gateway/call/send_attempts.rs
@@ -51,7 +51,7 @@
                 Ok(response) => return Ok(response),
                 Err(failure) => failure,
             };
-            attempts.trail.note(failure.state);
+            attempts.trail.record(failure.state);
             if self.caller.is_disconnected() {
                 return Err(RefusalReason::CallerLeft.into());
             }
@@ -80,13 +80,13 @@
             // Nothing was sent, so the retry budget is not charged.
             let unreached = attempts.endpoints.len() - attempts.sent as usize;
             let may_retry = unreached < MAX_UNREACHED && !self.time_left().is_zero();
-            return state.after_loss(repeatable, may_retry);
+            return state.retry_verdict(repeatable, may_retry);
         }
         let allowed = attempts.sent < self.route().attempts
             && !self.time_left().is_zero()
             && quarantine::find_quarantine(&self.state, || self.fingerprint()).is_none();
         // The retry budget is checked last, so that it is charged only for actual retries.
-        let wanted = state.after_loss(repeatable, allowed) == RetryVerdict::Retry;
+        let wanted = state.retry_verdict(repeatable, allowed) == RetryVerdict::Retry;
         let service = &self.service().name;
         let may_retry = wanted
             && self
@@ -95,7 +95,7 @@
         if may_retry {
             METRICS.retries.inc();
         }
-        state.after_loss(repeatable, may_retry)
+        state.retry_verdict(repeatable, may_retry)
     }
 
     /// Returns the refusal for a request whose last attempt ended in `state`.
