--- a/dockgate/src/caller.rs
+++ b/dockgate/src/caller.rs
@@ -1,25 +1,23 @@
 //! The door for callers: HTTP/1.1 and HTTP/2 in clear text.
 
-mod answer;
-mod attempt;
-mod classify;
 mod endpoint_client;
-mod hop;
-mod meter;
+mod endpoint_refusal;
+mod metered_body;
+mod proxy_headers;
 mod refusal;
-mod refusal_sign;
-mod stream;
+mod request_classifier;
+mod request_runner;
+mod stream_meter;
+mod stream_relay;
 
-use crate::config_keeper::ConfigCell;
+use crate::config_cell::ConfigCell;
 use crate::dispatch::DispatchHandle;
 use crate::logging::{LogEvent, log_event};
 use crate::metrics::METRICS;
 use crate::settings::DaemonSettings;
 use crate::shared_stream::SharedStream;
 use crate::stop::StopFlag;
-use attempt::AttemptContext;
 use bytes::Bytes;
-use classify::Classifier;
 use dockgate_core::{BoxKey, Incarnation};
 use dockgate_proto::headers;
 use endpoint_client::EndpointClient;
@@ -31,6 +29,8 @@
 use hyper_util::rt::{TokioExecutor, TokioIo, TokioTimer};
 use hyper_util::server::conn::auto::Builder;
 use refusal::Refusal;
+use request_classifier::RequestClassifier;
+use request_runner::RequestRunner;
 use std::convert::Infallible;
 use std::error::Error;
 use std::sync::Arc;
@@ -41,10 +41,10 @@
 /// An error inside a body.
 pub(super) type BodyError = Box<dyn Error + Send + Sync>;
 /// The body of every response.
-pub(super) type AnswerBody = BoxBody<Bytes, BodyError>;
+pub(super) type ResponseBody = BoxBody<Bytes, BodyError>;
 
 /// Makes a body of bytes.
-pub(super) fn full_body(bytes: impl Into<Bytes>) -> AnswerBody {
+pub(super) fn full_body(bytes: impl Into<Bytes>) -> ResponseBody {
     Full::new(bytes.into())
         .map_err(|never: Infallible| match never {})
         .boxed()
@@ -67,7 +67,7 @@
 }
 
 /// Serves callers.
-pub(crate) struct CallerDoor {
+pub(crate) struct CallerListener {
     settings: Arc<DaemonSettings>,
     cell: ConfigCell,
     dispatch: DispatchHandle,
@@ -79,7 +79,7 @@
     in_flight: Arc<AtomicUsize>,
 }
 
-impl CallerDoor {
+impl CallerListener {
     /// Makes the door.
     pub(crate) fn new(
         settings: Arc<DaemonSettings>,
@@ -166,7 +166,7 @@
     }
 
     /// Answers one request; every response carries its id.
-    async fn answer(self: Arc<Self>, request: Request<Incoming>) -> Response<AnswerBody> {
+    async fn answer(self: Arc<Self>, request: Request<Incoming>) -> Response<ResponseBody> {
         let number = self.next_id.fetch_add(1, Ordering::Relaxed);
         let id = format!("{}-{number:x}", self.id_prefix);
         let answered = match (request.method(), request.uri().path()) {
@@ -199,7 +199,7 @@
         response
     }
 
-    fn readiness(&self) -> Response<AnswerBody> {
+    fn readiness(&self) -> Response<ResponseBody> {
         match (self.stop.is_set(), self.cell.is_ready()) {
             (true, _) => text_response(StatusCode::SERVICE_UNAVAILABLE, "stopping\n"),
             (_, false) => text_response(StatusCode::SERVICE_UNAVAILABLE, "no configuration yet\n"),
@@ -211,19 +211,19 @@
         &self,
         id: &str,
         request: Request<Incoming>,
-    ) -> Result<Response<AnswerBody>, Refusal> {
+    ) -> Result<Response<ResponseBody>, Refusal> {
         if self.stop.is_set() {
             return Err(Refusal::stopping());
         }
         let in_flight = InFlight::new(&self.in_flight);
         let config = self.cell.current();
-        let classifier = Classifier::new(&config, &self.settings.limits);
+        let classifier = RequestClassifier::new(&config, &self.settings.limits);
         if request.method() == Method::GET && request.uri().path() == "/v1/models" {
             classifier.workspace(request.headers())?;
             return Ok(models_response(&config));
         }
         let call = classifier.classify(id, request).await?;
-        let context = AttemptContext {
+        let context = RequestRunner {
             settings: self.settings.clone(),
             cell: self.cell.clone(),
             dispatch: self.dispatch.clone(),
@@ -252,14 +252,14 @@
     }
 }
 
-fn text_response(status: StatusCode, text: &'static str) -> Response<AnswerBody> {
+fn text_response(status: StatusCode, text: &'static str) -> Response<ResponseBody> {
     let mut response = Response::new(full_body(text));
     *response.status_mut() = status;
     response
 }
 
 /// Lists the models as the chat-completions API does.
-fn models_response(config: &dockgate_core::FleetConfig) -> Response<AnswerBody> {
+fn models_response(config: &dockgate_core::FleetConfig) -> Response<ResponseBody> {
     let models: Vec<serde_json::Value> = config
         .pools
         .iter()
--- a/dockgate/src/caller/refusal_sign/tests.rs
+++ b/dockgate/src/caller/endpoint_refusal/tests.rs
@@ -18,5 +18,8 @@
     let status = StatusCode::from_u16(status).unwrap();
     let values = retry_after.map(HeaderValue::from_static);
     let headers = values.map(|value| (header::RETRY_AFTER, value));
-    assert_eq!(refusal_sign(status, &headers.into_iter().collect()), sign);
+    assert_eq!(
+        classify_refusal(status, &headers.into_iter().collect()),
+        sign
+    );
 }
--- a/dockgate/src/caller/answer.rs
+++ b/dockgate/src/caller/metered_body.rs
@@ -18,7 +18,7 @@
 quick_error! {
     /// Why an answer ends before it is whole; the caller's connection is cut, so that it can tell.
     #[derive(Debug)]
-    pub enum AnswerError {
+    pub enum ResponseError {
         /// The endpoint ended the stream without its end mark.
         Truncated(endpoint: String) {
             display("endpoint {}: answer: the stream ended without its end mark", endpoint)
@@ -58,14 +58,14 @@
 pub(super) const FIRST_PROGRESS: u64 = 3;
 
 /// Whose answer it is, for the line at its end.
-pub(super) struct AnswerLabel {
+pub(super) struct ResponseLabel {
     pub(super) request: String,
     pub(super) workspace: String,
     pub(super) endpoint: String,
     pub(super) started_ms: u64,
 }
 
-impl AnswerLabel {
+impl ResponseLabel {
     /// Logs and counts the end of a request that reached an endpoint.
     pub(super) fn log_end(&self, outcome: &str, cost: f64) {
         METRICS
@@ -88,7 +88,7 @@
     inner: Incoming,
     rule: CostRule,
     running: RunningGrant,
-    label: AnswerLabel,
+    label: ResponseLabel,
     granted_ms: u64,
     progress_every_ms: u64,
     progress_due_ms: u64,
@@ -99,7 +99,7 @@
 }
 
 /// Times that bound an answer.
-pub(super) struct AnswerTimes {
+pub(super) struct ResponseTimes {
     /// How long the endpoint may be silent.
     pub(super) silence: Duration,
     /// How often the cost is reported.
@@ -111,8 +111,8 @@
         inner: Incoming,
         rule: CostRule,
         running: RunningGrant,
-        label: AnswerLabel,
-        times: &AnswerTimes,
+        label: ResponseLabel,
+        times: &ResponseTimes,
         in_flight: InFlight,
     ) -> Self {
         let now = now_ms();
@@ -158,7 +158,7 @@
         self.outcome = Some("ok");
     }
 
-    fn fail(&mut self, error: AnswerError) -> AnswerError {
+    fn fail(&mut self, error: ResponseError) -> ResponseError {
         log::warn!("{error}");
         self.outcome = Some("failed");
         self.running.sign = SlotSign::Lost;
@@ -181,7 +181,7 @@
                 Poll::Ready(Some(Ok(frame)))
             }
             Poll::Ready(Some(Err(cause))) => {
-                let error = self.fail(AnswerError::Lost(endpoint, cause));
+                let error = self.fail(ResponseError::Lost(endpoint, cause));
                 Poll::Ready(Some(Err(error.into())))
             }
             Poll::Ready(None) => {
@@ -190,7 +190,7 @@
             }
             Poll::Pending => {
                 std::task::ready!(self.timer.as_mut().poll(context));
-                let error = self.fail(AnswerError::Silent(endpoint));
+                let error = self.fail(ResponseError::Silent(endpoint));
                 Poll::Ready(Some(Err(error.into())))
             }
         }
--- a/dockgate/src/caller/hop.rs
+++ b/dockgate/src/caller/proxy_headers.rs
@@ -31,7 +31,7 @@
 }
 
 /// Prepares a caller's headers for an endpoint: its key, its framing and our own headers stay here.
-pub(super) fn clean_request(headers: &mut HeaderMap) {
+pub(super) fn sanitize_request_headers(headers: &mut HeaderMap) {
     strip_hop_by_hop(headers);
     let own: Vec<HeaderName> = headers
         .keys()
@@ -50,7 +50,7 @@
 }
 
 /// Prepares an endpoint's headers for the caller.
-pub(super) fn clean_response(headers: &mut HeaderMap) {
+pub(super) fn sanitize_response_headers(headers: &mut HeaderMap) {
     strip_hop_by_hop(headers);
     headers.remove(header::CONTENT_LENGTH);
 }
--- a/dockgate/src/caller/hop/tests.rs
+++ b/dockgate/src/caller/proxy_headers/tests.rs
@@ -15,7 +15,7 @@
         let name: HeaderName = name.parse().unwrap();
         headers.insert(name, HeaderValue::from_static(value));
     }
-    clean_request(&mut headers);
+    sanitize_request_headers(&mut headers);
     assert_eq!(headers.len(), 1);
     assert!(headers.contains_key(header::ACCEPT));
 }
--- a/dockgate/src/caller/refusal.rs
+++ b/dockgate/src/caller/refusal.rs
@@ -1,6 +1,6 @@
 //! Refusals: what a caller is told instead of an answer.
 
-use super::{AnswerBody, full_body};
+use super::{ResponseBody, full_body};
 use dockgate_core::{AttemptState, Outcome};
 use dockgate_proto::{RefusalBody, RefusalCode, RequestStep};
 use http::{HeaderValue, Response, header};
@@ -89,7 +89,7 @@
     }
 
     /// Makes the response.
-    pub(super) fn into_response(self, request_id: &str) -> Response<AnswerBody> {
+    pub(super) fn into_response(self, request_id: &str) -> Response<ResponseBody> {
         let body = RefusalBody {
             code: self.code,
             outcome: self.outcome,
--- a/dockgate/src/caller/classify.rs
+++ b/dockgate/src/caller/request_classifier.rs
@@ -1,9 +1,9 @@
 //! Reads a caller's request and finds out what it is: whose, for which pool, repeatable or not.
 
-use super::hop::clean_request;
+use super::proxy_headers::sanitize_request_headers;
 use super::refusal::Refusal;
 use crate::clock::{now_ms, timeout};
-use crate::door::bearer_of;
+use crate::rpc_listener::bearer_of;
 use crate::settings::LimitSettings;
 use bytes::Bytes;
 use dockgate_core::{FleetConfig, PoolKey, PoolKind, WorkspaceKey, WorkspaceSpec};
@@ -16,18 +16,18 @@
 
 const CHAT_PATH: &str = "/v1/chat/completions";
 const SERVICE_PREFIX: &str = "/services/";
-const HIGHEST_PRIORITY: u8 = 9;
-const LONGEST_DEADLINE_MS: u64 = 24 * 3_600_000;
+const MAX_PRIORITY: u8 = 9;
+const MAX_DEADLINE_MS: u64 = 24 * 3_600_000;
 
 /// The part of a chat-completions request that routing needs.
 #[derive(Debug, Deserialize)]
-struct ChatHead {
+struct ChatRequest {
     model: String,
 }
 
 /// A request that has been read and checked.
 #[derive(Debug, Clone)]
-pub(super) struct CallerCall {
+pub(super) struct CallerRequest {
     pub(super) id: String,
     pub(super) workspace: WorkspaceKey,
     pub(super) workspace_name: String,
@@ -46,7 +46,7 @@
 }
 
 /// Classifies requests by one configuration.
-pub(super) struct Classifier<'a> {
+pub(super) struct RequestClassifier<'a> {
     config: &'a FleetConfig,
     limits: &'a LimitSettings,
 }
@@ -57,7 +57,7 @@
     path: String,
 }
 
-impl<'a> Classifier<'a> {
+impl<'a> RequestClassifier<'a> {
     pub(super) const fn new(config: &'a FleetConfig, limits: &'a LimitSettings) -> Self {
         Self { config, limits }
     }
@@ -82,7 +82,7 @@
         &self,
         id: &str,
         request: Request<Incoming>,
-    ) -> Result<CallerCall, Refusal> {
+    ) -> Result<CallerRequest, Refusal> {
         let (workspace, spec) = self.workspace(request.headers())?;
         let classified = self.read(id, request, workspace, spec).await;
         classified.map_err(|refusal| refusal.of(&spec.name))
@@ -94,18 +94,18 @@
         request: Request<Incoming>,
         workspace: WorkspaceKey,
         spec: &WorkspaceSpec,
-    ) -> Result<CallerCall, Refusal> {
+    ) -> Result<CallerRequest, Refusal> {
         let started_ms = now_ms();
         let (parts, body) = request.into_parts();
         let mut headers = parts.headers;
         let priority = header(&headers, headers::PRIORITY, "0 to 9", |priority: &u8| {
-            *priority <= HIGHEST_PRIORITY
+            *priority <= MAX_PRIORITY
         })?;
         let wait_ms = header(
             &headers,
             headers::DEADLINE_MS,
             "1 to 86400000",
-            |wait: &u64| (1..=LONGEST_DEADLINE_MS).contains(wait),
+            |wait: &u64| (1..=MAX_DEADLINE_MS).contains(wait),
         )?;
         let default_ms = self.limits.queue_timeout.as_millis() as u64;
         let repeatable = self.repeatable(&headers)?;
@@ -115,8 +115,8 @@
         let target = self.target(&parts.method, parts.uri.path(), path_and_query, &body)?;
         let pool = self.config.pools.get(target.pool);
         let engine = pool.is_some_and(|pool| pool.kind == PoolKind::Engine);
-        clean_request(&mut headers);
-        Ok(CallerCall {
+        sanitize_request_headers(&mut headers);
+        Ok(CallerRequest {
             id: id.to_owned(),
             workspace,
             workspace_name: spec.name.clone(),
@@ -200,7 +200,7 @@
     }
 
     fn chat_target(&self, body: &[u8]) -> Result<CallTarget, Refusal> {
-        let head: ChatHead = serde_json::from_slice(body)
+        let head: ChatRequest = serde_json::from_slice(body)
             .map_err(|error| refuse(RefusalCode::BadRequest, format!("the body: {error}")))?;
         let pool = self.config.pool_of_model(&head.model).ok_or_else(|| {
             let message = format!("no pool serves model {}", head.model);
--- a/dockgate/src/caller/classify/tests.rs
+++ b/dockgate/src/caller/request_classifier/tests.rs
@@ -35,7 +35,7 @@
 )]
 fn service_paths(path: &str, expected: Option<&str>) {
     let (config, limits) = (config(), limits());
-    let classifier = Classifier::new(&config, &limits);
+    let classifier = RequestClassifier::new(&config, &limits);
     let target = classifier.service_target(path).ok();
     assert_eq!(target.map(|target| target.path).as_deref(), expected);
 }
@@ -48,7 +48,7 @@
 )]
 fn chat_bodies(body: &str, refused: Option<RefusalCode>) {
     let (config, limits) = (config(), limits());
-    let classifier = Classifier::new(&config, &limits);
+    let classifier = RequestClassifier::new(&config, &limits);
     let target = classifier.chat_target(body.as_bytes());
     assert_eq!(target.err().map(|refusal| refusal.code), refused);
 }
@@ -56,7 +56,7 @@
 #[test]
 fn kinds_decide_what_may_be_repeated() {
     let (config, limits) = (config(), limits());
-    let classifier = Classifier::new(&config, &limits);
+    let classifier = RequestClassifier::new(&config, &limits);
     let mut headers = HeaderMap::new();
     assert!(classifier.repeatable(&headers).unwrap());
     headers.insert(headers::KIND, "quiz".parse().unwrap());
--- a/dockgate/src/caller/attempt.rs
+++ b/dockgate/src/caller/request_runner.rs
@@ -1,16 +1,16 @@
 //! Runs a request: waits for a slot, sends it to the endpoint, and tries again where that is allowed.
 
-use super::answer::{AnswerLabel, AnswerTimes, MeteredBody, RunningGrant};
-use super::classify::CallerCall;
 use super::endpoint_client::{CallFailure, EndpointClient};
-use super::hop::clean_response;
-use super::meter::whole_cost;
+use super::endpoint_refusal::classify_refusal;
+use super::metered_body::{MeteredBody, ResponseLabel, ResponseTimes, RunningGrant};
+use super::proxy_headers::sanitize_response_headers;
 use super::refusal::Refusal;
-use super::refusal_sign::refusal_sign;
-use super::stream::{StreamPump, StreamSegment, can_resume, resumed_body};
-use super::{AnswerBody, InFlight, full_body};
+use super::request_classifier::CallerRequest;
+use super::stream_meter::whole_cost;
+use super::stream_relay::{StreamRelay, StreamSegment, can_resume, resumed_body};
+use super::{InFlight, ResponseBody, full_body};
 use crate::clock::{now_ms, timeout};
-use crate::config_keeper::ConfigCell;
+use crate::config_cell::ConfigCell;
 use crate::dispatch::{BindReply, BoundSlot, DispatchHandle};
 use crate::logging::{LogEvent, log_event};
 use crate::metrics::METRICS;
@@ -31,27 +31,27 @@
 use tokio::sync::oneshot;
 
 /// The largest answer that is not streamed, in bytes.
-const MOST_ANSWER_BYTES: usize = 64 << 20;
+const MAX_RESPONSE_BYTES: usize = 64 << 20;
 /// How long to wait before another attempt, in milliseconds.
 const RETRY_MS: std::ops::Range<u64> = 5..50;
 /// After how many seconds a refused caller does well to come again.
 const RETRY_AFTER_S: u32 = 1;
 
 /// How often the rest of an answer is sent to an endpoint before it is given up.
-const MOST_RESUMES: u32 = 5;
+const MAX_RESUMES: u32 = 5;
 
 /// What a slot is wanted for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum SlotWait {
+enum SlotPurpose {
     /// A request that has not been answered yet.
-    First,
+    Initial,
     /// The rest of an answer that has begun.
-    Rest,
+    Resume,
 }
 
 /// What an attempt needs of the daemon.
 #[derive(Clone)]
-pub(super) struct AttemptContext {
+pub(super) struct RequestRunner {
     pub(super) settings: Arc<DaemonSettings>,
     pub(super) cell: ConfigCell,
     pub(super) dispatch: DispatchHandle,
@@ -59,7 +59,7 @@
 }
 
 /// An attempt that gave no answer, and how far it had come.
-struct AttemptLoss {
+struct AttemptFailure {
     state: AttemptState,
     message: String,
 }
@@ -74,20 +74,20 @@
     number: u32,
 }
 
-impl AttemptContext {
+impl RequestRunner {
     /// Runs a request until it has an answer or may not be tried again.
     pub(super) async fn run(
         &self,
-        call: CallerCall,
+        call: CallerRequest,
         in_flight: InFlight,
-    ) -> Result<Response<AnswerBody>, Refusal> {
+    ) -> Result<Response<ResponseBody>, Refusal> {
         let mut number = 1;
         // Attempts of which nothing was sent cost nobody anything: only the deadline ends them.
         let mut sent = 0;
         let mut in_flight = Some(in_flight);
         let mut trail = AttemptTrail::default();
         loop {
-            let slot = self.wait_for_slot(&call, SlotWait::First).await;
+            let slot = self.wait_for_slot(&call, SlotPurpose::Initial).await;
             let slot = slot.map_err(|refusal| {
                 let outcome = trail.outcome(AttemptState::Queued, call.repeatable);
                 refusal.with_outcome(outcome)
@@ -121,12 +121,12 @@
     }
 
     /// Continues an answer of which `events` have been passed on; gives up without a slot.
-    pub(super) async fn resume(&self, call: &CallerCall, events: u64) -> Option<StreamSegment> {
+    pub(super) async fn resume(&self, call: &CallerRequest, events: u64) -> Option<StreamSegment> {
         let mut rest = call.clone();
         rest.body = resumed_body(&call.body, events);
         let mut sent = 0;
         for number in 1.. {
-            let slot = self.wait_for_slot(&rest, SlotWait::Rest).await.ok()?;
+            let slot = self.wait_for_slot(&rest, SlotPurpose::Resume).await.ok()?;
             let Ok(attempt) = self.bound_attempt(&rest, slot.grant, number) else {
                 continue;
             };
@@ -143,7 +143,7 @@
                 // An endpoint that refused has cost nothing: the rest waits for the next slot.
                 Err(loss) => sent += u32::from(loss.state == AttemptState::Sent),
             }
-            if sent >= MOST_RESUMES {
+            if sent >= MAX_RESUMES {
                 return None;
             }
             let pause = rand::random_range(RETRY_MS);
@@ -152,7 +152,11 @@
         None
     }
 
-    async fn wait_for_slot(&self, call: &CallerCall, wait: SlotWait) -> Result<BoundSlot, Refusal> {
+    async fn wait_for_slot(
+        &self,
+        call: &CallerRequest,
+        wait: SlotPurpose,
+    ) -> Result<BoundSlot, Refusal> {
         let asked_ms = now_ms();
         let patience = self.settings.limits.queue_timeout.as_millis() as u64;
         let request = WaitingRequest {
@@ -161,17 +165,17 @@
             workspace: call.workspace,
             priority: call.priority,
             deadline_ms: match wait {
-                SlotWait::First => call.deadline_ms,
-                SlotWait::Rest => asked_ms + patience,
+                SlotPurpose::Initial => call.deadline_ms,
+                SlotPurpose::Resume => asked_ms + patience,
             },
-            resumed: wait == SlotWait::Rest,
+            resumed: wait == SlotPurpose::Resume,
             // A request that comes back keeps its age, and so its place.
             since_ms: call.started_ms,
         };
         // An answer that has begun is not refused for those that have not.
         let limit = match wait {
-            SlotWait::First => call.queue_limit,
-            SlotWait::Rest => usize::MAX,
+            SlotPurpose::Initial => call.queue_limit,
+            SlotPurpose::Resume => usize::MAX,
         };
         let ticket = self.dispatch.enqueue(request, limit);
         let reply = ticket.wait().await;
@@ -198,15 +202,15 @@
     /// Looks the granted endpoint up; one that has just been retired is given back unused.
     fn bound_attempt(
         &self,
-        call: &CallerCall,
+        call: &CallerRequest,
         grant: GrantOffer,
         number: u32,
-    ) -> Result<BoundAttempt, AttemptLoss> {
+    ) -> Result<BoundAttempt, AttemptFailure> {
         let config = self.cell.current();
         let found = find_endpoint(&config, call, grant);
         let Some((endpoint, pool)) = found else {
             self.dispatch.finish(grant.id, 0.0, SlotSign::Answered);
-            return Err(AttemptLoss {
+            return Err(AttemptFailure {
                 state: AttemptState::Bound,
                 message: "the granted endpoint is no longer configured".to_owned(),
             });
@@ -233,13 +237,13 @@
     /// Sends the request and passes the answer on.
     async fn send(
         &self,
-        call: &CallerCall,
+        call: &CallerRequest,
         attempt: &BoundAttempt,
         pause: oneshot::Receiver<()>,
         in_flight: &mut Option<InFlight>,
-    ) -> Result<Response<AnswerBody>, AttemptLoss> {
+    ) -> Result<Response<ResponseBody>, AttemptFailure> {
         let (response, running) = self.exchange(call, attempt).await?;
-        let label = AnswerLabel {
+        let label = ResponseLabel {
             request: call.id.clone(),
             workspace: call.workspace_name.clone(),
             endpoint: attempt.endpoint.name.clone(),
@@ -257,9 +261,9 @@
     /// Sends the request and waits for the head of an answer that can be used.
     async fn exchange(
         &self,
-        call: &CallerCall,
+        call: &CallerRequest,
         attempt: &BoundAttempt,
-    ) -> Result<(Response<Incoming>, RunningGrant), AttemptLoss> {
+    ) -> Result<(Response<Incoming>, RunningGrant), AttemptFailure> {
         let mut running = RunningGrant {
             grant: attempt.grant.id,
             dispatch: self.dispatch.clone(),
@@ -287,11 +291,11 @@
             status @ (StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE)
                 if attempt.endpoint.honest_refusal =>
             {
-                running.sign = refusal_sign(status, response.headers());
+                running.sign = classify_refusal(status, response.headers());
                 return Err(loss(AttemptState::Refused, name, status.to_string()));
             }
             StatusCode::SERVICE_UNAVAILABLE if call.repeatable => {
-                running.sign = refusal_sign(response.status(), response.headers());
+                running.sign = classify_refusal(response.status(), response.headers());
                 let cause = "it is unavailable".to_owned();
                 return Err(loss(AttemptState::Sent, name, cause));
             }
@@ -307,16 +311,16 @@
     )]
     fn pass_stream(
         &self,
-        call: &CallerCall,
+        call: &CallerRequest,
         attempt: &BoundAttempt,
         response: Response<Incoming>,
         running: RunningGrant,
         pause: oneshot::Receiver<()>,
-        label: AnswerLabel,
+        label: ResponseLabel,
         in_flight: &mut Option<InFlight>,
-    ) -> Response<AnswerBody> {
+    ) -> Response<ResponseBody> {
         let (mut parts, body) = response.into_parts();
-        clean_response(&mut parts.headers);
+        sanitize_response_headers(&mut parts.headers);
         let segment = StreamSegment {
             body,
             running,
@@ -326,7 +330,7 @@
         };
         let body = match in_flight.take() {
             Some(in_flight) => {
-                let pump = StreamPump {
+                let pump = StreamRelay {
                     context: self.clone(),
                     call: call.clone(),
                     label,
@@ -342,9 +346,9 @@
 
     fn endpoint_request(
         &self,
-        call: &CallerCall,
+        call: &CallerRequest,
         attempt: &BoundAttempt,
-    ) -> Result<Request<Full<Bytes>>, AttemptLoss> {
+    ) -> Result<Request<Full<Bytes>>, AttemptFailure> {
         let address = attempt.endpoint.address_from(&self.settings.domain);
         let built = Request::builder()
             .method(call.method.clone())
@@ -379,15 +383,15 @@
         attempt: &BoundAttempt,
         response: Response<Incoming>,
         running: RunningGrant,
-        label: AnswerLabel,
+        label: ResponseLabel,
         in_flight: &mut Option<InFlight>,
-    ) -> Response<AnswerBody> {
-        let times = AnswerTimes {
+    ) -> Response<ResponseBody> {
+        let times = ResponseTimes {
             silence: self.settings.limits.answer_timeout,
             progress_every: self.settings.schedule.progress_every,
         };
         let (mut parts, body) = response.into_parts();
-        clean_response(&mut parts.headers);
+        sanitize_response_headers(&mut parts.headers);
         let body = match in_flight.take() {
             Some(in_flight) => {
                 let rule = attempt.rule;
@@ -404,12 +408,12 @@
         attempt: &BoundAttempt,
         response: Response<Incoming>,
         mut running: RunningGrant,
-        label: &AnswerLabel,
-    ) -> Result<Response<AnswerBody>, AttemptLoss> {
+        label: &ResponseLabel,
+    ) -> Result<Response<ResponseBody>, AttemptFailure> {
         let (mut parts, body) = response.into_parts();
         let name = &attempt.endpoint.name;
         let limit = self.settings.limits.answer_timeout;
-        let collected = Limited::new(body, MOST_ANSWER_BYTES).collect();
+        let collected = Limited::new(body, MAX_RESPONSE_BYTES).collect();
         let body = match timeout(limit, collected).await {
             Ok(Ok(body)) => body.to_bytes(),
             Ok(Err(error)) => {
@@ -427,13 +431,13 @@
             false => 0.0,
         };
         label.log_end("ok", running.cost);
-        clean_response(&mut parts.headers);
+        sanitize_response_headers(&mut parts.headers);
         Ok(Response::from_parts(parts, full_body(body)))
     }
 }
 
-fn loss(state: AttemptState, endpoint: &str, cause: impl Display) -> AttemptLoss {
-    AttemptLoss {
+fn loss(state: AttemptState, endpoint: &str, cause: impl Display) -> AttemptFailure {
+    AttemptFailure {
         state,
         message: format!("endpoint {endpoint}: {cause}"),
     }
@@ -441,7 +445,7 @@
 
 fn find_endpoint(
     config: &FleetConfig,
-    call: &CallerCall,
+    call: &CallerRequest,
     grant: GrantOffer,
 ) -> Option<(EndpointSpec, PoolSpec)> {
     let endpoint = config.endpoints.get(grant.endpoint)?;
--- a/dockgate/src/caller/meter.rs
+++ b/dockgate/src/caller/stream_meter.rs
@@ -6,7 +6,7 @@
 const DATA: &[u8] = b"data:";
 const DONE: &[u8] = b"[DONE]";
 /// The longest line that is kept to be looked at, in bytes.
-const MOST_LINE: usize = 16 << 10;
+const MAX_LINE: usize = 16 << 10;
 /// Bytes that a token takes on average in English text.
 const BYTES_PER_TOKEN: u64 = 4;
 
@@ -46,7 +46,7 @@
     }
 
     fn keep(&mut self, bytes: &[u8]) {
-        let room = MOST_LINE.saturating_sub(self.line.len());
+        let room = MAX_LINE.saturating_sub(self.line.len());
         self.line.extend_from_slice(&bytes[..bytes.len().min(room)]);
     }
 
--- a/dockgate/src/caller/stream.rs
+++ b/dockgate/src/caller/stream_relay.rs
@@ -4,11 +4,11 @@
 //! is continued on the next grant from the last whole event that was passed on. The caller sees one
 //! answer. Only repeatable requests to pools whose engines resume streams are continued.
 
-use super::answer::{AnswerError, AnswerLabel, FIRST_PROGRESS, RunningGrant};
-use super::attempt::{AttemptContext, BoundAttempt};
-use super::classify::CallerCall;
-use super::meter::StreamMeter;
-use super::{AnswerBody, BodyError, InFlight};
+use super::metered_body::{FIRST_PROGRESS, ResponseError, ResponseLabel, RunningGrant};
+use super::request_classifier::CallerRequest;
+use super::request_runner::{BoundAttempt, RequestRunner};
+use super::stream_meter::StreamMeter;
+use super::{BodyError, InFlight, ResponseBody};
 use crate::clock::{now_ms, timeout};
 use crate::metrics::METRICS;
 use bytes::{Bytes, BytesMut};
@@ -19,11 +19,11 @@
 use tokio::sync::{mpsc, oneshot};
 
 /// Pieces of an answer that may wait for a slow caller.
-const PIECES: usize = 8;
+const BUFFERED_CHUNKS: usize = 8;
 /// How often one answer may be continued after its endpoint was lost.
-const MOST_LOSSES: u32 = 5;
+const MAX_LOSSES: u32 = 5;
 /// How often one answer may be paused.
-const MOST_PAUSES: u32 = 5;
+const MAX_PAUSES: u32 = 5;
 
 /// One attempt's part of a stream.
 pub(super) struct StreamSegment {
@@ -43,14 +43,14 @@
     /// The scheduler wants the slot for another workspace.
     Paused,
     /// The endpoint was lost.
-    Lost(AnswerError),
+    Lost(ResponseError),
 }
 
 /// Passes a stream on.
-pub(super) struct StreamPump {
-    pub(super) context: AttemptContext,
-    pub(super) call: CallerCall,
-    pub(super) label: AnswerLabel,
+pub(super) struct StreamRelay {
+    pub(super) context: RequestRunner,
+    pub(super) call: CallerRequest,
+    pub(super) label: ResponseLabel,
     pub(super) in_flight: InFlight,
     /// Whether the rest may be asked of another endpoint.
     pub(super) resumes: bool,
@@ -65,10 +65,10 @@
     pauses: u32,
 }
 
-impl StreamPump {
+impl StreamRelay {
     /// Starts to pass a stream on; returns the body for the caller.
-    pub(super) fn start(self, first: StreamSegment) -> AnswerBody {
-        let (sender, mut receiver) = mpsc::channel(PIECES);
+    pub(super) fn start(self, first: StreamSegment) -> ResponseBody {
+        let (sender, mut receiver) = mpsc::channel(BUFFERED_CHUNKS);
         tokio::spawn(self.run(first, sender));
         let pieces = futures::stream::poll_fn(move |context| receiver.poll_recv(context));
         BodyExt::boxed(StreamBody::new(pieces))
@@ -96,7 +96,7 @@
                     Some(error)
                 }
             };
-            let may_resume = self.resumes && progress.losses <= MOST_LOSSES;
+            let may_resume = self.resumes && progress.losses <= MAX_LOSSES;
             let next = match may_resume {
                 true => tokio::select! {
                     next = self.context.resume(&self.call, progress.events) => next,
@@ -108,7 +108,7 @@
                 Some(next) => segment = next,
                 None => {
                     let endpoint = self.label.endpoint.clone();
-                    let error = error.unwrap_or(AnswerError::NotResumed(endpoint));
+                    let error = error.unwrap_or(ResponseError::NotResumed(endpoint));
                     log::warn!("request {}: {error}", self.call.id);
                     // The caller's connection is cut, so that it sees that this is not the whole.
                     let _ = sender.send(Err(error.into())).await;
@@ -132,7 +132,7 @@
         let silence = self.context.settings.limits.answer_timeout;
         let every = self.context.settings.schedule.progress_every.as_millis() as u64;
         let mut due_ms = now_ms() + every * FIRST_PROGRESS;
-        let may_pause = self.resumes && progress.pauses < MOST_PAUSES;
+        let may_pause = self.resumes && progress.pauses < MAX_PAUSES;
         let before = progress.cost;
         let end = loop {
             let frame = tokio::select! {
@@ -145,15 +145,15 @@
                 SegmentFrame::End if meter.is_done() => break SegmentEnd::Whole,
                 SegmentFrame::End => {
                     let endpoint = segment.endpoint.clone();
-                    break SegmentEnd::Lost(AnswerError::Truncated(endpoint));
+                    break SegmentEnd::Lost(ResponseError::Truncated(endpoint));
                 }
                 SegmentFrame::Silent => {
                     let endpoint = segment.endpoint.clone();
-                    break SegmentEnd::Lost(AnswerError::Silent(endpoint));
+                    break SegmentEnd::Lost(ResponseError::Silent(endpoint));
                 }
                 SegmentFrame::Broken(cause) => {
                     let endpoint = segment.endpoint.clone();
-                    break SegmentEnd::Lost(AnswerError::Lost(endpoint, cause));
+                    break SegmentEnd::Lost(ResponseError::Lost(endpoint, cause));
                 }
             };
             pending.extend_from_slice(&bytes);
@@ -219,7 +219,7 @@
 }
 
 /// Tells whether a bound attempt's pool can continue streams.
-pub(super) const fn can_resume(call: &CallerCall, attempt: &BoundAttempt) -> bool {
+pub(super) const fn can_resume(call: &CallerRequest, attempt: &BoundAttempt) -> bool {
     call.repeatable && attempt.resumes
 }
 
--- a/dockgate/src/daemon.rs
+++ b/dockgate/src/daemon.rs
@@ -1,14 +1,14 @@
 //! Puts the daemon's parts together, and takes them apart in order.
 
-use crate::caller::CallerDoor;
+use crate::caller::CallerListener;
 use crate::clock::{timeout, watch_suspensions};
-use crate::config_keeper::{ConfigCell, watch_config};
+use crate::config_cell::{ConfigCell, watch_config};
 use crate::dispatch::{DispatchActor, DispatchHandle};
 use crate::error::DaemonError;
 use crate::logging::{LogEvent, log_event};
 use crate::members::follow_members;
-use crate::operator_door::operator_door;
-use crate::peer_door::peer_door;
+use crate::operator_listener::operator_listener;
+use crate::peer_listener::peer_listener;
 use crate::settings::{DaemonSettings, PlatformSettings};
 use crate::stop::{StopFlag, wait_for_signal};
 use dockgate_config::ConfigStore;
@@ -78,14 +78,14 @@
 
     let (stop, stop_server) = stop_channel();
     let fleet = settings.secrets.fleet.clone();
-    let door = peer_door(dispatch.clone(), cell.clone(), fleet)?;
+    let door = peer_listener(dispatch.clone(), cell.clone(), fleet)?;
     tokio::spawn(door.serve(peers, stop.clone()));
     let token = settings.secrets.operator.clone();
-    let door = operator_door(store, cell.clone(), dispatch.clone(), token)?;
+    let door = operator_listener(store, cell.clone(), dispatch.clone(), token)?;
     tokio::spawn(door.serve(operators, stop));
 
     let flag = StopFlag::default();
-    let door = CallerDoor::new(
+    let door = CallerListener::new(
         settings.clone(),
         cell,
         dispatch.clone(),
@@ -107,7 +107,7 @@
     settings: &DaemonSettings,
     dispatch: &DispatchHandle,
     flag: &StopFlag,
-    door: &CallerDoor,
+    door: &CallerListener,
 ) {
     log_event(&LogEvent::Lifecycle { state: "stopping" });
     flag.set();
--- a/dockgate/src/dispatch.rs
+++ b/dockgate/src/dispatch.rs
@@ -6,8 +6,8 @@
 mod actor;
 mod handle;
 mod handlers;
-mod links;
 mod messages;
+mod peer_links;
 
 pub(crate) use actor::DispatchActor;
 pub(crate) use handle::{BindReply, BoundSlot, DispatchHandle};
--- a/dockgate/src/dispatch/actor.rs
+++ b/dockgate/src/dispatch/actor.rs
@@ -1,10 +1,10 @@
 //! The control actor itself.
 
 use super::handle::{BindReply, BoundSlot, DispatchHandle};
-use super::links::{PeerLink, PeerLinks};
+use super::peer_links::{PeerLink, PeerLinks};
 use crate::clock::now_ms;
-use crate::config_keeper::ConfigCell;
-use crate::link::{LinkSender, LinkTask};
+use crate::config_cell::ConfigCell;
+use crate::link_task::{LinkSender, LinkTask};
 use crate::logging::{LogEvent, log_event};
 use crate::members::MemberBox;
 use crate::metrics::METRICS;
@@ -417,7 +417,7 @@
         let overcommitted = self.scheduler.overcommitted_slots();
         METRICS.overcommitted.set(i64::from(overcommitted));
         let resting = self.scheduler.resting_endpoints(now_ms());
-        METRICS.resting.set(resting as i64);
+        METRICS.endpoints_in_backoff.set(resting as i64);
         METRICS.links.set(self.links.linked_count() as i64);
     }
 
--- a/dockgate/src/dispatch/handle.rs
+++ b/dockgate/src/dispatch/handle.rs
@@ -5,7 +5,7 @@
     Cancel, Enqueue, Finish, Leave, LinkFailure, LinkUp, PeerBatch, PeerHello, PrepareHello,
     Progress, SetConfig, SetMembers, Started, Status, StatusAnswer, Tick,
 };
-use crate::config_keeper::ConfigCell;
+use crate::config_cell::ConfigCell;
 use crate::members::MemberBox;
 use dockgate_core::{BoxKey, GrantId, GrantOffer, QueueError, SlotSign, WaitingRequest};
 use dockgate_proto::{HelloReply, HelloRequest, PeerMessage};
--- a/dockgate/src/dispatch/links.rs
+++ b/dockgate/src/dispatch/peer_links.rs
@@ -1,7 +1,7 @@
 //! The links to peers, as the control actor sees them.
 
 use crate::clock::now_ms;
-use crate::link::LinkSender;
+use crate::link_task::LinkSender;
 use crate::members::MemberBox;
 use dockgate_core::{BoxKey, LiveBox, PoolKey};
 use dockgate_proto::PeerMessage;
--- a/dockgate/src/gateway/gateway_gauges.rs
+++ b/dockgate/src/gateway/gateway_gauges.rs
@@ -27,7 +27,7 @@
 
 fn gauge(name: &str, help: &str) -> IntGauge {
     let metric = IntGauge::new(name, help).expect("a constant name is valid");
-    METRICS.add(metric.clone());
+    METRICS.register(metric.clone());
     metric
 }
 
@@ -35,7 +35,7 @@
     fn new() -> Self {
         let endpoints = Opts::new("dockgate_endpoints", "Endpoints known, by state");
         let endpoints = IntGaugeVec::new(endpoints, &["state"]).expect("a constant name is valid");
-        METRICS.add(endpoints.clone());
+        METRICS.register(endpoints.clone());
         Self {
             endpoints,
             coordinates: gauge(
--- a/dockgate/src/gateway/gateway_metrics.rs
+++ b/dockgate/src/gateway/gateway_metrics.rs
@@ -51,28 +51,28 @@
 
 fn counter(name: &str, help: &str) -> IntCounter {
     let metric = IntCounter::new(name, help).expect("a constant name is valid");
-    METRICS.add(metric.clone());
+    METRICS.register(metric.clone());
     metric
 }
 
 fn counters(name: &str, help: &str, labels: &[&str]) -> IntCounterVec {
     let metric = IntCounterVec::new(Opts::new(name, help), labels);
     let metric = metric.expect("a constant name is valid");
-    METRICS.add(metric.clone());
+    METRICS.register(metric.clone());
     metric
 }
 
 fn histograms(name: &str, help: &str, labels: &[&str]) -> HistogramVec {
     let options = HistogramOpts::new(name, help).buckets(SECONDS.to_vec());
     let metric = HistogramVec::new(options, labels).expect("a constant name is valid");
-    METRICS.add(metric.clone());
+    METRICS.register(metric.clone());
     metric
 }
 
 fn histogram(name: &str, help: &str) -> Histogram {
     let options = HistogramOpts::new(name, help).buckets(SECONDS.to_vec());
     let metric = Histogram::with_opts(options).expect("a constant name is valid");
-    METRICS.add(metric.clone());
+    METRICS.register(metric.clone());
     metric
 }
 
--- a/dockgate/src/gateway/peer_state.rs
+++ b/dockgate/src/gateway/peer_state.rs
@@ -12,8 +12,8 @@
 use super::gateway_state::GatewayState;
 use super::quarantine_door;
 use crate::clock::{now_ms, wakings};
-use crate::door::RpcDoor;
 use crate::error::DaemonError;
+use crate::rpc_listener::RpcListener;
 use dockgate_core::gateway::{StateKind, StateSource, StoreRevision};
 use dockgate_proto::{StateAnswer, StateRequest, methods};
 use http::{Extensions, HeaderMap};
@@ -55,14 +55,14 @@
 /// Returns an error where the method cannot be registered.
 pub(super) fn state_door(
     state: Arc<GatewayState>,
-) -> Result<RpcDoor<impl Fn(&HeaderMap) -> Result<Extensions, &'static str>>, DaemonError> {
+) -> Result<RpcListener<impl Fn(&HeaderMap) -> Result<Extensions, &'static str>>, DaemonError> {
     let mut module = RpcModule::new(state);
     module.register_method(methods::STATE, |params, state, _| {
         let request: StateRequest = params.one()?;
         Ok::<_, ErrorObjectOwned>(answer(state, request))
     })?;
     quarantine_door::register(&mut module)?;
-    Ok(RpcDoor {
+    Ok(RpcListener {
         name: "state",
         methods: module.into(),
         guard: |_: &HeaderMap| Ok(Extensions::new()),
--- a/dockgate/src/link.rs
+++ b/dockgate/src/link_task.rs
@@ -4,7 +4,7 @@
 //! grow by themselves when there is more to say. When a link breaks, whatever may not have been
 //! delivered goes back to the control actor.
 
-use crate::config_keeper::ConfigCell;
+use crate::config_cell::ConfigCell;
 use crate::dispatch::{DispatchHandle, LinkFailure, PeerBatch};
 use crate::members::MemberBox;
 use crate::metrics::METRICS;
--- a/dockgate/src/main.rs
+++ b/dockgate/src/main.rs
@@ -4,19 +4,19 @@
 
 mod caller;
 mod clock;
-mod config_keeper;
+mod config_cell;
 mod daemon;
 mod dispatch;
-mod door;
 mod error;
 mod gateway;
-mod link;
+mod link_task;
 mod logging;
 mod members;
 mod metrics;
-mod operator_door;
-mod peer_door;
+mod operator_listener;
+mod peer_listener;
 mod probed_wait;
+mod rpc_listener;
 mod settings;
 mod shared_stream;
 mod stop;
--- a/dockgate/src/metrics.rs
+++ b/dockgate/src/metrics.rs
@@ -8,7 +8,7 @@
 use std::sync::LazyLock;
 
 /// Upper bounds of the buckets of times, in seconds.
-const SECONDS: [f64; 14] = [
+const SECONDS_BUCKETS: [f64; 14] = [
     0.000_5, 0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 10.0, 60.0,
 ];
 
@@ -38,7 +38,7 @@
     /// Endpoints that this box schedules.
     pub(crate) endpoints: IntGauge,
     /// Endpoints that get no new work for a while, after failures.
-    pub(crate) resting: IntGauge,
+    pub(crate) endpoints_in_backoff: IntGauge,
     /// Version of the configuration in force.
     pub(crate) config_version: IntGauge,
     /// Violations of invariants.
@@ -46,7 +46,7 @@
     /// Messages of peers that named something unknown, by step.
     pub(crate) ignored: IntCounterVec,
     /// Callers, peers and operators turned away, by door.
-    pub(crate) turned_away: IntCounterVec,
+    pub(crate) rejected: IntCounterVec,
     /// Batches handed to peers.
     pub(crate) exchanges: IntCounter,
     /// Open links to peers.
@@ -89,7 +89,7 @@
             "dockgate_wait_seconds",
             "Time a request waited for a slot, by pool",
         );
-        let wait = HistogramVec::new(wait.buckets(SECONDS.to_vec()), &["pool"]);
+        let wait = HistogramVec::new(wait.buckets(SECONDS_BUCKETS.to_vec()), &["pool"]);
         let wait = wait.expect("a constant name is valid");
         registry
             .register(Box::new(wait.clone()))
@@ -137,7 +137,7 @@
                 "dockgate_scheduled_endpoints",
                 "Endpoints scheduled by this box",
             ),
-            resting: gauge(
+            endpoints_in_backoff: gauge(
                 "dockgate_resting_endpoints",
                 "Endpoints scheduled here that get no new work for a while, after failures",
             ),
@@ -154,7 +154,7 @@
                 "Messages of peers that named something unknown here, by step",
                 &["step"],
             ),
-            turned_away: counters(
+            rejected: counters(
                 "dockgate_turned_away_total",
                 "Callers, peers and operators turned away, by door",
                 &["door"],
@@ -178,7 +178,7 @@
     /// # Panics
     ///
     /// Panics where two metrics have the same name, which is a fault of the program.
-    pub(crate) fn add(&self, metric: impl prometheus::core::Collector + Clone + 'static) {
+    pub(crate) fn register(&self, metric: impl prometheus::core::Collector + Clone + 'static) {
         self.registry
             .register(Box::new(metric))
             .expect("names differ");
--- a/dockgate/src/operator_door.rs
+++ b/dockgate/src/operator_listener.rs
@@ -1,10 +1,10 @@
 //! The door for operators: plan, confirm, show, history, status.
 
 use crate::clock::unix_ms;
-use crate::config_keeper::ConfigCell;
+use crate::config_cell::ConfigCell;
 use crate::dispatch::DispatchHandle;
-use crate::door::{RpcDoor, has_secret};
 use crate::error::DaemonError;
+use crate::rpc_listener::{RpcListener, has_secret};
 use dockgate_config::{CommitOutcome, ConfigHead, ConfigStore};
 use dockgate_core::{ConfigPlan, parse_declaration};
 use dockgate_platform::PlatformError;
@@ -34,12 +34,12 @@
 /// # Errors
 ///
 /// Returns an error where a method cannot be registered.
-pub(crate) fn operator_door(
+pub(crate) fn operator_listener(
     store: ConfigStore,
     cell: ConfigCell,
     dispatch: DispatchHandle,
     token: String,
-) -> Result<RpcDoor<impl Fn(&HeaderMap) -> Result<Extensions, &'static str>>, DaemonError> {
+) -> Result<RpcListener<impl Fn(&HeaderMap) -> Result<Extensions, &'static str>>, DaemonError> {
     let context = OperatorContext {
         store,
         cell,
@@ -71,7 +71,7 @@
         let status = context.dispatch.status().await;
         status.ok_or_else(|| ErrorObjectOwned::from(ErrorCode::InternalError))
     })?;
-    Ok(RpcDoor {
+    Ok(RpcListener {
         name: "operators",
         methods: module.into(),
         guard: move |headers: &HeaderMap| match has_secret(headers, &token) {
--- a/dockgate/src/peer_door.rs
+++ b/dockgate/src/peer_listener.rs
@@ -1,9 +1,9 @@
 //! The door for peers: hello, batches, and the configuration for those who lack it.
 
-use crate::config_keeper::ConfigCell;
+use crate::config_cell::ConfigCell;
 use crate::dispatch::{DispatchHandle, PeerBatch, PeerHello};
-use crate::door::{RpcDoor, has_secret};
 use crate::error::DaemonError;
+use crate::rpc_listener::{RpcListener, has_secret};
 use dockgate_core::BoxKey;
 use dockgate_proto::{ConfigAnswer, HelloRequest, PeerMessage, headers, methods};
 use http::{Extensions, HeaderMap};
@@ -24,11 +24,11 @@
 /// # Errors
 ///
 /// Returns an error where a method cannot be registered.
-pub(crate) fn peer_door(
+pub(crate) fn peer_listener(
     dispatch: DispatchHandle,
     cell: ConfigCell,
     secret: String,
-) -> Result<RpcDoor<impl Fn(&HeaderMap) -> Result<Extensions, &'static str>>, DaemonError> {
+) -> Result<RpcListener<impl Fn(&HeaderMap) -> Result<Extensions, &'static str>>, DaemonError> {
     let mut module = RpcModule::new(PeerContext { dispatch, cell });
     module.register_async_method(methods::HELLO, |params, context, extensions| async move {
         let from = identity_of(&extensions)?;
@@ -53,7 +53,7 @@
             config: (config.version > known).then(|| (*config).clone()),
         })
     })?;
-    Ok(RpcDoor {
+    Ok(RpcListener {
         name: "peers",
         methods: module.into(),
         guard: move |headers: &HeaderMap| admit(headers, &secret),
--- a/dockgate/src/door.rs
+++ b/dockgate/src/rpc_listener.rs
@@ -19,7 +19,7 @@
 const MOST_CONNECTIONS: u32 = 4_096;
 
 /// A door and the guard that decides who enters; the guard leaves what it learned in the request.
-pub(crate) struct RpcDoor<G> {
+pub(crate) struct RpcListener<G> {
     /// The name, for logs.
     pub(crate) name: &'static str,
     /// What stands behind.
@@ -28,7 +28,7 @@
     pub(crate) guard: G,
 }
 
-impl<G> RpcDoor<G>
+impl<G> RpcListener<G>
 where
     G: Fn(&HeaderMap) -> Result<http::Extensions, &'static str> + Send + Sync + 'static,
 {
@@ -86,7 +86,7 @@
 }
 
 fn turn_away(door: &'static str, peer: SocketAddr, reason: &'static str) -> Response<HttpBody> {
-    METRICS.turned_away.with_label_values(&[door]).inc();
+    METRICS.rejected.with_label_values(&[door]).inc();
     log_event(&LogEvent::TurnedAway {
         door,
         peer: peer.to_string(),
