--- a/dockgate/src/caller.rs
+++ b/dockgate/src/caller.rs
@@ -1,4 +1,4 @@
-//! The door for callers: HTTP/1.1 and HTTP/2 in clear text.
+//! Listener for callers: HTTP/1.1 and HTTP/2 without TLS.
 
 mod endpoint_client;
 mod endpoint_refusal;
@@ -38,49 +38,49 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Semaphore;
 
-/// An error inside a body.
+/// An error while a body is read or written.
 pub(super) type BodyError = Box<dyn Error + Send + Sync>;
 /// The body of every response.
 pub(super) type ResponseBody = BoxBody<Bytes, BodyError>;
 
-/// Makes a body of bytes.
+/// Wraps bytes that are complete in a response body.
 pub(super) fn full_body(bytes: impl Into<Bytes>) -> ResponseBody {
     Full::new(bytes.into())
         .map_err(|never: Infallible| match never {})
         .boxed()
 }
 
-/// Counts a request for as long as it is in flight.
-pub(super) struct InFlight(Arc<AtomicUsize>);
+/// Counts a request as in flight until it is dropped.
+pub(super) struct InFlightGuard(Arc<AtomicUsize>);
 
-impl InFlight {
+impl InFlightGuard {
     fn new(count: &Arc<AtomicUsize>) -> Self {
         count.fetch_add(1, Ordering::AcqRel);
         Self(count.clone())
     }
 }
 
-impl Drop for InFlight {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::AcqRel);
     }
 }
 
-/// Serves callers.
+/// Accepts connections of callers and serves their requests.
 pub(crate) struct CallerListener {
     settings: Arc<DaemonSettings>,
     cell: ConfigCell,
     dispatch: DispatchHandle,
     client: EndpointClient,
     stop: StopFlag,
-    /// The part of every request id that tells this life of this box.
+    /// The prefix of every request id: the key of this box and the incarnation of its daemon.
     id_prefix: String,
     next_id: AtomicU64,
     in_flight: Arc<AtomicUsize>,
 }
 
 impl CallerListener {
-    /// Makes the door.
+    /// Creates the listener.
     pub(crate) fn new(
         settings: Arc<DaemonSettings>,
         cell: ConfigCell,
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Returns how many requests are in flight.
+    /// Returns the number of requests in flight.
     pub(crate) fn in_flight(&self) -> usize {
         self.in_flight.load(Ordering::Acquire)
     }
@@ -115,19 +115,19 @@
     pub(crate) async fn serve(self: Arc<Self>, listener: TcpListener) {
         let permits = Arc::new(Semaphore::new(self.settings.limits.connections));
         loop {
-            // Beyond the cap, callers wait in the kernel's queue.
+            // At the connection limit, new callers wait in the kernel's accept queue.
             let Ok(permit) = permits.clone().acquire_owned().await else {
                 return;
             };
             match listener.accept().await {
                 Ok((stream, _)) => {
-                    let door = self.clone();
+                    let caller_listener = self.clone();
                     tokio::spawn(async move {
-                        door.serve_connection(stream).await;
+                        caller_listener.serve_connection(stream).await;
                         drop(permit);
                     });
                 }
-                Err(error) => log::warn!("callers: accept: {error}"),
+                Err(error) => log::warn!("cannot accept a connection of a caller: {error}"),
             }
         }
     }
@@ -145,36 +145,36 @@
             .http2()
             .timer(TokioTimer::new())
             .max_header_list_size(limits.header_bytes as u32);
-        let door = self.clone();
+        let caller_listener = self.clone();
         let service = service_fn(move |request| {
-            let door = door.clone();
-            async move { Ok::<_, Infallible>(door.answer(request).await) }
+            let caller_listener = caller_listener.clone();
+            async move { Ok::<_, Infallible>(caller_listener.respond(request).await) }
         });
         let stream = SharedStream::new(stream);
         let caller = stream.presence();
         let connection = builder.serve_connection_with_upgrades(TokioIo::new(stream), service);
-        // The library does not see a caller leave behind bytes that it has no use for yet, such as the next
-        // request: a run of a minute went on to its end.
+        // hyper does not notice that the caller has closed the connection while unread bytes, such
+        // as a pipelined request, precede the end of the stream.
         let ended = tokio::select! {
             biased;
             () = caller.left() => return,
             ended = connection => ended,
         };
         if let Err(error) = ended {
-            log::debug!("callers: connection: {error}");
+            log::debug!("connection of a caller failed: {error}");
         }
     }
 
-    /// Answers one request; every response carries its id.
-    async fn answer(self: Arc<Self>, request: Request<Incoming>) -> Response<ResponseBody> {
+    /// Responds to one request. Every response carries the id of its request.
+    async fn respond(self: Arc<Self>, request: Request<Incoming>) -> Response<ResponseBody> {
         let number = self.next_id.fetch_add(1, Ordering::Relaxed);
         let id = format!("{}-{number:x}", self.id_prefix);
-        let answered = match (request.method(), request.uri().path()) {
+        let result = match (request.method(), request.uri().path()) {
             (&Method::GET, "/livez") => Ok(text_response(StatusCode::OK, "alive\n")),
             (&Method::GET, "/readyz") => Ok(self.readiness()),
             _ => self.route(&id, request).await,
         };
-        let mut response = answered.unwrap_or_else(|refusal| {
+        let mut response = result.unwrap_or_else(|refusal| {
             log_event(&LogEvent::Ended {
                 request: &id,
                 workspace: refusal.workspace.as_deref().unwrap_or_default(),
@@ -215,24 +215,24 @@
         if self.stop.is_set() {
             return Err(Refusal::stopping());
         }
-        let in_flight = InFlight::new(&self.in_flight);
+        let in_flight = InFlightGuard::new(&self.in_flight);
         let config = self.cell.current();
         let classifier = RequestClassifier::new(&config, &self.settings.limits);
         if request.method() == Method::GET && request.uri().path() == "/v1/models" {
             classifier.workspace(request.headers())?;
             return Ok(models_response(&config));
         }
-        let call = classifier.classify(id, request).await?;
-        let context = RequestRunner {
+        let request = classifier.classify(id, request).await?;
+        let runner = RequestRunner {
             settings: self.settings.clone(),
             cell: self.cell.clone(),
             dispatch: self.dispatch.clone(),
             client: self.client.clone(),
         };
-        context.run(call, in_flight).await
+        runner.run(request, in_flight).await
     }
 
-    /// Serves the metrics' address.
+    /// Serves `/metrics` until accepting a connection fails.
     pub(crate) async fn serve_metrics(self: Arc<Self>, listener: TcpListener) {
         while let Ok((stream, _)) = listener.accept().await {
             let service = service_fn(|request: Request<Incoming>| async move {
@@ -245,7 +245,7 @@
                 let builder = Builder::new(TokioExecutor::new());
                 let served = builder.serve_connection(TokioIo::new(stream), service);
                 if let Err(error) = served.await {
-                    log::debug!("metrics: connection: {error}");
+                    log::debug!("connection for metrics failed: {error}");
                 }
             });
         }
@@ -258,7 +258,7 @@
     response
 }
 
-/// Lists the models as the chat-completions API does.
+/// Lists the configured models in the format of the OpenAI API.
 fn models_response(config: &dockgate_core::FleetConfig) -> Response<ResponseBody> {
     let models: Vec<serde_json::Value> = config
         .pools
--- a/dockgate/src/caller/endpoint_client.rs
+++ b/dockgate/src/caller/endpoint_client.rs
@@ -1,4 +1,4 @@
-//! Calls to model engines and plain services.
+//! HTTP client for model engines and plain services.
 
 use bytes::Bytes;
 use http::{Request, Response};
@@ -11,18 +11,18 @@
 use std::time::Duration;
 
 /// How long an idle connection to an endpoint is kept.
-const IDLE: Duration = Duration::from_secs(30);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What went wrong before any part of an answer came.
+/// The failure of a call before the response head.
 #[derive(Debug)]
 pub(super) enum CallFailure {
-    /// No byte of the request has left this box.
+    /// No byte of the request was sent.
     NotSent(String),
     /// The request may have reached the endpoint.
     Lost(String),
 }
 
-/// A pooled HTTP client without hidden retries.
+/// A pooling HTTP client that never retries by itself.
 #[derive(Debug, Clone)]
 pub(super) struct EndpointClient {
     client: Client<HttpConnector, Full<Bytes>>,
@@ -35,20 +35,24 @@
         connector.set_connect_timeout(Some(connect_timeout));
         let client = Client::builder(TokioExecutor::new())
             .pool_timer(TokioTimer::new())
-            .pool_idle_timeout(IDLE)
-            // Whether a request may be sent again is decided by the attempt, never by the client.
+            .pool_idle_timeout(IDLE_TIMEOUT)
+            // Only the request runner knows whether a request may be sent again.
             .retry_canceled_requests(false)
             .build(connector);
         Self { client }
     }
 
-    /// Sends a request and waits for the head of the answer.
-    pub(super) async fn call(
+    /// Sends a request and waits for the head of the response.
+    ///
+    /// # Errors
+    ///
+    /// Returns whether the request may have reached the endpoint, with the cause.
+    pub(super) async fn send(
         &self,
         request: Request<Full<Bytes>>,
     ) -> Result<Response<Incoming>, CallFailure> {
         self.client.request(request).await.map_err(|error| {
-            let message = describe(&error);
+            let message = error_chain(&error);
             match error.is_connect() || was_never_sent(&error) {
                 true => CallFailure::NotSent(message),
                 false => CallFailure::Lost(message),
@@ -57,7 +61,7 @@
     }
 }
 
-/// Tells whether the connection was found closed before the request was put on it.
+/// Returns whether the connection was closed before the request was written to it.
 fn was_never_sent(error: &Error) -> bool {
     let source = error.source();
     source
@@ -65,8 +69,8 @@
         .is_some_and(hyper::Error::is_canceled)
 }
 
-/// Writes an error with its causes.
-fn describe(error: &Error) -> String {
+/// Formats an error with its causes.
+fn error_chain(error: &Error) -> String {
     let mut text = error.to_string();
     let mut source = error.source();
     while let Some(cause) = source {
--- a/dockgate/src/caller/endpoint_refusal.rs
+++ b/dockgate/src/caller/endpoint_refusal.rs
@@ -1,20 +1,22 @@
-//! What an endpoint's refusal says of it.
+//! Classifies refusals of endpoints by their status and `Retry-After` header.
 
 use dockgate_core::SlotSign;
 use http::{HeaderMap, StatusCode, header};
 
-/// The longest rest that is given, in seconds: a bound against a time that nobody can have meant.
-const MAX_REST_S: u32 = 3_600;
+/// Upper bound of the backoff that an endpoint may ask for, in seconds.
+const MAX_BACKOFF_S: u32 = 3_600;
 
-/// Tells what a refusal says of its endpoint: one that names a time wants nothing until then.
+/// Returns the state of the endpoint behind a refusal: full, or in backoff for the time it names.
 ///
-/// The time of 429 may concern the workspace alone. One written as a date is not read: endpoints' clocks may be off.
+/// The time of a 429 is ignored, as it may concern only the workspace, and so is a date, as the
+/// endpoint's clock may be wrong.
 pub(super) fn classify_refusal(status: StatusCode, headers: &HeaderMap) -> SlotSign {
-    let seconds = headers.get(header::RETRY_AFTER);
-    let seconds = seconds.and_then(|value| value.to_str().ok()?.trim().parse::<u32>().ok());
-    match seconds {
+    let retry_after = headers.get(header::RETRY_AFTER);
+    let retry_after_s =
+        retry_after.and_then(|value| value.to_str().ok()?.trim().parse::<u32>().ok());
+    match retry_after_s {
         Some(seconds) if seconds > 0 && status == StatusCode::SERVICE_UNAVAILABLE => {
-            SlotSign::Resting(seconds.min(MAX_REST_S) * 1_000)
+            SlotSign::Resting(seconds.min(MAX_BACKOFF_S) * 1_000)
         }
         _ => SlotSign::Full,
     }
--- a/dockgate/src/caller/endpoint_refusal/tests.rs
+++ b/dockgate/src/caller/endpoint_refusal/tests.rs
@@ -6,11 +6,11 @@
     no_time = { 503, None, SlotSign::Full },
     seconds = { 503, Some("3"), SlotSign::Resting(3_000) },
     none = { 503, Some("0"), SlotSign::Full },
-    a_date = { 503, Some("Wed, 21 Oct 2026 07:28:00 GMT"), SlotSign::Full },
+    date = { 503, Some("Wed, 21 Oct 2026 07:28:00 GMT"), SlotSign::Full },
     huge = { 503, Some("4000000000"), SlotSign::Resting(3_600_000) },
-    of_a_workspace = { 429, Some("3"), SlotSign::Full },
+    too_many_requests = { 429, Some("3"), SlotSign::Full },
 )]
-fn a_refusal_that_names_a_time_asks_for_rest(
+fn unavailable_with_seconds_starts_a_backoff(
     status: u16,
     retry_after: Option<&'static str>,
     sign: SlotSign,
--- a/dockgate/src/caller/metered_body.rs
+++ b/dockgate/src/caller/metered_body.rs
@@ -1,6 +1,6 @@
-//! Passes an answer on to the caller while its cost is measured and reported.
+//! Relays a response body to the caller while measuring and reporting its cost.
 
-use super::{BodyError, InFlight};
+use super::{BodyError, InFlightGuard};
 use crate::clock::now_ms;
 use crate::dispatch::DispatchHandle;
 use crate::logging::{LogEvent, log_event};
@@ -16,34 +16,34 @@
 use tokio::time::{Instant, Sleep};
 
 quick_error! {
-    /// Why an answer ends before it is whole; the caller's connection is cut, so that it can tell.
+    /// The reason for a truncated response; the connection to the caller is aborted.
     #[derive(Debug)]
     pub enum ResponseError {
-        /// The endpoint ended the stream without its end mark.
+        /// The endpoint ended the stream without its end marker.
         Truncated(endpoint: String) {
-            display("endpoint {}: answer: the stream ended without its end mark", endpoint)
+            display("endpoint {}: response: the stream ended without its end marker", endpoint)
         }
-        /// The endpoint was silent for too long.
-        Silent(endpoint: String) {
-            display("endpoint {}: answer: nothing came in time", endpoint)
+        /// The endpoint sent nothing within the timeout.
+        TimedOut(endpoint: String) {
+            display("endpoint {}: response: no data within the timeout", endpoint)
         }
-        /// The answer was paused, and no slot came free for its rest.
+        /// The response was paused and could not be resumed.
         NotResumed(endpoint: String) {
-            display("endpoint {}: answer: its rest found no slot", endpoint)
+            display("endpoint {}: response: it was paused and could not be resumed", endpoint)
         }
-        /// The connection to the endpoint broke.
+        /// The connection to the endpoint failed.
         Lost(endpoint: String, cause: hyper::Error) {
-            display("endpoint {}: answer: {}", endpoint, cause)
+            display("endpoint {}: response: {}", endpoint, cause)
         }
     }
 }
 
-/// A grant in use; dropping it settles the cost and frees the slot.
+/// A grant in use. Dropping it settles the cost and frees the slot.
 pub(super) struct RunningGrant {
     pub(super) grant: GrantId,
     pub(super) dispatch: DispatchHandle,
     pub(super) cost: f64,
-    /// What was seen of the endpoint.
+    /// How the endpoint behaved.
     pub(super) sign: SlotSign,
 }
 
@@ -53,11 +53,12 @@
     }
 }
 
-/// After how many periods the cost of an answer is reported first: most end before that, and their
-/// settle says all.
-pub(super) const FIRST_PROGRESS: u64 = 3;
+/// The number of reporting periods before the first progress report.
+///
+/// A response that ends earlier is reported by its settle alone.
+pub(super) const FIRST_PROGRESS_PERIODS: u64 = 3;
 
-/// Whose answer it is, for the line at its end.
+/// Identifies a response in the log.
 pub(super) struct ResponseLabel {
     pub(super) request: String,
     pub(super) workspace: String,
@@ -83,7 +84,7 @@
     }
 }
 
-/// The body of a plain service's answer on its way to the caller.
+/// The body of a response of a plain service, on its way to the caller.
 pub(super) struct MeteredBody {
     inner: Incoming,
     rule: CostRule,
@@ -92,17 +93,17 @@
     granted_ms: u64,
     progress_every_ms: u64,
     progress_due_ms: u64,
-    silence: Duration,
+    idle_timeout: Duration,
     timer: Pin<Box<Sleep>>,
     outcome: Option<&'static str>,
-    _in_flight: InFlight,
+    _in_flight: InFlightGuard,
 }
 
-/// Times that bound an answer.
-pub(super) struct ResponseTimes {
-    /// How long the endpoint may be silent.
-    pub(super) silence: Duration,
-    /// How often the cost is reported.
+/// Timeout and reporting interval of a response.
+pub(super) struct ResponseTiming {
+    /// The maximum time without data from the endpoint.
+    pub(super) idle_timeout: Duration,
+    /// The interval of cost reports.
     pub(super) progress_every: Duration,
 }
 
@@ -112,11 +113,11 @@
         rule: CostRule,
         running: RunningGrant,
         label: ResponseLabel,
-        times: &ResponseTimes,
-        in_flight: InFlight,
+        timing: &ResponseTiming,
+        in_flight: InFlightGuard,
     ) -> Self {
         let now = now_ms();
-        let progress_every_ms = times.progress_every.as_millis() as u64;
+        let progress_every_ms = timing.progress_every.as_millis() as u64;
         Self {
             inner,
             rule,
@@ -124,15 +125,15 @@
             label,
             granted_ms: now,
             progress_every_ms,
-            progress_due_ms: now + progress_every_ms * FIRST_PROGRESS,
-            silence: times.silence,
-            timer: Box::pin(tokio::time::sleep(times.silence)),
+            progress_due_ms: now + progress_every_ms * FIRST_PROGRESS_PERIODS,
+            idle_timeout: timing.idle_timeout,
+            timer: Box::pin(tokio::time::sleep(timing.idle_timeout)),
             outcome: None,
             _in_flight: in_flight,
         }
     }
 
-    fn take_in(&mut self) {
+    fn record_frame(&mut self) {
         let now = now_ms();
         self.running.cost = self.cost(now);
         if now >= self.progress_due_ms {
@@ -140,20 +141,20 @@
             let RunningGrant { grant, cost, .. } = self.running;
             self.running.dispatch.progress(grant, cost);
         }
-        // Late by the time of a suspension, in which the endpoint could not be heard either.
+        // The timer does not advance during a suspension, nor does the endpoint's data arrive.
         #[expect(
             clippy::disallowed_methods,
-            reason = "the runtime's timer needs its clock"
+            reason = "the timer of tokio needs the clock of tokio"
         )]
-        let silence = Instant::now() + self.silence;
-        self.timer.as_mut().reset(silence);
+        let deadline = Instant::now() + self.idle_timeout;
+        self.timer.as_mut().reset(deadline);
     }
 
     fn cost(&self, now: u64) -> f64 {
         (now - self.granted_ms) as f64 * self.rule.slot_ms_weight
     }
 
-    fn end(&mut self) {
+    fn complete(&mut self) {
         self.running.cost = self.cost(now_ms());
         self.outcome = Some("ok");
     }
@@ -177,7 +178,7 @@
         let endpoint = self.label.endpoint.clone();
         match Pin::new(&mut self.inner).poll_frame(context) {
             Poll::Ready(Some(Ok(frame))) => {
-                self.take_in();
+                self.record_frame();
                 Poll::Ready(Some(Ok(frame)))
             }
             Poll::Ready(Some(Err(cause))) => {
@@ -185,12 +186,12 @@
                 Poll::Ready(Some(Err(error.into())))
             }
             Poll::Ready(None) => {
-                self.end();
+                self.complete();
                 Poll::Ready(None)
             }
             Poll::Pending => {
                 std::task::ready!(self.timer.as_mut().poll(context));
-                let error = self.fail(ResponseError::Silent(endpoint));
+                let error = self.fail(ResponseError::TimedOut(endpoint));
                 Poll::Ready(Some(Err(error.into())))
             }
         }
@@ -199,11 +200,11 @@
 
 impl Drop for MeteredBody {
     fn drop(&mut self) {
-        let whole = self.inner.is_end_stream();
+        let is_complete = self.inner.is_end_stream();
         let outcome = match self.outcome {
             Some(outcome) => outcome,
-            // hyper may drop a body of known length without asking for its end.
-            None if whole => "ok",
+            // hyper may drop a body of known length without polling for its end.
+            None if is_complete => "ok",
             None => "caller_gone",
         };
         self.label.log_end(outcome, self.running.cost);
--- a/dockgate/src/caller/proxy_headers.rs
+++ b/dockgate/src/caller/proxy_headers.rs
@@ -1,8 +1,8 @@
-//! Headers that end at a proxy, and headers that are dockgate's own.
+//! Removes the headers that a proxy must not forward.
 
 use http::{HeaderMap, HeaderName, header};
 
-/// Headers that belong to one connection, by RFC 9110 section 7.6.1.
+/// Hop-by-hop headers of RFC 9110, section 7.6.1.
 const HOP_BY_HOP: [HeaderName; 8] = [
     header::CONNECTION,
     header::PROXY_AUTHENTICATE,
@@ -13,43 +13,44 @@
     header::UPGRADE,
     HeaderName::from_static("keep-alive"),
 ];
-/// Prefix of dockgate's own headers, which callers must not send on to endpoints.
-const OWN_PREFIX: &str = "dockgate-";
+/// Prefix of the headers that the daemon sets itself; those of callers are not forwarded.
+const DAEMON_PREFIX: &str = "dockgate-";
 
-/// Removes the headers that belong to one connection, with those named in `Connection`.
+/// Removes the hop-by-hop headers and those named_headers in `Connection`.
 pub(super) fn strip_hop_by_hop(headers: &mut HeaderMap) {
-    let named: Vec<HeaderName> = headers
+    let named_headers: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(','))
         .filter_map(|name| name.trim().parse().ok())
         .collect();
-    for name in named.iter().chain(&HOP_BY_HOP) {
+    for name in named_headers.iter().chain(&HOP_BY_HOP) {
         headers.remove(name);
     }
 }
 
-/// Prepares a caller's headers for an endpoint: its key, its framing and our own headers stay here.
+/// Removes the headers of a request that endpoints must not receive: its credentials, its
+/// framing and the headers that only the daemon sets.
 pub(super) fn sanitize_request_headers(headers: &mut HeaderMap) {
     strip_hop_by_hop(headers);
-    let own: Vec<HeaderName> = headers
+    let daemon_headers: Vec<HeaderName> = headers
         .keys()
-        .filter(|name| name.as_str().starts_with(OWN_PREFIX))
+        .filter(|name| name.as_str().starts_with(DAEMON_PREFIX))
         .cloned()
         .collect();
-    let framing = [
+    let consumed_headers = [
         header::HOST,
         header::CONTENT_LENGTH,
         header::AUTHORIZATION,
         header::EXPECT,
     ];
-    for name in own.iter().chain(&framing) {
+    for name in daemon_headers.iter().chain(&consumed_headers) {
         headers.remove(name);
     }
 }
 
-/// Prepares an endpoint's headers for the caller.
+/// Removes the headers of a response that callers must not receive.
 pub(super) fn sanitize_response_headers(headers: &mut HeaderMap) {
     strip_hop_by_hop(headers);
     headers.remove(header::CONTENT_LENGTH);
--- a/dockgate/src/caller/proxy_headers/tests.rs
+++ b/dockgate/src/caller/proxy_headers/tests.rs
@@ -2,7 +2,7 @@
 use http::HeaderValue;
 
 #[test]
-fn what_ends_here_is_not_passed_on() {
+fn private_headers_are_not_forwarded() {
     let mut headers = HeaderMap::new();
     for (name, value) in [
         ("connection", "close, x-secret"),
--- a/dockgate/src/caller/refusal.rs
+++ b/dockgate/src/caller/refusal.rs
@@ -1,11 +1,11 @@
-//! Refusals: what a caller is told instead of an answer.
+//! Refusals: error responses to callers.
 
 use super::{ResponseBody, full_body};
 use dockgate_core::{AttemptState, Outcome};
 use dockgate_proto::{RefusalBody, RefusalCode, RequestStep};
 use http::{HeaderValue, Response, header};
 
-/// A request that gets no answer from an endpoint.
+/// The error response to a request that no endpoint has answered.
 #[derive(Debug, Clone)]
 pub(super) struct Refusal {
     pub(super) code: RefusalCode,
@@ -17,7 +17,7 @@
 }
 
 impl Refusal {
-    /// Refuses a request of which nothing ran.
+    /// Creates the refusal of a request that was not run.
     pub(super) fn not_run(
         code: RefusalCode,
         step: RequestStep,
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Refuses because the box stops; another box takes the request at once.
+    /// Creates the refusal of a request to a box that is stopping; other boxes accept it.
     pub(super) fn stopping() -> Self {
         Self::not_run(
             RefusalCode::Stopping,
@@ -43,7 +43,7 @@
         .retry_after(1)
     }
 
-    /// Ends a request after its last attempt.
+    /// Creates the refusal of a request after its last attempt has failed.
     pub(super) fn after_attempt(state: AttemptState, message: String) -> Self {
         let (code, step) = match state {
             AttemptState::Queued => (RefusalCode::DeadlinePassed, RequestStep::Queue),
@@ -56,28 +56,28 @@
         Self::not_run(code, step, message)
     }
 
-    /// Says of the whole request what all its attempts together allow.
+    /// Sets the outcome of the request over all its attempts.
     #[must_use]
     pub(super) const fn with_outcome(mut self, outcome: Outcome) -> Self {
         self.outcome = outcome;
         self
     }
 
-    /// Says when it is worth trying again.
+    /// Sets the time after which the caller may retry, in seconds.
     #[must_use]
     pub(super) const fn retry_after(mut self, seconds: u32) -> Self {
         self.retry_after_s = Some(seconds);
         self
     }
 
-    /// Names the workspace, for the log.
+    /// Sets the workspace, for the log.
     #[must_use]
-    pub(super) fn of(mut self, workspace: &str) -> Self {
+    pub(super) fn for_workspace(mut self, workspace: &str) -> Self {
         self.workspace = Some(workspace.to_owned());
         self
     }
 
-    /// Returns the step as it is written in logs and metrics.
+    /// Returns the name of the step in logs and metrics.
     pub(super) const fn step_name(&self) -> &'static str {
         match self.step {
             RequestStep::Accept => "accept",
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Makes the response.
+    /// Converts the refusal to an HTTP response.
     pub(super) fn into_response(self, request_id: &str) -> Response<ResponseBody> {
         let body = RefusalBody {
             code: self.code,
--- a/dockgate/src/caller/request_classifier.rs
+++ b/dockgate/src/caller/request_classifier.rs
@@ -1,4 +1,4 @@
-//! Reads a caller's request and finds out what it is: whose, for which pool, repeatable or not.
+//! Reads and validates a request of a caller and determines its workspace, pool and kind.
 
 use super::proxy_headers::sanitize_request_headers;
 use super::refusal::Refusal;
@@ -19,13 +19,13 @@
 const MAX_PRIORITY: u8 = 9;
 const MAX_DEADLINE_MS: u64 = 24 * 3_600_000;
 
-/// The part of a chat-completions request that routing needs.
+/// The fields of a chat-completions request that routing needs.
 #[derive(Debug, Deserialize)]
-struct ChatRequest {
+struct ChatHead {
     model: String,
 }
 
-/// A request that has been read and checked.
+/// A request that has been read and validated.
 #[derive(Debug, Clone)]
 pub(super) struct CallerRequest {
     pub(super) id: String,
@@ -45,14 +45,14 @@
     pub(super) body: Bytes,
 }
 
-/// Classifies requests by one configuration.
+/// Classifies requests according to one version of the configuration.
 pub(super) struct RequestClassifier<'a> {
     config: &'a FleetConfig,
     limits: &'a LimitSettings,
 }
 
-/// Where a request goes.
-struct CallTarget {
+/// The pool of a request and the path at its endpoints.
+struct RequestTarget {
     pool: PoolKey,
     path: String,
 }
@@ -62,7 +62,11 @@
         Self { config, limits }
     }
 
-    /// Finds the workspace that a request's key belongs to.
+    /// Returns the workspace that the key of a request belongs to.
+    ///
+    /// # Errors
+    ///
+    /// Returns a refusal if the box has no configuration yet or no workspace has the key.
     pub(super) fn workspace(
         &self,
         headers: &HeaderMap,
@@ -77,7 +81,11 @@
             .ok_or_else(|| refuse(RefusalCode::UnknownKey, "no workspace has this key"))
     }
 
-    /// Reads a request in full and finds out what it is.
+    /// Reads a request with its body and classifies it.
+    ///
+    /// # Errors
+    ///
+    /// Returns a refusal that names the workspace if the request is invalid or has no target.
     pub(super) async fn classify(
         &self,
         id: &str,
@@ -85,7 +93,7 @@
     ) -> Result<CallerRequest, Refusal> {
         let (workspace, spec) = self.workspace(request.headers())?;
         let classified = self.read(id, request, workspace, spec).await;
-        classified.map_err(|refusal| refusal.of(&spec.name))
+        classified.map_err(|refusal| refusal.for_workspace(&spec.name))
     }
 
     async fn read(
@@ -98,14 +106,14 @@
         let started_ms = now_ms();
         let (parts, body) = request.into_parts();
         let mut headers = parts.headers;
-        let priority = header(&headers, headers::PRIORITY, "0 to 9", |priority: &u8| {
+        let priority = parse_header(&headers, headers::PRIORITY, "0 to 9", |priority: &u8| {
             *priority <= MAX_PRIORITY
         })?;
-        let wait_ms = header(
+        let timeout_ms = parse_header(
             &headers,
             headers::DEADLINE_MS,
             "1 to 86400000",
-            |wait: &u64| (1..=MAX_DEADLINE_MS).contains(wait),
+            |timeout_ms: &u64| (1..=MAX_DEADLINE_MS).contains(timeout_ms),
         )?;
         let default_ms = self.limits.queue_timeout.as_millis() as u64;
         let repeatable = self.repeatable(&headers)?;
@@ -126,7 +134,7 @@
             engine,
             repeatable,
             priority: priority.unwrap_or(spec.priority),
-            deadline_ms: started_ms + wait_ms.unwrap_or(default_ms),
+            deadline_ms: started_ms + timeout_ms.unwrap_or(default_ms),
             started_ms,
             method: parts.method,
             path: target.path,
@@ -135,7 +143,7 @@
         })
     }
 
-    /// Tells whether the kind that a request names may be sent to a second endpoint.
+    /// Returns whether the kind of a request allows sending it to a second endpoint.
     fn repeatable(&self, headers: &HeaderMap) -> Result<bool, Refusal> {
         let Some(name) = headers.get(headers::KIND) else {
             return Ok(true);
@@ -171,7 +179,7 @@
         path: &str,
         path_and_query: &str,
         body: &[u8],
-    ) -> Result<CallTarget, Refusal> {
+    ) -> Result<RequestTarget, Refusal> {
         match path.strip_prefix(SERVICE_PREFIX) {
             Some(_) => self.service_target(path_and_query),
             None if path == CHAT_PATH && method == Method::POST => self.chat_target(body),
@@ -182,31 +190,33 @@
         }
     }
 
-    fn service_target(&self, path_and_query: &str) -> Result<CallTarget, Refusal> {
-        let rest = path_and_query
+    fn service_target(&self, path_and_query: &str) -> Result<RequestTarget, Refusal> {
+        let path_and_query = path_and_query
             .strip_prefix(SERVICE_PREFIX)
             .unwrap_or_default();
-        let end = rest.find(['/', '?']).unwrap_or(rest.len());
-        let (service, rest) = rest.split_at(end);
+        let name_end = path_and_query
+            .find(['/', '?'])
+            .unwrap_or(path_and_query.len());
+        let (service, path_and_query) = path_and_query.split_at(name_end);
         let pool = self.config.pool_of_service(service).ok_or_else(|| {
             let message = format!("there is no service {service}");
             refuse(RefusalCode::UnknownService, message)
         })?;
-        let path = match rest.starts_with('/') {
-            true => rest.to_owned(),
-            false => format!("/{rest}"),
+        let path = match path_and_query.starts_with('/') {
+            true => path_and_query.to_owned(),
+            false => format!("/{path_and_query}"),
         };
-        Ok(CallTarget { pool, path })
+        Ok(RequestTarget { pool, path })
     }
 
-    fn chat_target(&self, body: &[u8]) -> Result<CallTarget, Refusal> {
-        let head: ChatRequest = serde_json::from_slice(body)
+    fn chat_target(&self, body: &[u8]) -> Result<RequestTarget, Refusal> {
+        let head: ChatHead = serde_json::from_slice(body)
             .map_err(|error| refuse(RefusalCode::BadRequest, format!("the body: {error}")))?;
         let pool = self.config.pool_of_model(&head.model).ok_or_else(|| {
             let message = format!("no pool serves model {}", head.model);
             refuse(RefusalCode::UnknownModel, message)
         })?;
-        Ok(CallTarget {
+        Ok(RequestTarget {
             pool,
             path: CHAT_PATH.to_owned(),
         })
@@ -217,8 +227,12 @@
     Refusal::not_run(code, RequestStep::Accept, message)
 }
 
-/// Reads a header that must parse and be accepted if it is there.
-fn header<T: FromStr>(
+/// Returns the parsed value of an optional header.
+///
+/// # Errors
+///
+/// Returns a refusal if the value does not parse or is not accepted.
+fn parse_header<T: FromStr>(
     headers: &HeaderMap,
     name: &str,
     allowed: &str,
--- a/dockgate/src/caller/request_classifier/tests.rs
+++ b/dockgate/src/caller/request_classifier/tests.rs
@@ -33,7 +33,7 @@
     unknown = { "/services/other/a", None },
     engine = { "/services/chat/a", None },
 )]
-fn service_paths(path: &str, expected: Option<&str>) {
+fn service_path_is_mapped_to_endpoint_path(path: &str, expected: Option<&str>) {
     let (config, limits) = (config(), limits());
     let classifier = RequestClassifier::new(&config, &limits);
     let target = classifier.service_target(path).ok();
@@ -46,7 +46,7 @@
     no_model = { "{}", Some(RefusalCode::BadRequest) },
     no_json = { "small", Some(RefusalCode::BadRequest) },
 )]
-fn chat_bodies(body: &str, refused: Option<RefusalCode>) {
+fn chat_body_needs_known_model(body: &str, refused: Option<RefusalCode>) {
     let (config, limits) = (config(), limits());
     let classifier = RequestClassifier::new(&config, &limits);
     let target = classifier.chat_target(body.as_bytes());
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn kinds_decide_what_may_be_repeated() {
+fn repeatability_follows_the_request_kind() {
     let (config, limits) = (config(), limits());
     let classifier = RequestClassifier::new(&config, &limits);
     let mut headers = HeaderMap::new();
--- a/dockgate/src/caller/request_runner.rs
+++ b/dockgate/src/caller/request_runner.rs
@@ -1,14 +1,15 @@
-//! Runs a request: waits for a slot, sends it to the endpoint, and tries again where that is allowed.
+//! Runs a request: waits for a slot, sends the request to the granted endpoint and retries where
+//! that is allowed.
 
 use super::endpoint_client::{CallFailure, EndpointClient};
 use super::endpoint_refusal::classify_refusal;
-use super::metered_body::{MeteredBody, ResponseLabel, ResponseTimes, RunningGrant};
+use super::metered_body::{MeteredBody, ResponseLabel, ResponseTiming, RunningGrant};
 use super::proxy_headers::sanitize_response_headers;
 use super::refusal::Refusal;
 use super::request_classifier::CallerRequest;
-use super::stream_meter::whole_cost;
+use super::stream_meter::buffered_cost;
 use super::stream_relay::{StreamRelay, StreamSegment, can_resume, resumed_body};
-use super::{InFlight, ResponseBody, full_body};
+use super::{InFlightGuard, ResponseBody, full_body};
 use crate::clock::{now_ms, timeout};
 use crate::config_cell::ConfigCell;
 use crate::dispatch::{BindReply, BoundSlot, DispatchHandle};
@@ -30,26 +31,26 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// The largest answer that is not streamed, in bytes.
+/// Upper bound of a response that is not streamed, in bytes.
 const MAX_RESPONSE_BYTES: usize = 64 << 20;
-/// How long to wait before another attempt, in milliseconds.
-const RETRY_MS: std::ops::Range<u64> = 5..50;
-/// After how many seconds a refused caller does well to come again.
+/// Random delay before the next attempt, in milliseconds.
+const RETRY_DELAY_MS: std::ops::Range<u64> = 5..50;
+/// `Retry-After` of refused requests, in seconds.
 const RETRY_AFTER_S: u32 = 1;
 
-/// How often the rest of an answer is sent to an endpoint before it is given up.
-const MAX_RESUMES: u32 = 5;
+/// The maximum number of attempts to resume a response after one loss or pause.
+const MAX_RESUME_ATTEMPTS: u32 = 5;
 
-/// What a slot is wanted for.
+/// The purpose of a slot request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum SlotPurpose {
-    /// A request that has not been answered yet.
+    /// To send a request that has no response yet.
     Initial,
-    /// The rest of an answer that has begun.
+    /// To resume a response that the caller has received in part.
     Resume,
 }
 
-/// What an attempt needs of the daemon.
+/// Sends the requests of callers to endpoints.
 #[derive(Clone)]
 pub(super) struct RequestRunner {
     pub(super) settings: Arc<DaemonSettings>,
@@ -58,16 +59,16 @@
     pub(super) client: EndpointClient,
 }
 
-/// An attempt that gave no answer, and how far it had come.
+/// An attempt without a response, with the state in which it failed.
 struct AttemptFailure {
     state: AttemptState,
     message: String,
 }
 
-/// A bound attempt.
+/// An attempt that holds a grant for an endpoint.
 pub(super) struct BoundAttempt {
     grant: GrantOffer,
-    /// Whether its pool's engines resume streams.
+    /// Whether the engines of the pool can resume streams.
     pub(super) resumes: bool,
     endpoint: EndpointSpec,
     rule: CostRule,
@@ -75,62 +76,83 @@
 }
 
 impl RequestRunner {
-    /// Runs a request until it has an answer or may not be tried again.
+    /// Runs a request until an endpoint responds or a retry is not allowed.
+    ///
+    /// # Errors
+    ///
+    /// Returns the refusal for the caller if no attempt succeeds.
     pub(super) async fn run(
         &self,
-        call: CallerRequest,
-        in_flight: InFlight,
+        caller_request: CallerRequest,
+        in_flight: InFlightGuard,
     ) -> Result<Response<ResponseBody>, Refusal> {
         let mut number = 1;
-        // Attempts of which nothing was sent cost nobody anything: only the deadline ends them.
-        let mut sent = 0;
+        // Only attempts that were sent count against the limit; the deadline bounds all others.
+        let mut sent_attempts = 0;
         let mut in_flight = Some(in_flight);
         let mut trail = AttemptTrail::default();
         loop {
-            let slot = self.wait_for_slot(&call, SlotPurpose::Initial).await;
+            let slot = self
+                .wait_for_slot(&caller_request, SlotPurpose::Initial)
+                .await;
             let slot = slot.map_err(|refusal| {
-                let outcome = trail.outcome(AttemptState::Queued, call.repeatable);
+                let outcome = trail.outcome(AttemptState::Queued, caller_request.repeatable);
                 refusal.with_outcome(outcome)
             })?;
-            let loss = match self.bound_attempt(&call, slot.grant, number) {
-                Ok(attempt) => match self.send(&call, &attempt, slot.pause, &mut in_flight).await {
+            let failure = match self.bind_attempt(&caller_request, slot.grant, number) {
+                Ok(attempt) => match self
+                    .send(&caller_request, &attempt, slot.pause, &mut in_flight)
+                    .await
+                {
                     Ok(response) => return Ok(response),
-                    Err(loss) => loss,
+                    Err(failure) => failure,
                 },
-                Err(loss) => loss,
+                Err(failure) => failure,
             };
-            trail.note(loss.state);
-            sent += u32::from(loss.state == AttemptState::Sent);
+            trail.note(failure.state);
+            sent_attempts += u32::from(failure.state == AttemptState::Sent);
             let limits = &self.settings.limits;
-            let budget_left = sent < limits.attempts && now_ms() < call.deadline_ms;
-            match loss.state.after_loss(call.repeatable, budget_left) {
+            let budget_left =
+                sent_attempts < limits.attempts && now_ms() < caller_request.deadline_ms;
+            match failure
+                .state
+                .after_loss(caller_request.repeatable, budget_left)
+            {
                 RetryVerdict::Retry => {
                     METRICS.retries.inc();
-                    let pause = rand::random_range(RETRY_MS);
-                    tokio::time::sleep(Duration::from_millis(pause)).await;
+                    let delay = rand::random_range(RETRY_DELAY_MS);
+                    tokio::time::sleep(Duration::from_millis(delay)).await;
                     number += 1;
                 }
                 RetryVerdict::Report(_) => {
-                    let outcome = trail.outcome(loss.state, call.repeatable);
-                    let refusal = Refusal::after_attempt(loss.state, loss.message);
+                    let outcome = trail.outcome(failure.state, caller_request.repeatable);
+                    let refusal = Refusal::after_attempt(failure.state, failure.message);
                     let refusal = refusal.with_outcome(outcome).retry_after(RETRY_AFTER_S);
-                    return Err(refusal.of(&call.workspace_name));
+                    return Err(refusal.for_workspace(&caller_request.workspace_name));
                 }
             }
         }
     }
 
-    /// Continues an answer of which `events` have been passed on; gives up without a slot.
-    pub(super) async fn resume(&self, call: &CallerRequest, events: u64) -> Option<StreamSegment> {
-        let mut rest = call.clone();
-        rest.body = resumed_body(&call.body, events);
-        let mut sent = 0;
+    /// Resumes a response of which `events` events were relayed; returns `None` if no slot becomes
+    /// free or all attempts fail.
+    pub(super) async fn resume(
+        &self,
+        caller_request: &CallerRequest,
+        events: u64,
+    ) -> Option<StreamSegment> {
+        let mut resumed = caller_request.clone();
+        resumed.body = resumed_body(&caller_request.body, events);
+        let mut sent_attempts = 0;
         for number in 1.. {
-            let slot = self.wait_for_slot(&rest, SlotPurpose::Resume).await.ok()?;
-            let Ok(attempt) = self.bound_attempt(&rest, slot.grant, number) else {
+            let slot = self
+                .wait_for_slot(&resumed, SlotPurpose::Resume)
+                .await
+                .ok()?;
+            let Ok(attempt) = self.bind_attempt(&resumed, slot.grant, number) else {
                 continue;
             };
-            match self.exchange(&rest, &attempt).await {
+            match self.exchange(&resumed, &attempt).await {
                 Ok((response, running)) => {
                     return Some(StreamSegment {
                         body: response.into_body(),
@@ -140,50 +162,50 @@
                         endpoint: attempt.endpoint.name,
                     });
                 }
-                // An endpoint that refused has cost nothing: the rest waits for the next slot.
-                Err(loss) => sent += u32::from(loss.state == AttemptState::Sent),
+                // A refused attempt was not run and does not count against the limit.
+                Err(failure) => sent_attempts += u32::from(failure.state == AttemptState::Sent),
             }
-            if sent >= MAX_RESUMES {
+            if sent_attempts >= MAX_RESUME_ATTEMPTS {
                 return None;
             }
-            let pause = rand::random_range(RETRY_MS);
-            tokio::time::sleep(Duration::from_millis(pause)).await;
+            let delay = rand::random_range(RETRY_DELAY_MS);
+            tokio::time::sleep(Duration::from_millis(delay)).await;
         }
         None
     }
 
     async fn wait_for_slot(
         &self,
-        call: &CallerRequest,
-        wait: SlotPurpose,
+        caller_request: &CallerRequest,
+        purpose: SlotPurpose,
     ) -> Result<BoundSlot, Refusal> {
-        let asked_ms = now_ms();
-        let patience = self.settings.limits.queue_timeout.as_millis() as u64;
+        let queued_ms = now_ms();
+        let queue_timeout_ms = self.settings.limits.queue_timeout.as_millis() as u64;
         let request = WaitingRequest {
             id: 0,
-            pool: call.pool,
-            workspace: call.workspace,
-            priority: call.priority,
-            deadline_ms: match wait {
-                SlotPurpose::Initial => call.deadline_ms,
-                SlotPurpose::Resume => asked_ms + patience,
+            pool: caller_request.pool,
+            workspace: caller_request.workspace,
+            priority: caller_request.priority,
+            deadline_ms: match purpose {
+                SlotPurpose::Initial => caller_request.deadline_ms,
+                SlotPurpose::Resume => queued_ms + queue_timeout_ms,
             },
-            resumed: wait == SlotPurpose::Resume,
-            // A request that comes back keeps its age, and so its place.
-            since_ms: call.started_ms,
+            resumed: purpose == SlotPurpose::Resume,
+            // A retried request keeps its age and therefore its place in the queue.
+            since_ms: caller_request.started_ms,
         };
-        // An answer that has begun is not refused for those that have not.
-        let limit = match wait {
-            SlotPurpose::Initial => call.queue_limit,
+        // The queue limit does not apply to a response that has begun.
+        let queue_limit = match purpose {
+            SlotPurpose::Initial => caller_request.queue_limit,
             SlotPurpose::Resume => usize::MAX,
         };
-        let ticket = self.dispatch.enqueue(request, limit);
+        let ticket = self.dispatch.enqueue(request, queue_limit);
         let reply = ticket.wait().await;
-        let waited = now_ms() - asked_ms;
+        let waited_ms = now_ms() - queued_ms;
         METRICS
             .wait
-            .with_label_values(&[&call.pool_name])
-            .observe(Duration::from_millis(waited).as_secs_f64());
+            .with_label_values(&[&caller_request.pool_name])
+            .observe(Duration::from_millis(waited_ms).as_secs_f64());
         let refusal = match reply {
             BindReply::Bound(slot) => return Ok(slot),
             BindReply::Refused(error @ QueueError::Full(_)) => Refusal::not_run(
@@ -192,22 +214,28 @@
                 error.to_string(),
             ),
             BindReply::Expired => {
-                let message = format!("no slot came free within {waited} ms");
+                let message = format!("no slot came free within {waited_ms} ms");
                 Refusal::not_run(RefusalCode::DeadlinePassed, RequestStep::Queue, message)
             }
         };
-        Err(refusal.retry_after(RETRY_AFTER_S).of(&call.workspace_name))
+        Err(refusal
+            .retry_after(RETRY_AFTER_S)
+            .for_workspace(&caller_request.workspace_name))
     }
 
-    /// Looks the granted endpoint up; one that has just been retired is given back unused.
-    fn bound_attempt(
+    /// Looks up the granted endpoint.
+    ///
+    /// # Errors
+    ///
+    /// Returns the grant unused and an error if the endpoint is no longer configured.
+    fn bind_attempt(
         &self,
-        call: &CallerRequest,
+        caller_request: &CallerRequest,
         grant: GrantOffer,
         number: u32,
     ) -> Result<BoundAttempt, AttemptFailure> {
         let config = self.cell.current();
-        let found = find_endpoint(&config, call, grant);
+        let found = find_endpoint(&config, caller_request, grant);
         let Some((endpoint, pool)) = found else {
             self.dispatch.finish(grant.id, 0.0, SlotSign::Answered);
             return Err(AttemptFailure {
@@ -216,14 +244,14 @@
             });
         };
         log_event(&LogEvent::Routed {
-            request: &call.id,
-            workspace: &call.workspace_name,
-            pool: &call.pool_name,
+            request: &caller_request.id,
+            workspace: &caller_request.workspace_name,
+            pool: &caller_request.pool_name,
             endpoint: &endpoint.name,
             scheduler: grant.entry.to_string(),
             grant: grant.id.to_string(),
             attempt: number,
-            waited_ms: now_ms() - call.started_ms,
+            waited_ms: now_ms() - caller_request.started_ms,
         });
         Ok(BoundAttempt {
             grant,
@@ -234,57 +262,70 @@
         })
     }
 
-    /// Sends the request and passes the answer on.
+    /// Sends the request and relays the response to the caller.
     async fn send(
         &self,
-        call: &CallerRequest,
+        caller_request: &CallerRequest,
         attempt: &BoundAttempt,
         pause: oneshot::Receiver<()>,
-        in_flight: &mut Option<InFlight>,
+        in_flight: &mut Option<InFlightGuard>,
     ) -> Result<Response<ResponseBody>, AttemptFailure> {
-        let (response, running) = self.exchange(call, attempt).await?;
+        let (response, running) = self.exchange(caller_request, attempt).await?;
         let label = ResponseLabel {
-            request: call.id.clone(),
-            workspace: call.workspace_name.clone(),
+            request: caller_request.id.clone(),
+            workspace: caller_request.workspace_name.clone(),
             endpoint: attempt.endpoint.name.clone(),
-            started_ms: call.started_ms,
+            started_ms: caller_request.started_ms,
         };
-        match (call.engine, is_event_stream(&response)) {
-            (true, true) => {
-                Ok(self.pass_stream(call, attempt, response, running, pause, label, in_flight))
+        match (caller_request.engine, is_event_stream(&response)) {
+            (true, true) => Ok(self.relay_stream(
+                caller_request,
+                attempt,
+                response,
+                running,
+                pause,
+                label,
+                in_flight,
+            )),
+            (true, false) => {
+                self.relay_buffered(attempt, response, running, &label)
+                    .await
             }
-            (true, false) => self.pass_whole(attempt, response, running, &label).await,
-            (false, _) => Ok(self.pass_on(attempt, response, running, label, in_flight)),
+            (false, _) => Ok(self.relay_body(attempt, response, running, label, in_flight)),
         }
     }
 
-    /// Sends the request and waits for the head of an answer that can be used.
+    /// Sends the request and waits for the head of a response that can be relayed.
+    ///
+    /// # Errors
+    ///
+    /// Returns the failure if the endpoint cannot be reached, does not respond in time or refuses.
     async fn exchange(
         &self,
-        call: &CallerRequest,
+        caller_request: &CallerRequest,
         attempt: &BoundAttempt,
     ) -> Result<(Response<Incoming>, RunningGrant), AttemptFailure> {
         let mut running = RunningGrant {
             grant: attempt.grant.id,
             dispatch: self.dispatch.clone(),
             cost: 0.0,
-            // Until it has answered, an attempt that ends has lost its endpoint.
+            // An attempt that ends before the response head counts as a lost endpoint.
             sign: SlotSign::Lost,
         };
-        let request = self.endpoint_request(call, attempt)?;
-        let limit = self.settings.limits.answer_timeout;
+        let request = self.endpoint_request(caller_request, attempt)?;
+        let answer_timeout = self.settings.limits.answer_timeout;
         let name = &attempt.endpoint.name;
-        let response = match timeout(limit, self.client.call(request)).await {
+        let response = match timeout(answer_timeout, self.client.send(request)).await {
             Ok(Ok(response)) => response,
             Ok(Err(CallFailure::NotSent(cause))) => {
-                return Err(loss(AttemptState::Bound, name, cause));
+                return Err(failure(AttemptState::Bound, name, cause));
             }
             Ok(Err(CallFailure::Lost(cause))) => {
-                return Err(loss(AttemptState::Sent, name, cause));
+                return Err(failure(AttemptState::Sent, name, cause));
             }
             Err(_) => {
                 let cause = "no answer came in time".to_owned();
-                return Err(loss(AttemptState::Sent, name, cause));
+                return Err(failure(AttemptState::Sent, name, cause));
             }
         };
         match response.status() {
@@ -292,32 +333,32 @@
                 if attempt.endpoint.honest_refusal =>
             {
                 running.sign = classify_refusal(status, response.headers());
-                return Err(loss(AttemptState::Refused, name, status.to_string()));
+                return Err(failure(AttemptState::Refused, name, status.to_string()));
             }
-            StatusCode::SERVICE_UNAVAILABLE if call.repeatable => {
+            StatusCode::SERVICE_UNAVAILABLE if caller_request.repeatable => {
                 running.sign = classify_refusal(response.status(), response.headers());
                 let cause = "it is unavailable".to_owned();
-                return Err(loss(AttemptState::Sent, name, cause));
+                return Err(failure(AttemptState::Sent, name, cause));
             }
             _ => running.sign = SlotSign::Answered,
         }
         Ok((response, running))
     }
 
-    /// Passes a stream on, over as many attempts as it takes.
+    /// Relays a stream, which is resumed by further attempts where that is allowed.
     #[expect(
         clippy::too_many_arguments,
-        reason = "what the stream takes over from its attempt"
+        reason = "the stream takes over the state of its attempt"
     )]
-    fn pass_stream(
+    fn relay_stream(
         &self,
-        call: &CallerRequest,
+        caller_request: &CallerRequest,
         attempt: &BoundAttempt,
         response: Response<Incoming>,
         running: RunningGrant,
         pause: oneshot::Receiver<()>,
         label: ResponseLabel,
-        in_flight: &mut Option<InFlight>,
+        in_flight: &mut Option<InFlightGuard>,
     ) -> Response<ResponseBody> {
         let (mut parts, body) = response.into_parts();
         sanitize_response_headers(&mut parts.headers);
@@ -330,14 +371,14 @@
         };
         let body = match in_flight.take() {
             Some(in_flight) => {
-                let pump = StreamRelay {
-                    context: self.clone(),
-                    call: call.clone(),
+                let relay = StreamRelay {
+                    runner: self.clone(),
+                    caller_request: caller_request.clone(),
                     label,
                     in_flight,
-                    resumes: can_resume(call, attempt),
+                    resumes: can_resume(caller_request, attempt),
                 };
-                pump.start(segment)
+                relay.start(segment)
             }
             None => full_body(Bytes::new()),
         };
@@ -346,30 +387,30 @@
 
     fn endpoint_request(
         &self,
-        call: &CallerRequest,
+        caller_request: &CallerRequest,
         attempt: &BoundAttempt,
     ) -> Result<Request<Full<Bytes>>, AttemptFailure> {
         let address = attempt.endpoint.address_from(&self.settings.domain);
         let built = Request::builder()
-            .method(call.method.clone())
-            .uri(format!("http://{address}{}", call.path))
-            .body(Full::new(call.body.clone()));
+            .method(caller_request.method.clone())
+            .uri(format!("http://{address}{}", caller_request.path))
+            .body(Full::new(caller_request.body.clone()));
         let mut request = built.map_err(|error| {
-            loss(
+            failure(
                 AttemptState::Bound,
                 &attempt.endpoint.name,
                 error.to_string(),
             )
         })?;
-        *request.headers_mut() = call.headers.clone();
-        let id = format!("{}.{}", call.id, attempt.number);
-        let own = [
+        *request.headers_mut() = caller_request.headers.clone();
+        let id = format!("{}.{}", caller_request.id, attempt.number);
+        let own_headers = [
             (headers::ATTEMPT_ID, id),
-            (headers::WORKSPACE, call.workspace_name.clone()),
-            (headers::PRIORITY, call.priority.to_string()),
+            (headers::WORKSPACE, caller_request.workspace_name.clone()),
+            (headers::PRIORITY, caller_request.priority.to_string()),
         ];
-        for (name, value) in own {
-            // Names of workspaces that cannot stand in a header are left out.
+        for (name, value) in own_headers {
+            // Workspace names that are not valid header values are omitted.
             if let Ok(value) = HeaderValue::from_str(&value) {
                 request.headers_mut().insert(name, value);
             }
@@ -377,17 +418,17 @@
         Ok(request)
     }
 
-    /// Passes an answer on piece by piece.
-    fn pass_on(
+    /// Relays the body as it arrives.
+    fn relay_body(
         &self,
         attempt: &BoundAttempt,
         response: Response<Incoming>,
         running: RunningGrant,
         label: ResponseLabel,
-        in_flight: &mut Option<InFlight>,
+        in_flight: &mut Option<InFlightGuard>,
     ) -> Response<ResponseBody> {
-        let times = ResponseTimes {
-            silence: self.settings.limits.answer_timeout,
+        let timing = ResponseTiming {
+            idle_timeout: self.settings.limits.answer_timeout,
             progress_every: self.settings.schedule.progress_every,
         };
         let (mut parts, body) = response.into_parts();
@@ -395,15 +436,15 @@
         let body = match in_flight.take() {
             Some(in_flight) => {
                 let rule = attempt.rule;
-                MeteredBody::new(body, rule, running, label, &times, in_flight).boxed()
+                MeteredBody::new(body, rule, running, label, &timing, in_flight).boxed()
             }
             None => full_body(Bytes::new()),
         };
         Response::from_parts(parts, body)
     }
 
-    /// Collects an answer that is not streamed, so that one which breaks off can be tried again.
-    async fn pass_whole(
+    /// Buffers a response that is not streamed, so that a truncated one can be retried.
+    async fn relay_buffered(
         &self,
         attempt: &BoundAttempt,
         response: Response<Incoming>,
@@ -412,22 +453,22 @@
     ) -> Result<Response<ResponseBody>, AttemptFailure> {
         let (mut parts, body) = response.into_parts();
         let name = &attempt.endpoint.name;
-        let limit = self.settings.limits.answer_timeout;
+        let answer_timeout = self.settings.limits.answer_timeout;
         let collected = Limited::new(body, MAX_RESPONSE_BYTES).collect();
-        let body = match timeout(limit, collected).await {
+        let body = match timeout(answer_timeout, collected).await {
             Ok(Ok(body)) => body.to_bytes(),
             Ok(Err(error)) => {
                 running.sign = SlotSign::Lost;
-                return Err(loss(AttemptState::Sent, name, error));
+                return Err(failure(AttemptState::Sent, name, error));
             }
             Err(_) => {
                 running.sign = SlotSign::Lost;
                 let cause = "the answer did not end in time".to_owned();
-                return Err(loss(AttemptState::Sent, name, cause));
+                return Err(failure(AttemptState::Sent, name, cause));
             }
         };
         running.cost = match parts.status.is_success() {
-            true => whole_cost(&body, &attempt.rule),
+            true => buffered_cost(&body, &attempt.rule),
             false => 0.0,
         };
         label.log_end("ok", running.cost);
@@ -436,7 +477,7 @@
     }
 }
 
-fn loss(state: AttemptState, endpoint: &str, cause: impl Display) -> AttemptFailure {
+fn failure(state: AttemptState, endpoint: &str, cause: impl Display) -> AttemptFailure {
     AttemptFailure {
         state,
         message: format!("endpoint {endpoint}: {cause}"),
@@ -445,16 +486,17 @@
 
 fn find_endpoint(
     config: &FleetConfig,
-    call: &CallerRequest,
+    caller_request: &CallerRequest,
     grant: GrantOffer,
 ) -> Option<(EndpointSpec, PoolSpec)> {
     let endpoint = config.endpoints.get(grant.endpoint)?;
-    let pool = config.pools.get(call.pool)?;
+    let pool = config.pools.get(caller_request.pool)?;
     Some((endpoint.clone(), pool.clone()))
 }
 
 fn is_event_stream(response: &Response<Incoming>) -> bool {
-    let kind = response.headers().get(CONTENT_TYPE);
-    kind.and_then(|kind| kind.to_str().ok())
-        .is_some_and(|kind| kind.starts_with("text/event-stream"))
+    let content_type = response.headers().get(CONTENT_TYPE);
+    content_type
+        .and_then(|content_type| content_type.to_str().ok())
+        .is_some_and(|content_type| content_type.starts_with("text/event-stream"))
 }
--- a/dockgate/src/caller/stream_meter.rs
+++ b/dockgate/src/caller/stream_meter.rs
@@ -1,16 +1,16 @@
-//! Measures an answer as it passes: events of a stream, usage, the end mark.
+//! Measures the cost of chat-completions responses: events, token usage and the end marker.
 
 use dockgate_core::CostRule;
 use serde::Deserialize;
 
-const DATA: &[u8] = b"data:";
-const DONE: &[u8] = b"[DONE]";
-/// The longest line that is kept to be looked at, in bytes.
-const MAX_LINE: usize = 16 << 10;
-/// Bytes that a token takes on average in English text.
+const DATA_FIELD: &[u8] = b"data:";
+const END_MARKER: &[u8] = b"[DONE]";
+/// Upper bound of a line that is parsed, in bytes; the remainder of a longer line is ignored.
+const MAX_LINE_BYTES: usize = 16 << 10;
+/// The average length of a token in English text.
 const BYTES_PER_TOKEN: u64 = 4;
 
-/// What a chat-completions answer says of itself.
+/// The token usage that an engine reports in a response.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Deserialize)]
 struct ChatUsage {
     #[serde(default)]
@@ -20,11 +20,11 @@
 }
 
 #[derive(Debug, Deserialize)]
-struct UsageHolder {
+struct UsageEnvelope {
     usage: Option<ChatUsage>,
 }
 
-/// Follows a stream of endpoint-sent events without keeping it.
+/// Measures a stream of server-sent events without buffering it.
 #[derive(Debug, Default)]
 pub(super) struct StreamMeter {
     line: Vec<u8>,
@@ -34,26 +34,27 @@
 }
 
 impl StreamMeter {
-    /// Takes in the next bytes.
+    /// Processes the next bytes of the stream.
     pub(super) fn feed(&mut self, bytes: &[u8]) {
         let mut start = 0;
         for end in memchr::memchr_iter(b'\n', bytes) {
-            self.keep(&bytes[start..end]);
-            self.end_line();
+            self.append_to_line(&bytes[start..end]);
+            self.finish_line();
             start = end + 1;
         }
-        self.keep(&bytes[start..]);
+        self.append_to_line(&bytes[start..]);
     }
 
-    fn keep(&mut self, bytes: &[u8]) {
-        let room = MAX_LINE.saturating_sub(self.line.len());
-        self.line.extend_from_slice(&bytes[..bytes.len().min(room)]);
+    fn append_to_line(&mut self, bytes: &[u8]) {
+        let free_bytes = MAX_LINE_BYTES.saturating_sub(self.line.len());
+        self.line
+            .extend_from_slice(&bytes[..bytes.len().min(free_bytes)]);
     }
 
-    fn end_line(&mut self) {
+    fn finish_line(&mut self) {
         let line = std::mem::take(&mut self.line);
-        match line.strip_prefix(DATA).map(<[u8]>::trim_ascii) {
-            Some(DONE) => self.done = true,
+        match line.strip_prefix(DATA_FIELD).map(<[u8]>::trim_ascii) {
+            Some(END_MARKER) => self.done = true,
             Some(data) => self.read_event(data),
             None => {}
         }
@@ -61,19 +62,19 @@
 
     fn read_event(&mut self, data: &[u8]) {
         self.events += 1;
-        // Only the last event of a stream holds usage; looking for the word spares the parsing.
+        // Only the last event of a stream holds usage; the others are not parsed.
         if memchr::memmem::find(data, b"\"usage\":{").is_some() {
-            let holder = serde_json::from_slice::<UsageHolder>(data).ok();
-            self.usage = holder.and_then(|holder| holder.usage).or(self.usage);
+            let envelope = serde_json::from_slice::<UsageEnvelope>(data).ok();
+            self.usage = envelope.and_then(|envelope| envelope.usage).or(self.usage);
         }
     }
 
-    /// Returns how many events have passed, the end mark not counted.
+    /// Returns the number of events so far, without the end marker.
     pub(super) const fn events(&self) -> u64 {
         self.events
     }
 
-    /// Tells whether the end mark has passed.
+    /// Returns whether the end marker was seen.
     pub(super) const fn is_done(&self) -> bool {
         self.done
     }
@@ -93,14 +94,17 @@
         + usage.completion_tokens as f64 * rule.output_weight
 }
 
-/// Returns the cost of a whole answer, in service units; where it does not tell its usage, the
-/// tokens are taken from its length.
-pub(super) fn whole_cost(body: &[u8], rule: &CostRule) -> f64 {
-    let holder = serde_json::from_slice::<UsageHolder>(body).ok();
-    let usage = holder.and_then(|holder| holder.usage).unwrap_or(ChatUsage {
-        prompt_tokens: 0,
-        completion_tokens: body.len() as u64 / BYTES_PER_TOKEN,
-    });
+/// Returns the cost of a response that is not streamed, in service units.
+///
+/// Estimates the tokens from the length of the body if it does not report its usage.
+pub(super) fn buffered_cost(body: &[u8], rule: &CostRule) -> f64 {
+    let envelope = serde_json::from_slice::<UsageEnvelope>(body).ok();
+    let usage = envelope
+        .and_then(|envelope| envelope.usage)
+        .unwrap_or(ChatUsage {
+            prompt_tokens: 0,
+            completion_tokens: body.len() as u64 / BYTES_PER_TOKEN,
+        });
     usage_cost(usage, rule)
 }
 
--- a/dockgate/src/caller/stream_meter/tests.rs
+++ b/dockgate/src/caller/stream_meter/tests.rs
@@ -7,13 +7,13 @@
 };
 
 #[test]
-fn a_stream_is_measured_however_it_is_cut() {
+fn stream_cost_does_not_depend_on_chunk_boundaries() {
     let text = "data: {\"a\":1}\n\ndata: {\"usage\":{\"prompt_tokens\":8,\
         \"completion_tokens\":3}}\n\ndata: [DONE]\n\n";
     for size in 1..text.len() {
         let mut meter = StreamMeter::default();
-        for part in text.as_bytes().chunks(size) {
-            meter.feed(part);
+        for chunk in text.as_bytes().chunks(size) {
+            meter.feed(chunk);
         }
         assert!(meter.is_done());
         assert_eq!(meter.cost(&RULE), 7.0);
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn events_count_where_usage_is_not_told() {
+fn stream_without_usage_costs_its_events() {
     let mut meter = StreamMeter::default();
     meter.feed(b"data: {}\r\n\r\n: note\n\ndata: {}\n\n");
     assert_eq!(meter.cost(&RULE), 2.0);
@@ -29,8 +29,8 @@
 }
 
 #[test]
-fn whole_answers_tell_their_usage() {
+fn buffered_cost_uses_reported_usage_or_body_length() {
     let body = br#"{"usage":{"prompt_tokens":2,"completion_tokens":5}}"#;
-    assert_eq!(whole_cost(body, &RULE), 6.0);
-    assert_eq!(whole_cost(b"nonsense", &RULE), 2.0);
+    assert_eq!(buffered_cost(body, &RULE), 6.0);
+    assert_eq!(buffered_cost(b"nonsense", &RULE), 2.0);
 }
--- a/dockgate/src/caller/stream_relay.rs
+++ b/dockgate/src/caller/stream_relay.rs
@@ -1,14 +1,14 @@
-//! Streams an answer to its caller over as many attempts as it takes.
+//! Relays a streamed response to its caller, over several attempts if needed.
 //!
-//! A stream whose endpoint is lost, or that is paused to give its slot to a workspace further behind,
-//! is continued on the next grant from the last whole event that was passed on. The caller sees one
-//! answer. Only repeatable requests to pools whose engines resume streams are continued.
+//! A stream whose endpoint is lost, or that is paused to free its slot for another workspace, is
+//! resumed on the next grant after the last complete event that was relayed. The caller sees one
+//! response. Only repeatable requests to pools whose engines resume streams are resumed.
 
-use super::metered_body::{FIRST_PROGRESS, ResponseError, ResponseLabel, RunningGrant};
+use super::metered_body::{FIRST_PROGRESS_PERIODS, ResponseError, ResponseLabel, RunningGrant};
 use super::request_classifier::CallerRequest;
 use super::request_runner::{BoundAttempt, RequestRunner};
 use super::stream_meter::StreamMeter;
-use super::{BodyError, InFlight, ResponseBody};
+use super::{BodyError, InFlightGuard, ResponseBody};
 use crate::clock::{now_ms, timeout};
 use crate::metrics::METRICS;
 use bytes::{Bytes, BytesMut};
@@ -18,14 +18,14 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
 
-/// Pieces of an answer that may wait for a slow caller.
+/// Capacity of the channel to the caller, in chunks of whole events.
 const BUFFERED_CHUNKS: usize = 8;
-/// How often one answer may be continued after its endpoint was lost.
+/// The maximum number of endpoint losses after which one response is resumed.
 const MAX_LOSSES: u32 = 5;
-/// How often one answer may be paused.
+/// The maximum number of pauses of one response.
 const MAX_PAUSES: u32 = 5;
 
-/// One attempt's part of a stream.
+/// The part of a stream that one attempt delivers.
 pub(super) struct StreamSegment {
     pub(super) body: Incoming,
     pub(super) running: RunningGrant,
@@ -36,27 +36,27 @@
 
 /// How a segment ended.
 enum SegmentEnd {
-    /// The end mark has passed.
-    Whole,
-    /// The caller has gone.
+    /// The end marker was relayed.
+    Complete,
+    /// The caller closed the connection.
     CallerGone,
-    /// The scheduler wants the slot for another workspace.
+    /// The scheduler reclaimed the slot for another workspace.
     Paused,
-    /// The endpoint was lost.
+    /// The endpoint failed during the response.
     Lost(ResponseError),
 }
 
-/// Passes a stream on.
+/// Relays the segments of one stream to the caller.
 pub(super) struct StreamRelay {
-    pub(super) context: RequestRunner,
-    pub(super) call: CallerRequest,
+    pub(super) runner: RequestRunner,
+    pub(super) caller_request: CallerRequest,
     pub(super) label: ResponseLabel,
-    pub(super) in_flight: InFlight,
-    /// Whether the rest may be asked of another endpoint.
+    pub(super) in_flight: InFlightGuard,
+    /// Whether the stream may be resumed on another endpoint.
     pub(super) resumes: bool,
 }
 
-/// What has been passed on so far, over all segments.
+/// Totals over all segments relayed so far.
 #[derive(Debug, Default)]
 struct StreamProgress {
     events: u64,
@@ -66,12 +66,12 @@
 }
 
 impl StreamRelay {
-    /// Starts to pass a stream on; returns the body for the caller.
+    /// Starts to relay a stream and returns the body for the caller.
     pub(super) fn start(self, first: StreamSegment) -> ResponseBody {
         let (sender, mut receiver) = mpsc::channel(BUFFERED_CHUNKS);
         tokio::spawn(self.run(first, sender));
-        let pieces = futures::stream::poll_fn(move |context| receiver.poll_recv(context));
-        BodyExt::boxed(StreamBody::new(pieces))
+        let chunks = futures::stream::poll_fn(move |context| receiver.poll_recv(context));
+        BodyExt::boxed(StreamBody::new(chunks))
     }
 
     async fn run(
@@ -82,9 +82,9 @@
         let mut progress = StreamProgress::default();
         let mut segment = first;
         let outcome = loop {
-            let end = self.pass(segment, &mut progress, &sender).await;
+            let end = self.relay_segment(segment, &mut progress, &sender).await;
             let error = match end {
-                SegmentEnd::Whole => break "ok",
+                SegmentEnd::Complete => break "ok",
                 SegmentEnd::CallerGone => break "caller_gone",
                 SegmentEnd::Paused => {
                     progress.pauses += 1;
@@ -99,7 +99,7 @@
             let may_resume = self.resumes && progress.losses <= MAX_LOSSES;
             let next = match may_resume {
                 true => tokio::select! {
-                    next = self.context.resume(&self.call, progress.events) => next,
+                    next = self.runner.resume(&self.caller_request, progress.events) => next,
                     () = sender.closed() => break "caller_gone",
                 },
                 false => None,
@@ -109,8 +109,9 @@
                 None => {
                     let endpoint = self.label.endpoint.clone();
                     let error = error.unwrap_or(ResponseError::NotResumed(endpoint));
-                    log::warn!("request {}: {error}", self.call.id);
-                    // The caller's connection is cut, so that it sees that this is not the whole.
+                    log::warn!("request {}: {error}", self.caller_request.id);
+                    // An error in the body aborts the connection, so that the caller detects the
+                    // truncation.
                     let _ = sender.send(Err(error.into())).await;
                     break "failed";
                 }
@@ -120,8 +121,8 @@
         drop(self.in_flight);
     }
 
-    /// Passes one segment on, whole events only.
-    async fn pass(
+    /// Relays the complete events of one segment.
+    async fn relay_segment(
         &self,
         mut segment: StreamSegment,
         progress: &mut StreamProgress,
@@ -129,27 +130,27 @@
     ) -> SegmentEnd {
         let mut meter = StreamMeter::default();
         let mut pending = BytesMut::new();
-        let silence = self.context.settings.limits.answer_timeout;
-        let every = self.context.settings.schedule.progress_every.as_millis() as u64;
-        let mut due_ms = now_ms() + every * FIRST_PROGRESS;
+        let idle_timeout = self.runner.settings.limits.answer_timeout;
+        let progress_every_ms = self.runner.settings.schedule.progress_every.as_millis() as u64;
+        let mut due_ms = now_ms() + progress_every_ms * FIRST_PROGRESS_PERIODS;
         let may_pause = self.resumes && progress.pauses < MAX_PAUSES;
-        let before = progress.cost;
+        let earlier_cost = progress.cost;
         let end = loop {
             let frame = tokio::select! {
-                frame = next_frame(&mut segment.body, silence) => frame,
+                frame = next_frame(&mut segment.body, idle_timeout) => frame,
                 Ok(()) = &mut segment.pause, if may_pause => break SegmentEnd::Paused,
                 () = sender.closed() => break SegmentEnd::CallerGone,
             };
             let bytes = match frame {
                 SegmentFrame::Data(bytes) => bytes,
-                SegmentFrame::End if meter.is_done() => break SegmentEnd::Whole,
+                SegmentFrame::End if meter.is_done() => break SegmentEnd::Complete,
                 SegmentFrame::End => {
                     let endpoint = segment.endpoint.clone();
                     break SegmentEnd::Lost(ResponseError::Truncated(endpoint));
                 }
-                SegmentFrame::Silent => {
+                SegmentFrame::TimedOut => {
                     let endpoint = segment.endpoint.clone();
-                    break SegmentEnd::Lost(ResponseError::Silent(endpoint));
+                    break SegmentEnd::Lost(ResponseError::TimedOut(endpoint));
                 }
                 SegmentFrame::Broken(cause) => {
                     let endpoint = segment.endpoint.clone();
@@ -166,7 +167,7 @@
                 break SegmentEnd::CallerGone;
             }
             if now_ms() >= due_ms {
-                due_ms = now_ms() + every;
+                due_ms = now_ms() + progress_every_ms;
                 let RunningGrant { grant, cost, .. } = segment.running;
                 segment.running.dispatch.progress(grant, cost);
             }
@@ -175,27 +176,27 @@
             segment.running.sign = SlotSign::Lost;
         }
         progress.events += meter.events();
-        progress.cost = before + meter.cost(&segment.rule);
+        progress.cost = earlier_cost + meter.cost(&segment.rule);
         end
     }
 }
 
-/// What came next of a segment.
+/// The next event on the body of a segment.
 enum SegmentFrame {
     Data(Bytes),
     End,
-    Silent,
+    TimedOut,
     Broken(hyper::Error),
 }
 
-async fn next_frame(body: &mut Incoming, silence: Duration) -> SegmentFrame {
+async fn next_frame(body: &mut Incoming, idle_timeout: Duration) -> SegmentFrame {
     loop {
-        match timeout(silence, body.frame()).await {
-            Err(_) => return SegmentFrame::Silent,
+        match timeout(idle_timeout, body.frame()).await {
+            Err(_) => return SegmentFrame::TimedOut,
             Ok(None) => return SegmentFrame::End,
             Ok(Some(Err(cause))) => return SegmentFrame::Broken(cause),
             Ok(Some(Ok(frame))) => {
-                // Trailers say nothing that a caller of this API needs.
+                // Trailers are not part of the API and are dropped.
                 if let Ok(bytes) = frame.into_data() {
                     return SegmentFrame::Data(bytes);
                 }
@@ -204,23 +205,23 @@
     }
 }
 
-/// Takes every whole event; the beginning of the next one stays.
+/// Splits off the complete events; an incomplete one stays in `pending`.
 fn take_events(pending: &mut BytesMut) -> Option<Bytes> {
-    let end_of = |mark: &[u8]| memchr::memmem::rfind(pending, mark).map(|at| at + mark.len());
-    let end = end_of(b"\n\n").max(end_of(b"\n\r\n"))?;
+    let end_after = |mark: &[u8]| memchr::memmem::rfind(pending, mark).map(|at| at + mark.len());
+    let end = end_after(b"\n\n").max(end_after(b"\n\r\n"))?;
     Some(pending.split_to(end).freeze())
 }
 
-/// Asks for the rest of an answer: the body of the request with `resume_from`.
+/// Returns the body of a request with `resume_from` set to the number of events already relayed.
 pub(super) fn resumed_body(body: &Bytes, events: u64) -> Bytes {
     let mut value: serde_json::Value = serde_json::from_slice(body).unwrap_or_default();
     value["resume_from"] = events.into();
     Bytes::from(value.to_string())
 }
 
-/// Tells whether a bound attempt's pool can continue streams.
-pub(super) const fn can_resume(call: &CallerRequest, attempt: &BoundAttempt) -> bool {
-    call.repeatable && attempt.resumes
+/// Returns whether the response to an attempt may be resumed.
+pub(super) const fn can_resume(caller_request: &CallerRequest, attempt: &BoundAttempt) -> bool {
+    caller_request.repeatable && attempt.resumes
 }
 
 #[cfg(test)]
--- a/dockgate/src/caller/stream_relay/tests.rs
+++ b/dockgate/src/caller/stream_relay/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn only_whole_events_are_passed_on() {
+fn only_complete_events_are_relayed() {
     let mut pending = BytesMut::from(&b"data: 1\n\ndata: 2\n\ndata: 3"[..]);
     assert_eq!(take_events(&mut pending).unwrap(), "data: 1\n\ndata: 2\n\n");
     assert_eq!(take_events(&mut pending), None);
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn the_rest_is_asked_for_by_what_was_sent() {
+fn resumed_body_names_the_relayed_events() {
     let body = Bytes::from_static(br#"{"model":"m","stream":true}"#);
     let value: serde_json::Value = serde_json::from_slice(&resumed_body(&body, 7)).unwrap();
     assert_eq!(
