--- a/dockgate/src/caller.rs
+++ b/dockgate/src/caller.rs
@@ -222,14 +222,14 @@
             classifier.workspace(request.headers())?;
             return Ok(models_response(&config));
         }
-        let request = classifier.classify(id, request).await?;
+        let req = classifier.classify(id, request).await?;
         let runner = RequestRunner {
             settings: self.settings.clone(),
             cell: self.cell.clone(),
             dispatch: self.dispatch.clone(),
             client: self.client.clone(),
         };
-        runner.run(request, in_flight).await
+        runner.run(req, in_flight).await
     }
 
     /// Serves `/metrics` until accepting a connection fails.
--- a/dockgate/src/caller/request_runner.rs
+++ b/dockgate/src/caller/request_runner.rs
@@ -83,7 +83,7 @@
     /// Returns the refusal for the caller if no attempt succeeds.
     pub(super) async fn run(
         &self,
-        caller_request: CallerRequest,
+        req: CallerRequest,
         in_flight: InFlightGuard,
     ) -> Result<Response<ResponseBody>, Refusal> {
         let mut number = 1;
@@ -92,18 +92,13 @@
         let mut in_flight = Some(in_flight);
         let mut trail = AttemptTrail::default();
         loop {
-            let slot = self
-                .wait_for_slot(&caller_request, SlotPurpose::Initial)
-                .await;
+            let slot = self.wait_for_slot(&req, SlotPurpose::Initial).await;
             let slot = slot.map_err(|refusal| {
-                let outcome = trail.outcome(AttemptState::Queued, caller_request.repeatable);
+                let outcome = trail.outcome(AttemptState::Queued, req.repeatable);
                 refusal.with_outcome(outcome)
             })?;
-            let failure = match self.bind_attempt(&caller_request, slot.grant, number) {
-                Ok(attempt) => match self
-                    .send(&caller_request, &attempt, slot.pause, &mut in_flight)
-                    .await
-                {
+            let failure = match self.bind_attempt(&req, slot.grant, number) {
+                Ok(attempt) => match self.send(&req, &attempt, slot.pause, &mut in_flight).await {
                     Ok(response) => return Ok(response),
                     Err(failure) => failure,
                 },
@@ -112,12 +107,8 @@
             trail.note(failure.state);
             sent_attempts += u32::from(failure.state == AttemptState::Sent);
             let limits = &self.settings.limits;
-            let budget_left =
-                sent_attempts < limits.attempts && now_ms() < caller_request.deadline_ms;
-            match failure
-                .state
-                .after_loss(caller_request.repeatable, budget_left)
-            {
+            let budget_left = sent_attempts < limits.attempts && now_ms() < req.deadline_ms;
+            match failure.state.after_loss(req.repeatable, budget_left) {
                 RetryVerdict::Retry => {
                     METRICS.retries.inc();
                     let delay = rand::random_range(RETRY_DELAY_MS);
@@ -125,10 +116,10 @@
                     number += 1;
                 }
                 RetryVerdict::Report(_) => {
-                    let outcome = trail.outcome(failure.state, caller_request.repeatable);
+                    let outcome = trail.outcome(failure.state, req.repeatable);
                     let refusal = Refusal::after_attempt(failure.state, failure.message);
                     let refusal = refusal.with_outcome(outcome).retry_after(RETRY_AFTER_S);
-                    return Err(refusal.for_workspace(&caller_request.workspace_name));
+                    return Err(refusal.for_workspace(&req.workspace_name));
                 }
             }
         }
@@ -136,13 +127,9 @@
 
     /// Resumes a response of which `events` events were relayed; returns `None` if no slot becomes
     /// free or all attempts fail.
-    pub(super) async fn resume(
-        &self,
-        caller_request: &CallerRequest,
-        events: u64,
-    ) -> Option<StreamSegment> {
-        let mut resumed = caller_request.clone();
-        resumed.body = resumed_body(&caller_request.body, events);
+    pub(super) async fn resume(&self, req: &CallerRequest, events: u64) -> Option<StreamSegment> {
+        let mut resumed = req.clone();
+        resumed.body = resumed_body(&req.body, events);
         let mut sent_attempts = 0;
         for number in 1.. {
             let slot = self
@@ -176,27 +163,27 @@
 
     async fn wait_for_slot(
         &self,
-        caller_request: &CallerRequest,
+        req: &CallerRequest,
         purpose: SlotPurpose,
     ) -> Result<BoundSlot, Refusal> {
         let queued_ms = now_ms();
         let queue_timeout_ms = self.settings.limits.queue_timeout.as_millis() as u64;
         let request = WaitingRequest {
             id: 0,
-            pool: caller_request.pool,
-            workspace: caller_request.workspace,
-            priority: caller_request.priority,
+            pool: req.pool,
+            workspace: req.workspace,
+            priority: req.priority,
             deadline_ms: match purpose {
-                SlotPurpose::Initial => caller_request.deadline_ms,
+                SlotPurpose::Initial => req.deadline_ms,
                 SlotPurpose::Resume => queued_ms + queue_timeout_ms,
             },
             resumed: purpose == SlotPurpose::Resume,
             // A retried request keeps its age and therefore its place in the queue.
-            since_ms: caller_request.started_ms,
+            since_ms: req.started_ms,
         };
         // The queue limit does not apply to a response that has begun.
         let queue_limit = match purpose {
-            SlotPurpose::Initial => caller_request.queue_limit,
+            SlotPurpose::Initial => req.queue_limit,
             SlotPurpose::Resume => usize::MAX,
         };
         let ticket = self.dispatch.enqueue(request, queue_limit);
@@ -204,7 +191,7 @@
         let waited_ms = now_ms() - queued_ms;
         METRICS
             .wait
-            .with_label_values(&[&caller_request.pool_name])
+            .with_label_values(&[&req.pool_name])
             .observe(Duration::from_millis(waited_ms).as_secs_f64());
         let refusal = match reply {
             BindReply::Bound(slot) => return Ok(slot),
@@ -220,7 +207,7 @@
         };
         Err(refusal
             .retry_after(RETRY_AFTER_S)
-            .for_workspace(&caller_request.workspace_name))
+            .for_workspace(&req.workspace_name))
     }
 
     /// Looks up the granted endpoint.
@@ -230,12 +217,12 @@
     /// Returns the grant unused and an error if the endpoint is no longer configured.
     fn bind_attempt(
         &self,
-        caller_request: &CallerRequest,
+        req: &CallerRequest,
         grant: GrantOffer,
         number: u32,
     ) -> Result<BoundAttempt, AttemptFailure> {
         let config = self.cell.current();
-        let found = find_endpoint(&config, caller_request, grant);
+        let found = find_endpoint(&config, req, grant);
         let Some((endpoint, pool)) = found else {
             self.dispatch.finish(grant.id, 0.0, SlotSign::Answered);
             return Err(AttemptFailure {
@@ -244,14 +231,14 @@
             });
         };
         log_event(&LogEvent::Routed {
-            request: &caller_request.id,
-            workspace: &caller_request.workspace_name,
-            pool: &caller_request.pool_name,
+            request: &req.id,
+            workspace: &req.workspace_name,
+            pool: &req.pool_name,
             endpoint: &endpoint.name,
             scheduler: grant.entry.to_string(),
             grant: grant.id.to_string(),
             attempt: number,
-            waited_ms: now_ms() - caller_request.started_ms,
+            waited_ms: now_ms() - req.started_ms,
         });
         Ok(BoundAttempt {
             grant,
@@ -265,28 +252,22 @@
     /// Sends the request and relays the response to the caller.
     async fn send(
         &self,
-        caller_request: &CallerRequest,
+        req: &CallerRequest,
         attempt: &BoundAttempt,
         pause: oneshot::Receiver<()>,
         in_flight: &mut Option<InFlightGuard>,
     ) -> Result<Response<ResponseBody>, AttemptFailure> {
-        let (response, running) = self.exchange(caller_request, attempt).await?;
+        let (response, running) = self.exchange(req, attempt).await?;
         let label = ResponseLabel {
-            request: caller_request.id.clone(),
-            workspace: caller_request.workspace_name.clone(),
+            request: req.id.clone(),
+            workspace: req.workspace_name.clone(),
             endpoint: attempt.endpoint.name.clone(),
-            started_ms: caller_request.started_ms,
+            started_ms: req.started_ms,
         };
-        match (caller_request.engine, is_event_stream(&response)) {
-            (true, true) => Ok(self.relay_stream(
-                caller_request,
-                attempt,
-                response,
-                running,
-                pause,
-                label,
-                in_flight,
-            )),
+        match (req.engine, is_event_stream(&response)) {
+            (true, true) => {
+                Ok(self.relay_stream(req, attempt, response, running, pause, label, in_flight))
+            }
             (true, false) => {
                 self.relay_buffered(attempt, response, running, &label)
                     .await
@@ -302,7 +283,7 @@
     /// Returns the failure if the endpoint cannot be reached, does not respond in time or refuses.
     async fn exchange(
         &self,
-        caller_request: &CallerRequest,
+        req: &CallerRequest,
         attempt: &BoundAttempt,
     ) -> Result<(Response<Incoming>, RunningGrant), AttemptFailure> {
         let mut running = RunningGrant {
@@ -312,7 +293,7 @@
             // An attempt that ends before the response head counts as a lost endpoint.
             sign: SlotSign::Lost,
         };
-        let request = self.endpoint_request(caller_request, attempt)?;
+        let request = self.endpoint_request(req, attempt)?;
         let answer_timeout = self.settings.limits.answer_timeout;
         let name = &attempt.endpoint.name;
         let response = match timeout(answer_timeout, self.client.send(request)).await {
@@ -335,7 +316,7 @@
                 running.sign = classify_refusal(status, response.headers());
                 return Err(failure(AttemptState::Refused, name, status.to_string()));
             }
-            StatusCode::SERVICE_UNAVAILABLE if caller_request.repeatable => {
+            StatusCode::SERVICE_UNAVAILABLE if req.repeatable => {
                 running.sign = classify_refusal(response.status(), response.headers());
                 let cause = "it is unavailable".to_owned();
                 return Err(failure(AttemptState::Sent, name, cause));
@@ -352,7 +333,7 @@
     )]
     fn relay_stream(
         &self,
-        caller_request: &CallerRequest,
+        req: &CallerRequest,
         attempt: &BoundAttempt,
         response: Response<Incoming>,
         running: RunningGrant,
@@ -373,10 +354,10 @@
             Some(in_flight) => {
                 let relay = StreamRelay {
                     runner: self.clone(),
-                    caller_request: caller_request.clone(),
+                    req: req.clone(),
                     label,
                     in_flight,
-                    resumes: can_resume(caller_request, attempt),
+                    resumes: can_resume(req, attempt),
                 };
                 relay.start(segment)
             }
@@ -387,14 +368,14 @@
 
     fn endpoint_request(
         &self,
-        caller_request: &CallerRequest,
+        req: &CallerRequest,
         attempt: &BoundAttempt,
     ) -> Result<Request<Full<Bytes>>, AttemptFailure> {
         let address = attempt.endpoint.address_from(&self.settings.domain);
         let built = Request::builder()
-            .method(caller_request.method.clone())
-            .uri(format!("http://{address}{}", caller_request.path))
-            .body(Full::new(caller_request.body.clone()));
+            .method(req.method.clone())
+            .uri(format!("http://{address}{}", req.path))
+            .body(Full::new(req.body.clone()));
         let mut request = built.map_err(|error| {
             failure(
                 AttemptState::Bound,
@@ -402,12 +383,12 @@
                 error.to_string(),
             )
         })?;
-        *request.headers_mut() = caller_request.headers.clone();
-        let id = format!("{}.{}", caller_request.id, attempt.number);
+        *request.headers_mut() = req.headers.clone();
+        let id = format!("{}.{}", req.id, attempt.number);
         let own_headers = [
             (headers::ATTEMPT_ID, id),
-            (headers::WORKSPACE, caller_request.workspace_name.clone()),
-            (headers::PRIORITY, caller_request.priority.to_string()),
+            (headers::WORKSPACE, req.workspace_name.clone()),
+            (headers::PRIORITY, req.priority.to_string()),
         ];
         for (name, value) in own_headers {
             // Workspace names that are not valid header values are omitted.
@@ -486,11 +467,11 @@
 
 fn find_endpoint(
     config: &FleetConfig,
-    caller_request: &CallerRequest,
+    req: &CallerRequest,
     grant: GrantOffer,
 ) -> Option<(EndpointSpec, PoolSpec)> {
     let endpoint = config.endpoints.get(grant.endpoint)?;
-    let pool = config.pools.get(caller_request.pool)?;
+    let pool = config.pools.get(req.pool)?;
     Some((endpoint.clone(), pool.clone()))
 }
 
--- a/dockgate/src/caller/stream_relay.rs
+++ b/dockgate/src/caller/stream_relay.rs
@@ -49,7 +49,7 @@
 /// Relays the segments of one stream to the caller.
 pub(super) struct StreamRelay {
     pub(super) runner: RequestRunner,
-    pub(super) caller_request: CallerRequest,
+    pub(super) req: CallerRequest,
     pub(super) label: ResponseLabel,
     pub(super) in_flight: InFlightGuard,
     /// Whether the stream may be resumed on another endpoint.
@@ -99,7 +99,7 @@
             let may_resume = self.resumes && progress.losses <= MAX_LOSSES;
             let next = match may_resume {
                 true => tokio::select! {
-                    next = self.runner.resume(&self.caller_request, progress.events) => next,
+                    next = self.runner.resume(&self.req, progress.events) => next,
                     () = sender.closed() => break "caller_gone",
                 },
                 false => None,
@@ -109,7 +109,7 @@
                 None => {
                     let endpoint = self.label.endpoint.clone();
                     let error = error.unwrap_or(ResponseError::NotResumed(endpoint));
-                    log::warn!("request {}: {error}", self.caller_request.id);
+                    log::warn!("request {}: {error}", self.req.id);
                     // An error in the body aborts the connection, so that the caller detects the
                     // truncation.
                     let _ = sender.send(Err(error.into())).await;
@@ -220,8 +220,8 @@
 }
 
 /// Returns whether the response to an attempt may be resumed.
-pub(super) const fn can_resume(caller_request: &CallerRequest, attempt: &BoundAttempt) -> bool {
-    caller_request.repeatable && attempt.resumes
+pub(super) const fn can_resume(req: &CallerRequest, attempt: &BoundAttempt) -> bool {
+    req.repeatable && attempt.resumes
 }
 
 #[cfg(test)]
