--- a/dockgate/src/caller/request_runner.rs
+++ b/dockgate/src/caller/request_runner.rs
@@ -268,10 +268,7 @@
             (true, true) => {
                 Ok(self.relay_stream(req, attempt, response, running, pause, label, in_flight))
             }
-            (true, false) => {
-                self.relay_buffered(attempt, response, running, &label)
-                    .await
-            }
+            (true, false) => self.buffer_body(attempt, response, running, &label).await,
             (false, _) => Ok(self.relay_body(attempt, response, running, label, in_flight)),
         }
     }
@@ -425,7 +422,7 @@
     }
 
     /// Buffers a response that is not streamed, so that a truncated one can be retried.
-    async fn relay_buffered(
+    async fn buffer_body(
         &self,
         attempt: &BoundAttempt,
         response: Response<Incoming>,
