--- a/dockgate/src/dispatch.rs
+++ b/dockgate/src/dispatch.rs
@@ -1,7 +1,7 @@
-//! The control actor: the entry's and the scheduler's decisions, wired to links and requests.
+//! The control actor, which connects the entry and the scheduler to links and requests.
 //!
-//! Decisions are `dockgate-core`'s. This actor gives them the time, carries out their actions, and
-//! is the only place that holds their state, so that no lock is needed.
+//! `dockgate-core` makes the decisions. The actor passes the time to it, carries out its actions
+//! and owns its state, so no lock is needed.
 
 mod actor;
 mod handle;
--- a/dockgate/src/dispatch/actor.rs
+++ b/dockgate/src/dispatch/actor.rs
@@ -1,4 +1,4 @@
-//! The control actor itself.
+//! The control actor.
 
 use super::handle::{BindReply, BoundSlot, DispatchHandle};
 use super::peer_links::{PeerLink, PeerLinks};
@@ -20,36 +20,36 @@
 use tokio::sync::oneshot;
 use xtra::Actor;
 
-/// Holds the state of the entry and the scheduler of one box.
+/// Owns the state of the entry and the scheduler of one box.
 pub(crate) struct DispatchActor {
     pub(super) settings: Arc<DaemonSettings>,
-    pub(super) me: LiveBox,
+    pub(super) local_box: LiveBox,
     pub(super) incarnation: Incarnation,
     pub(super) cell: ConfigCell,
     pub(super) config: Arc<FleetConfig>,
     pub(super) topology: FleetTopology,
     pub(super) entry: EntryState,
     pub(super) scheduler: SlotScheduler,
-    pub(super) waiting: HashMap<u64, oneshot::Sender<BindReply>>,
-    /// By grant, how to tell a running request that its slot is wanted.
-    pub(super) pauses: HashMap<GrantId, oneshot::Sender<()>>,
+    pub(super) bind_replies: HashMap<u64, oneshot::Sender<BindReply>>,
+    /// By grant, the sender that asks the running request to pause.
+    pub(super) pause_senders: HashMap<GrantId, oneshot::Sender<()>>,
     pub(super) links: PeerLinks,
     pub(super) handle: Option<DispatchHandle>,
-    pub(super) live: Vec<LiveBox>,
+    pub(super) live_boxes: Vec<LiveBox>,
     pub(super) has_ledger: bool,
     pub(super) report_due_ms: u64,
-    /// The peer whose batch is being handled, and what it is answered.
-    pub(super) answering: Option<(BoxKey, Vec<PeerMessage>)>,
+    /// The peer whose batch is being handled, with the messages of the reply.
+    pub(super) batch_reply: Option<(BoxKey, Vec<PeerMessage>)>,
 }
 
 impl DispatchActor {
-    /// Makes the actor of a box with no memory.
+    /// Creates the actor with empty state.
     pub(crate) fn new(
         settings: Arc<DaemonSettings>,
         incarnation: Incarnation,
         cell: ConfigCell,
     ) -> Self {
-        let me = LiveBox {
+        let local_box = LiveBox {
             key: BoxKey::from_name(&settings.name),
             domain: settings.domain.clone(),
             schedules: true,
@@ -68,24 +68,24 @@
             width: schedule.width,
         };
         let mut entry = EntryState::new(seek);
-        entry.connect(me.key);
+        entry.connect(local_box.key);
         Self {
-            scheduler: SlotScheduler::new(me.key, incarnation, rule),
+            scheduler: SlotScheduler::new(local_box.key, incarnation, rule),
             settings,
-            live: vec![me.clone()],
-            me,
+            live_boxes: vec![local_box.clone()],
+            local_box,
             incarnation,
             cell,
             config: Arc::default(),
             topology: FleetTopology::default(),
             entry,
-            waiting: HashMap::new(),
-            pauses: HashMap::new(),
+            bind_replies: HashMap::new(),
+            pause_senders: HashMap::new(),
             links: PeerLinks::default(),
             handle: None,
             has_ledger: false,
             report_due_ms: 0,
-            answering: None,
+            batch_reply: None,
         }
     }
 
@@ -95,18 +95,18 @@
         DispatchHandle::new(address)
     }
 
-    /// Carries out the entry's actions and gives out free slots until nothing is left to do.
-    pub(super) fn pump(&mut self, actions: Vec<EntryAction>) {
+    /// Applies the actions of the entry and grants free slots until no action is left.
+    pub(super) fn process_actions(&mut self, actions: Vec<EntryAction>) {
         let now = now_ms();
         let mut actions = VecDeque::from(actions);
         loop {
             while let Some(action) = actions.pop_front() {
-                self.act(action, now);
+                self.apply_action(action, now);
             }
             for grant in self.scheduler.schedule(now) {
                 self.log_grant(&grant);
-                match grant.entry == self.me.key {
-                    true => actions.extend(self.entry.offer(self.me.key, grant)),
+                match grant.entry == self.local_box.key {
+                    true => actions.extend(self.entry.offer(self.local_box.key, grant)),
                     false => self.send(grant.entry, grant_message(&grant)),
                 }
             }
@@ -116,7 +116,7 @@
         }
     }
 
-    pub(super) fn act(&mut self, action: EntryAction, now: u64) {
+    pub(super) fn apply_action(&mut self, action: EntryAction, now: u64) {
         match action {
             EntryAction::Seek(seek) => {
                 let age = self.entry.age_ms(seek.pool, seek.workspace, now);
@@ -127,22 +127,22 @@
                     seen: seek.seen,
                     age_ms: u32::try_from(age).unwrap_or(u32::MAX),
                 };
-                self.seek(seek.to, demand, now);
+                self.request_slots(seek.to, demand, now);
             }
             EntryAction::Bind(id, grant) => self.bind(id, grant),
             EntryAction::Return(to, id) => {
                 self.settle(to, id, 0.0, Some(SlotSign::Answered), now);
             }
             EntryAction::Expire(id) => {
-                if let Some(reply) = self.waiting.remove(&id) {
+                if let Some(reply) = self.bind_replies.remove(&id) {
                     let _ = reply.send(BindReply::Expired);
                 }
             }
         }
     }
 
-    pub(super) fn seek(&mut self, to: BoxKey, demand: SeekDemand, now: u64) {
-        if to == self.me.key {
+    pub(super) fn request_slots(&mut self, to: BoxKey, demand: SeekDemand, now: u64) {
+        if to == self.local_box.key {
             self.scheduler.seek(to, demand, now);
             return;
         }
@@ -156,11 +156,11 @@
         self.send(to, message);
     }
 
-    /// Hands a grant to the request that waits; a request that has gone gives it back.
+    /// Hands a grant to its waiting request, or returns the grant if the request is gone.
     pub(super) fn bind(&mut self, id: u64, grant: GrantOffer) {
-        let (wanted, pause) = oneshot::channel();
-        self.pauses.insert(grant.id, wanted);
-        let reply = self.waiting.remove(&id);
+        let (pause_sender, pause) = oneshot::channel();
+        self.pause_senders.insert(grant.id, pause_sender);
+        let reply = self.bind_replies.remove(&id);
         let slot = BoundSlot { grant, pause };
         let sent = reply.map(|reply| reply.send(BindReply::Bound(slot)));
         if !matches!(sent, Some(Ok(()))) {
@@ -176,7 +176,7 @@
         ended: Option<SlotSign>,
         now: u64,
     ) {
-        if to == self.me.key {
+        if to == self.local_box.key {
             let report = SettleReport { id, cost, ended };
             self.scheduler.settle(to, report, now);
             return;
@@ -193,42 +193,42 @@
     }
 
     pub(super) fn finish(&mut self, id: GrantId, cost: f64, sign: SlotSign) {
-        self.pauses.remove(&id);
+        self.pause_senders.remove(&id);
         if let Some(scheduler) = self.entry.finish(id) {
             self.settle(scheduler, id, cost, Some(sign), now_ms());
         }
     }
 
-    /// Tells a running request that its slot is wanted; one that cannot be paused goes on.
+    /// Asks a running request to free its slot; one that cannot be paused continues.
     pub(super) fn pause(&mut self, id: GrantId) {
-        if let Some(wanted) = self.pauses.remove(&id) {
-            let _ = wanted.send(());
+        if let Some(pause_sender) = self.pause_senders.remove(&id) {
+            let _ = pause_sender.send(());
         }
     }
 
-    /// Asks the entries of streams that run too far ahead to pause them.
-    pub(super) fn ask_for_pauses(&mut self, now: u64) {
+    /// Asks entries to pause streams whose slots are due to other workspaces.
+    pub(super) fn request_pauses(&mut self, now: u64) {
         for (entry, id) in self.scheduler.pauses(now) {
             log_event(&LogEvent::PauseAsked {
                 grant: id.to_string(),
                 entry: entry.to_string(),
             });
-            match entry == self.me.key {
+            match entry == self.local_box.key {
                 true => self.pause(id),
                 false => self.send(entry, PeerMessage::Pause(id)),
             }
         }
     }
 
-    /// Sends to a peer: in the answer to its batch if one is being handled, else by the link.
+    /// Sends a message to a peer: in the reply if its batch is being handled, else by the link.
     pub(super) fn send(&mut self, to: BoxKey, message: PeerMessage) {
-        match &mut self.answering {
-            Some((peer, answer)) if *peer == to => answer.push(message),
+        match &mut self.batch_reply {
+            Some((peer, reply)) if *peer == to => reply.push(message),
             _ => self.links.send(to, message),
         }
     }
 
-    /// Takes one message of a peer in; the entry's reactions are returned.
+    /// Handles one message of a peer and returns the actions of the entry.
     pub(super) fn receive(
         &mut self,
         from: BoxKey,
@@ -236,7 +236,7 @@
         now: u64,
     ) -> Vec<EntryAction> {
         let step = message.step();
-        let known = match message {
+        let is_known = match message {
             PeerMessage::Seek(pool, workspace, waiting, seen, age_ms) => {
                 let demand = SeekDemand {
                     pool,
@@ -249,7 +249,7 @@
             }
             PeerMessage::Grant(id, pool, workspace, endpoint) => {
                 let grant = GrantOffer {
-                    entry: self.me.key,
+                    entry: self.local_box.key,
                     id,
                     pool,
                     workspace,
@@ -303,11 +303,11 @@
                 if let Some(link) = self.links.get_mut(from) {
                     link.member.leaving = true;
                 }
-                self.rebuild();
+                self.rebuild_topology();
                 true
             }
         };
-        if !known {
+        if !is_known {
             METRICS.ignored.with_label_values(&[step]).inc();
             log_event(&LogEvent::Ignored {
                 step,
@@ -324,87 +324,88 @@
         for message in messages {
             actions.extend(self.receive(from, message, now));
         }
-        self.pump(actions);
+        self.process_actions(actions);
     }
 
-    pub(super) fn free_messages(&mut self, to: BoxKey) -> Vec<PeerMessage> {
+    pub(super) fn free_slot_updates(&mut self, to: BoxKey) -> Vec<PeerMessage> {
         let free = self.scheduler.free_slots(now_ms());
-        self.links.free_news(to, &free)
+        self.links.free_slot_updates(to, &free)
     }
 
-    /// Returns how long a link may be closed before its box is passed over, in milliseconds.
+    /// Returns how long a link may be closed before its box counts as dead, in milliseconds.
     pub(super) fn suspect_ms(&self) -> u64 {
         self.settings.schedule.suspect.as_millis() as u64
     }
 
-    /// Lists the boxes that count as alive now, this one included.
-    fn live_now(&self) -> Vec<LiveBox> {
-        self.links.live_boxes(&self.me, self.suspect_ms())
+    /// Returns the boxes that count as alive now, including this one.
+    fn current_live_boxes(&self) -> Vec<LiveBox> {
+        self.links.live_boxes(&self.local_box, self.suspect_ms())
     }
 
-    /// Works out anew who schedules what, after the boxes or the configuration changed.
-    pub(super) fn rebuild(&mut self) {
-        self.live = self.live_now();
-        self.topology = FleetTopology::new(&self.config, &self.live);
-        let mine = self.topology.endpoints_of(self.me.key);
-        let near = self
-            .live
+    /// Recomputes the endpoints of each scheduler after a change of the boxes or the configuration.
+    pub(super) fn rebuild_topology(&mut self) {
+        self.live_boxes = self.current_live_boxes();
+        self.topology = FleetTopology::new(&self.config, &self.live_boxes);
+        let owned_endpoints = self.topology.endpoints_of(self.local_box.key);
+        let near_boxes = self
+            .live_boxes
             .iter()
-            .filter(|live| live.domain == self.me.domain);
-        self.scheduler.set_near(near.map(|live| live.key).collect());
+            .filter(|member| member.domain == self.local_box.domain);
+        self.scheduler
+            .set_near(near_boxes.map(|member| member.key).collect());
         log_event(&LogEvent::Owned {
-            endpoints: mine.len(),
-            boxes: self.live.len(),
+            endpoints: owned_endpoints.len(),
+            boxes: self.live_boxes.len(),
         });
-        METRICS.endpoints.set(mine.len() as i64);
-        self.scheduler.set_endpoints(&mine, now_ms());
+        METRICS.endpoints.set(owned_endpoints.len() as i64);
+        self.scheduler.set_endpoints(&owned_endpoints, now_ms());
         self.scheduler
             .set_schedulers(self.topology.scheduler_counts());
         self.entry
-            .set_schedulers(self.topology.schedulers_from(self.me.key));
+            .set_schedulers(self.topology.schedulers_from(self.local_box.key));
         let topology = &self.topology;
-        let moved = self.entry.reassign(|endpoint| topology.owner(endpoint));
-        for (owner, adopted) in moved {
-            match owner == self.me.key {
+        let reassigned = self.entry.reassign(|endpoint| topology.owner(endpoint));
+        for (owner, adopted) in reassigned {
+            match owner == self.local_box.key {
                 true => drop(self.scheduler.adopt(owner, adopted, now_ms())),
                 false => self.links.send(owner, adopted.into()),
             }
         }
-        self.pump(Vec::new());
+        self.process_actions(Vec::new());
     }
 
-    /// Rebuilds if a box has become suspect, or is no more.
-    pub(super) fn rebuild_if_suspects_changed(&mut self) {
-        let live = self.live_now();
-        if live == self.live {
+    /// Rebuilds the topology if the set of live boxes has changed.
+    pub(super) fn rebuild_if_liveness_changed(&mut self) {
+        let live_boxes = self.current_live_boxes();
+        if live_boxes == self.live_boxes {
             return;
         }
-        // What a box ran that cannot be reached for long was cut off with it, or soon will be; a
-        // endpoint that is still busy refuses, which costs a retry and no promise.
-        let lost = self
-            .live
+        // Requests of a dead box are aborted with it. An endpoint that is still busy refuses, which
+        // costs a retry.
+        let dead_boxes = self
+            .live_boxes
             .iter()
-            .filter(|known| !live.iter().any(|seen| seen.key == known.key));
-        for key in lost.map(|known| known.key).collect::<Vec<_>>() {
+            .filter(|previous| !live_boxes.iter().any(|current| current.key == previous.key));
+        for key in dead_boxes.map(|dead| dead.key).collect::<Vec<_>>() {
             self.scheduler.forget_box(key);
         }
-        self.rebuild();
+        self.rebuild_topology();
     }
 
-    /// Tells every other scheduler what was given here, and every entry what is free.
-    pub(super) fn report(&mut self) {
+    /// Sends the ledger rows of this scheduler to the others and its free slots to all entries.
+    pub(super) fn send_reports(&mut self) {
         let report = self.scheduler.take_report();
         let free = self.scheduler.free_slots(now_ms());
         for key in self.links.keys() {
             if !report.rows.is_empty() {
                 self.links.send(key, PeerMessage::Ledger(report.clone()));
             }
-            for news in self.links.free_news(key, &free) {
-                self.links.send(key, news);
+            for update in self.links.free_slot_updates(key, &free) {
+                self.links.send(key, update);
             }
         }
         for (pool, free) in free {
-            self.entry.note_free(self.me.key, pool, free);
+            self.entry.note_free(self.local_box.key, pool, free);
         }
     }
 
@@ -416,8 +417,8 @@
         METRICS.expired_grants.set(expired as i64);
         let overcommitted = self.scheduler.overcommitted_slots();
         METRICS.overcommitted.set(i64::from(overcommitted));
-        let resting = self.scheduler.resting_endpoints(now_ms());
-        METRICS.endpoints_in_backoff.set(resting as i64);
+        let in_backoff = self.scheduler.resting_endpoints(now_ms());
+        METRICS.endpoints_in_backoff.set(in_backoff as i64);
         METRICS.links.set(self.links.linked_count() as i64);
     }
 
--- a/dockgate/src/dispatch/handle.rs
+++ b/dockgate/src/dispatch/handle.rs
@@ -1,4 +1,4 @@
-//! A handle on the control actor, for requests, links and doors.
+//! Handle to the control actor, for requests, links and listeners.
 
 use super::actor::DispatchActor;
 use super::messages::{
@@ -16,22 +16,22 @@
 use tokio::sync::oneshot;
 use xtra::{Address, Handler};
 
-/// How often the control actor looks at the time.
-const TICK: Duration = Duration::from_millis(5);
+/// Interval of the ticks of the control actor.
+const TICK_INTERVAL: Duration = Duration::from_millis(5);
 
-/// A slot that a request may use.
+/// A slot granted to a request.
 #[derive(Debug)]
 pub(crate) struct BoundSlot {
     /// The grant.
     pub(crate) grant: GrantOffer,
-    /// Tells when the scheduler wants the slot back.
+    /// Completes when the scheduler reclaims the slot.
     pub(crate) pause: oneshot::Receiver<()>,
 }
 
-/// What becomes of a queued request.
+/// The result of a queued request.
 #[derive(Debug)]
 pub(crate) enum BindReply {
-    /// It may use this slot.
+    /// The request may use this slot.
     Bound(BoundSlot),
     /// The queue of its workspace is full.
     Refused(QueueError),
@@ -39,7 +39,7 @@
     Expired,
 }
 
-/// A request's place in the queue; dropping it takes the request out.
+/// The place of a request in the queue. Dropping it cancels the request.
 pub(crate) struct SlotTicket {
     id: u64,
     receiver: oneshot::Receiver<BindReply>,
@@ -55,18 +55,18 @@
 
 impl Drop for SlotTicket {
     fn drop(&mut self) {
-        // A grant that came while the caller went away is given back.
+        // A grant that arrived after the caller closed the connection is returned.
         match self.receiver.try_recv() {
             Ok(BindReply::Bound(slot)) => {
                 self.dispatch.finish(slot.grant.id, 0.0, SlotSign::Answered);
             }
             Ok(_) => {}
-            Err(_) => self.dispatch.tell(Cancel(self.id)),
+            Err(_) => self.dispatch.send_detached(Cancel(self.id)),
         }
     }
 }
 
-/// A handle on the control actor.
+/// A handle to the control actor.
 #[derive(Clone)]
 pub(crate) struct DispatchHandle {
     address: Address<DispatchActor>,
@@ -74,36 +74,36 @@
 }
 
 impl DispatchHandle {
-    /// Wraps the actor's address, and starts its clock.
+    /// Wraps the address of the actor and starts its ticks.
     pub(crate) fn new(address: Address<DispatchActor>) -> Self {
         let handle = Self {
             address,
             next_id: Arc::new(AtomicU64::new(1)),
         };
-        handle.tell(Started(handle.clone()));
-        let clock = handle.clone();
+        handle.send_detached(Started(handle.clone()));
+        let ticker = handle.clone();
         tokio::spawn(async move {
-            let mut interval = tokio::time::interval(TICK);
+            let mut interval = tokio::time::interval(TICK_INTERVAL);
             interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
             loop {
                 interval.tick().await;
-                // Waiting for the answer keeps ticks from piling up in a busy mailbox.
-                let _ = clock.address.send(Tick).await;
+                // Waiting for the reply keeps ticks from accumulating in the mailbox.
+                let _ = ticker.address.send(Tick).await;
             }
         });
         handle
     }
 
     /// Sends a message without waiting for it to be handled.
-    fn tell<M: Send + 'static>(&self, message: M)
+    fn send_detached<M: Send + 'static>(&self, message: M)
     where
         DispatchActor: Handler<M, Return = ()>,
     {
-        // The mailbox is unbounded, so that the message is queued at the first poll.
+        // The mailbox is unbounded, so the first poll queues the message.
         let _ = self.address.send(message).detach().now_or_never();
     }
 
-    /// Hands every newer configuration to the actor.
+    /// Forwards every newer configuration to the actor.
     pub(crate) fn follow_config(&self, cell: &ConfigCell) {
         let mut receiver = cell.subscribe();
         receiver.mark_changed();
@@ -111,19 +111,19 @@
         tokio::spawn(async move {
             while receiver.changed().await.is_ok() {
                 let config = receiver.borrow_and_update().clone();
-                handle.tell(SetConfig(config));
+                handle.send_detached(SetConfig(config));
             }
         });
     }
 
-    /// Queues a request; its id is given here.
-    pub(crate) fn enqueue(&self, mut request: WaitingRequest, limit: usize) -> SlotTicket {
+    /// Assigns an id to a request and queues it.
+    pub(crate) fn enqueue(&self, mut request: WaitingRequest, queue_limit: usize) -> SlotTicket {
         let (reply, receiver) = oneshot::channel();
         let id = self.next_id.fetch_add(1, Ordering::Relaxed);
         request.id = id;
-        self.tell(Enqueue {
+        self.send_detached(Enqueue {
             request,
-            limit,
+            queue_limit,
             reply,
         });
         SlotTicket {
@@ -133,52 +133,52 @@
         }
     }
 
-    /// Notes the cost of a running request.
+    /// Reports the cost so far of a running request.
     pub(crate) fn progress(&self, grant: GrantId, cost: f64) {
-        self.tell(Progress(grant, cost));
+        self.send_detached(Progress(grant, cost));
     }
 
-    /// Ends a running request.
+    /// Reports the end of a running request, with its cost and the state of its endpoint.
     pub(crate) fn finish(&self, grant: GrantId, cost: f64, sign: SlotSign) {
-        self.tell(Finish(grant, cost, sign));
+        self.send_detached(Finish(grant, cost, sign));
     }
 
-    /// Hands over a batch from a peer; returns the messages for that peer.
+    /// Handles a batch of a peer and returns the messages for it; `None` if no link is open.
     pub(crate) async fn peer_batch(&self, batch: PeerBatch) -> Option<Vec<PeerMessage>> {
         self.address.send(batch).await.ok().flatten()
     }
 
-    /// Opens a peer's link to this box.
+    /// Handles the hello of a peer.
     pub(crate) async fn peer_hello(&self, hello: PeerHello) -> Option<HelloReply> {
         self.address.send(hello).await.ok()
     }
 
-    /// Returns what to tell a peer when a link to it opens.
+    /// Returns the hello for a peer to which a link opens.
     pub(crate) async fn prepare_hello(&self, peer: BoxKey) -> Option<HelloRequest> {
         self.address.send(PrepareHello(peer)).await.ok()
     }
 
-    /// Notes that a link to a peer is open.
+    /// Reports that a link to a peer is open.
     pub(crate) async fn link_up(&self, peer: BoxKey, reply: HelloReply) {
         let _ = self.address.send(LinkUp(peer, reply)).await;
     }
 
-    /// Notes that a link to a peer is closed.
+    /// Reports that a link to a peer is closed.
     pub(crate) async fn link_down(&self, failure: LinkFailure) {
         let _ = self.address.send(failure).await;
     }
 
-    /// Takes in a new list of boxes.
+    /// Replaces the list of boxes.
     pub(crate) fn set_members(&self, members: Vec<MemberBox>) {
-        self.tell(SetMembers(members));
+        self.send_detached(SetMembers(members));
     }
 
-    /// Hands the endpoints over to other boxes.
+    /// Hands the endpoints of this scheduler over to other boxes.
     pub(crate) async fn leave(&self) {
         let _ = self.address.send(Leave).await;
     }
 
-    /// Returns the state of the box.
+    /// Returns the status of the box.
     pub(crate) async fn status(&self) -> Option<StatusAnswer> {
         self.address.send(Status).await.ok()
     }
--- a/dockgate/src/dispatch/handlers.rs
+++ b/dockgate/src/dispatch/handlers.rs
@@ -1,4 +1,4 @@
-//! What the control actor does on each message.
+//! Message handlers of the control actor.
 
 use super::actor::{DispatchActor, settle_report};
 use super::handle::BindReply;
@@ -14,7 +14,7 @@
 use dockgate_proto::{HelloReply, HelloRequest, PeerMessage};
 use xtra::{Context, Handler};
 
-/// Implements a handler that takes no time to speak of, and counts what it takes.
+/// Implements a synchronous handler and counts the time that it takes.
 macro_rules! handle {
     ($message:ty, $return:ty, |$actor:ident, $name:ident| $body:block) => {
         impl Handler<$message> for DispatchActor {
@@ -23,10 +23,10 @@
             async fn handle(&mut self, $name: $message, _: &mut Context<Self>) -> $return {
                 let started = ClockInstant::now();
                 let $actor = self;
-                let outcome = $body;
-                let busy = started.elapsed().as_micros() as u64;
-                METRICS.control_busy_us.inc_by(busy);
-                outcome
+                let result = $body;
+                let busy_us = started.elapsed().as_micros() as u64;
+                METRICS.control_busy_us.inc_by(busy_us);
+                result
             }
         }
     };
@@ -39,21 +39,21 @@
 handle!(Enqueue, (), |actor, message| {
     let Enqueue {
         request,
-        limit,
+        queue_limit,
         reply,
     } = message;
     let WaitingRequest { id, .. } = request;
-    match actor.entry.enqueue(request, limit) {
+    match actor.entry.enqueue(request, queue_limit) {
         Ok(actions) => {
-            actor.waiting.insert(id, reply);
-            actor.pump(actions);
+            actor.bind_replies.insert(id, reply);
+            actor.process_actions(actions);
         }
         Err(error) => drop(reply.send(BindReply::Refused(error))),
     }
 });
 
 handle!(Cancel, (), |actor, message| {
-    actor.waiting.remove(&message.0);
+    actor.bind_replies.remove(&message.0);
     actor.entry.cancel(message.0);
 });
 
@@ -67,24 +67,24 @@
 handle!(Finish, (), |actor, message| {
     let Finish(id, cost, sign) = message;
     actor.finish(id, cost, sign);
-    actor.pump(Vec::new());
+    actor.process_actions(Vec::new());
 });
 
 handle!(PeerBatch, Option<Vec<PeerMessage>>, |actor, batch| {
     if actor.links.is_linked(batch.from) {
-        actor.answering = Some((batch.from, Vec::new()));
+        actor.batch_reply = Some((batch.from, Vec::new()));
         if let Some(link) = actor.links.get_mut(batch.from) {
-            link.note_heard();
+            link.record_contact();
         }
         actor.receive_all(batch.from, batch.messages);
-        let free = actor.free_messages(batch.from);
-        let answer = actor.answering.take().map(|(_, answer)| answer);
-        answer.map(|mut answer| {
-            answer.extend(free);
-            answer
+        let free = actor.free_slot_updates(batch.from);
+        let reply = actor.batch_reply.take().map(|(_, reply)| reply);
+        reply.map(|mut reply| {
+            reply.extend(free);
+            reply
         })
     } else {
-        // Grants could not be sent back, so that the peer had better come again.
+        // Without a link, grants could not be sent to the peer; it retries the batch later.
         None
     }
 });
@@ -94,7 +94,7 @@
     actor.receive_all(from, request.settles);
     actor.scheduler.forget_box(from);
     actor.receive_all(from, request.adopts);
-    actor.links.forget_told(from);
+    actor.links.forget_announced(from);
     let ledger = match request.wants_ledger {
         true => actor.scheduler.full_reports(),
         false => Vec::new(),
@@ -103,14 +103,17 @@
         incarnation: actor.incarnation,
         config_version: actor.config.version,
         ledger,
-        free: actor.free_messages(from),
+        free: actor.free_slot_updates(from),
     }
 });
 
 handle!(PrepareHello, HelloRequest, |actor, message| {
     let peer = message.0;
     let adopts = actor.entry.running_at(peer).into_iter();
-    let settles = actor.links.get_mut(peer).map(|link| link.settles.clone());
+    let settles = actor
+        .links
+        .get_mut(peer)
+        .map(|link| link.undelivered_settles.clone());
     HelloRequest {
         settles: settles.unwrap_or_default(),
         adopts: adopts.map(PeerMessage::from).collect(),
@@ -124,8 +127,8 @@
     if let Some(link) = actor.links.get_mut(peer) {
         link.linked = true;
         link.changed_ms = now;
-        link.note_heard();
-        link.settles.clear();
+        link.record_contact();
+        link.undelivered_settles.clear();
         log_event(&LogEvent::Link {
             peer: &link.member.name,
             up: true,
@@ -138,7 +141,7 @@
         actor.scheduler.merge(report, now);
     }
     actor.receive_all(peer, reply.free);
-    actor.rebuild_if_suspects_changed();
+    actor.rebuild_if_liveness_changed();
 });
 
 handle!(LinkFailure, (), |actor, failure| {
@@ -161,7 +164,7 @@
     actor.scheduler.forget_demand(peer);
     for message in undelivered {
         match message {
-            // The peer may not have seen the grant: its slot is free again.
+            // The peer may not have received the grant, so its slot is free again.
             PeerMessage::Grant(id, ..) => {
                 let report = settle_report(id, 0, Some(SlotSign::Answered));
                 actor.scheduler.settle(peer, report, now_ms());
@@ -169,7 +172,7 @@
             message => actor.links.send(peer, message),
         }
     }
-    actor.pump(Vec::new());
+    actor.process_actions(Vec::new());
 });
 
 handle!(SetMembers, (), |actor, message| {
@@ -191,7 +194,7 @@
             None => actor.add_member(member),
         }
     }
-    actor.rebuild();
+    actor.rebuild_topology();
 });
 
 handle!(SetConfig, (), |actor, message| {
@@ -200,30 +203,30 @@
     let shares = shares.map(|(key, workspace)| (key, workspace.share));
     actor.scheduler.set_shares(shares.collect());
     actor.config = config;
-    actor.rebuild();
+    actor.rebuild_topology();
 });
 
 handle!(Tick, (), |actor, _message| {
     let now = now_ms();
     let actions = actor.entry.tick(now);
     actor.scheduler.tick(now);
-    actor.pump(actions);
-    actor.ask_for_pauses(now);
-    actor.rebuild_if_suspects_changed();
+    actor.process_actions(actions);
+    actor.request_pauses(now);
+    actor.rebuild_if_liveness_changed();
     if now >= actor.report_due_ms {
-        let every = actor.settings.schedule.report_every.as_millis() as u64;
-        actor.report_due_ms = now + every;
-        actor.report();
+        let report_every_ms = actor.settings.schedule.report_every.as_millis() as u64;
+        actor.report_due_ms = now + report_every_ms;
+        actor.send_reports();
         actor.update_metrics();
     }
 });
 
 handle!(Leave, (), |actor, _message| {
-    actor.me.schedules = false;
+    actor.local_box.schedules = false;
     for key in actor.links.keys() {
         actor.links.send(key, PeerMessage::Leaving);
     }
-    actor.rebuild();
+    actor.rebuild_topology();
 });
 
 handle!(Status, StatusAnswer, |actor, _message| {
--- a/dockgate/src/dispatch/messages.rs
+++ b/dockgate/src/dispatch/messages.rs
@@ -9,26 +9,26 @@
 
 use super::handle::{BindReply, DispatchHandle};
 
-/// Gives the actor a handle on itself; the first message that it gets.
+/// The first message to the actor, with a handle to itself.
 pub(super) struct Started(pub(super) DispatchHandle);
 
 /// Queues a request.
 pub(super) struct Enqueue {
     pub(super) request: WaitingRequest,
-    pub(super) limit: usize,
+    pub(super) queue_limit: usize,
     pub(super) reply: oneshot::Sender<BindReply>,
 }
 
-/// Takes a waiting request out.
+/// Removes a waiting request.
 pub(super) struct Cancel(pub(super) u64);
 
-/// Notes the cost of a running request.
+/// Reports the cost so far of a running request.
 pub(super) struct Progress(pub(super) GrantId, pub(super) f64);
 
-/// Ends a running request.
+/// Reports the end of a running request, with its cost and the state of its endpoint.
 pub(super) struct Finish(pub(super) GrantId, pub(super) f64, pub(super) SlotSign);
 
-/// A batch from a peer; answered with messages for that peer.
+/// A batch of a peer, which is answered with messages for that peer.
 pub(crate) struct PeerBatch {
     /// The peer.
     pub(crate) from: BoxKey,
@@ -36,44 +36,44 @@
     pub(crate) messages: Vec<PeerMessage>,
 }
 
-/// A peer opens its link to this box.
+/// The hello of a peer that opens a link to this box.
 pub(crate) struct PeerHello {
     /// The peer.
     pub(crate) from: BoxKey,
-    /// What it tells.
+    /// Its hello.
     pub(crate) request: HelloRequest,
 }
 
-/// Asks what to tell a peer when a link to it opens.
+/// Requests the hello for a peer to which a link opens.
 pub(super) struct PrepareHello(pub(super) BoxKey);
 
 /// A link to a peer is open.
 pub(super) struct LinkUp(pub(super) BoxKey, pub(super) HelloReply);
 
-/// What was lost with a link.
+/// The failure of a link.
 pub(crate) struct LinkFailure {
     /// The peer.
     pub(crate) peer: BoxKey,
-    /// What was not delivered, or perhaps not.
+    /// The messages that may not have been delivered.
     pub(crate) undelivered: Vec<PeerMessage>,
-    /// Why.
+    /// The cause.
     pub(crate) reason: String,
 }
 
-/// The list of boxes has changed.
+/// Replaces the list of boxes.
 pub(super) struct SetMembers(pub(super) Vec<MemberBox>);
 
-/// A newer configuration is in force.
+/// Replaces the configuration.
 pub(super) struct SetConfig(pub(super) Arc<FleetConfig>);
 
-/// Time has passed.
+/// Triggers work that is due by time.
 pub(super) struct Tick;
 
-/// Hands over the endpoints, as the daemon is about to stop.
+/// Hands the endpoints over to other boxes before the daemon stops.
 pub(super) struct Leave;
 
-/// Asks for the state of the box.
+/// Requests the status of the box.
 pub(super) struct Status;
 
-/// The answer to [`Status`], to be completed by the operator door.
+/// The reply to [`Status`].
 pub(super) type StatusAnswer = StatusReply;
--- a/dockgate/src/dispatch/peer_links.rs
+++ b/dockgate/src/dispatch/peer_links.rs
@@ -1,4 +1,4 @@
-//! The links to peers, as the control actor sees them.
+//! The control actor's state of the links to peers.
 
 use crate::clock::now_ms;
 use crate::link_task::LinkSender;
@@ -7,22 +7,22 @@
 use dockgate_proto::PeerMessage;
 use std::collections::{BTreeMap, HashMap};
 
-/// A box and the link to it.
+/// A box and the state of the link to it.
 pub(super) struct PeerLink {
     pub(super) member: MemberBox,
     pub(super) sender: LinkSender,
     pub(super) linked: bool,
     pub(super) changed_ms: u64,
-    /// When the peer was last heard of.
-    heard_ms: u64,
-    /// Settles that a broken link did not deliver.
-    pub(super) settles: Vec<PeerMessage>,
-    /// The free slots that the peer was last told of.
-    told_free: HashMap<PoolKey, u32>,
+    /// When the peer was last in contact.
+    last_contact_ms: u64,
+    /// Settles to deliver in the next hello.
+    pub(super) undelivered_settles: Vec<PeerMessage>,
+    /// The free slots last announced to the peer.
+    announced_free: HashMap<PoolKey, u32>,
 }
 
 impl PeerLink {
-    /// How long a link may be closed before its box is passed over, at the least, in milliseconds.
+    /// The minimum time to reopen a link before its box counts as dead, in milliseconds.
     const REOPEN_MS: u64 = 300;
 
     pub(super) fn new(member: MemberBox, sender: LinkSender) -> Self {
@@ -31,45 +31,45 @@
             sender,
             linked: false,
             changed_ms: now_ms(),
-            heard_ms: now_ms(),
-            settles: Vec::new(),
-            told_free: HashMap::new(),
+            last_contact_ms: now_ms(),
+            undelivered_settles: Vec::new(),
+            announced_free: HashMap::new(),
         }
     }
 
-    /// Notes that the link is open, or that the peer has answered.
-    pub(super) fn note_heard(&mut self) {
-        self.heard_ms = now_ms();
+    /// Records that the link was opened or that a batch of the peer arrived.
+    pub(super) fn record_contact(&mut self) {
+        self.last_contact_ms = now_ms();
     }
 
-    /// Notes that the link is closed; returns whether it was open.
+    /// Marks the link as closed and returns whether it was open.
     ///
-    /// The box is alive for the rest of the time since it was last heard of, but long enough for
-    /// the link to be opened again where only the connection was lost.
+    /// The suspect time counts from the last contact, but leaves at least [`Self::REOPEN_MS`] to
+    /// reopen the link if only the connection was lost.
     pub(super) fn close(&mut self, suspect_ms: u64) -> bool {
         let reopen_until = (now_ms() + Self::REOPEN_MS).saturating_sub(suspect_ms);
         let was_open = std::mem::take(&mut self.linked);
         if was_open {
-            self.changed_ms = self.heard_ms.max(reopen_until);
+            self.changed_ms = self.last_contact_ms.max(reopen_until);
         }
         was_open
     }
 
-    /// Tells whether the box counts as alive: linked, or not closed for long.
-    fn alive(&self, suspect_ms: u64) -> bool {
+    /// Returns whether the box counts as alive: linked, or closed for less than the suspect time.
+    fn is_alive(&self, suspect_ms: u64) -> bool {
         self.linked || now_ms() < self.changed_ms + suspect_ms
     }
 }
 
-/// Every other box of the fleet.
+/// The links to all other boxes of the fleet.
 #[derive(Default)]
 pub(super) struct PeerLinks {
     links: BTreeMap<BoxKey, PeerLink>,
 }
 
 impl PeerLinks {
-    /// The most settles that are kept for a peer that cannot be reached.
-    const MOST_SETTLES: usize = 10_000;
+    /// The maximum number of settles kept for an unreachable peer.
+    const MAX_SETTLES: usize = 10_000;
 
     pub(super) fn get_mut(&mut self, key: BoxKey) -> Option<&mut PeerLink> {
         self.links.get_mut(&key)
@@ -79,7 +79,7 @@
         self.links.get(&key).is_some_and(|link| link.linked)
     }
 
-    /// Returns a box's name, or its key where it is not on the list.
+    /// Returns the name of a box, or its key if it is not in the list.
     pub(super) fn name(&self, key: BoxKey) -> String {
         let link = self.links.get(&key);
         link.map_or_else(|| key.to_string(), |link| link.member.name.clone())
@@ -105,44 +105,47 @@
         self.links.values().filter(|link| link.linked).count()
     }
 
-    /// Sends a message if the link is open; keeps settles for later, drops the rest.
+    /// Sends a message if the link is open, else keeps settles and drops all other messages.
     pub(super) fn send(&mut self, to: BoxKey, message: PeerMessage) {
         match self.links.get_mut(&to) {
             Some(link) if link.linked => link.sender.send(message),
-            Some(link) => Self::keep(link, &message),
+            Some(link) => Self::keep_settle(link, &message),
             None => {}
         }
     }
 
-    fn keep(link: &mut PeerLink, message: &PeerMessage) {
+    fn keep_settle(link: &mut PeerLink, message: &PeerMessage) {
         let settle = match *message {
             PeerMessage::Settle(id, cost) => PeerMessage::Settle(id, cost),
-            // What was lost with the link says nothing of the endpoint any more.
+            // By the next hello, the state of the endpoint is outdated.
             PeerMessage::Lost(id, cost) => PeerMessage::Settle(id, cost),
             PeerMessage::Refused(id) | PeerMessage::Resting(id, _) => PeerMessage::Settle(id, 0),
             _ => return,
         };
-        if link.settles.len() < Self::MOST_SETTLES {
-            link.settles.push(settle);
+        if link.undelivered_settles.len() < Self::MAX_SETTLES {
+            link.undelivered_settles.push(settle);
         }
     }
 
-    /// Lists the boxes seen alive, this one included.
-    pub(super) fn live_boxes(&self, me: &LiveBox, suspect_ms: u64) -> Vec<LiveBox> {
+    /// Returns the boxes that count as alive, including this one.
+    pub(super) fn live_boxes(&self, local_box: &LiveBox, suspect_ms: u64) -> Vec<LiveBox> {
         let others = self
             .links
             .values()
-            .filter(|link| link.alive(suspect_ms))
+            .filter(|link| link.is_alive(suspect_ms))
             .map(|link| LiveBox {
                 key: link.member.key,
                 domain: link.member.domain.clone(),
                 schedules: !link.member.leaving,
             });
-        std::iter::once(me.clone()).chain(others).collect()
+        std::iter::once(local_box.clone()).chain(others).collect()
     }
 
-    /// Lists what a peer should be told of free slots: from none to some and back, or twice as many.
-    pub(super) fn free_news(
+    /// Returns the changes of free slots to announce to a peer.
+    ///
+    /// A change is announced if a pool becomes full or stops being full, or if its free slots more
+    /// than double or halve.
+    pub(super) fn free_slot_updates(
         &mut self,
         to: BoxKey,
         free: &BTreeMap<PoolKey, u32>,
@@ -150,22 +153,22 @@
         let Some(link) = self.links.get_mut(&to) else {
             return Vec::new();
         };
-        let mut news = Vec::new();
+        let mut updates = Vec::new();
         for (pool, free) in free {
-            let told = link.told_free.entry(*pool).or_default();
-            let same_side = (*told == 0) == (*free == 0);
-            if !same_side || *free > *told * 2 || *free * 2 < *told {
-                *told = *free;
-                news.push(PeerMessage::Free(*pool, *free));
+            let announced = link.announced_free.entry(*pool).or_default();
+            let same_availability = (*announced == 0) == (*free == 0);
+            if !same_availability || *free > *announced * 2 || *free * 2 < *announced {
+                *announced = *free;
+                updates.push(PeerMessage::Free(*pool, *free));
             }
         }
-        news
+        updates
     }
 
-    /// Forgets what a peer was told, as when its link opens anew.
-    pub(super) fn forget_told(&mut self, key: BoxKey) {
+    /// Forgets the slots announced to a peer that has lost its state.
+    pub(super) fn forget_announced(&mut self, key: BoxKey) {
         if let Some(link) = self.links.get_mut(&key) {
-            link.told_free.clear();
+            link.announced_free.clear();
         }
     }
 }
