--- a/dockgate/src/caller.rs
+++ b/dockgate/src/caller.rs
@@ -151,16 +151,16 @@
             async move { Ok::<_, Infallible>(caller_listener.respond(request).await) }
         });
         let stream = SharedStream::new(stream);
-        let caller = stream.presence();
+        let presence = stream.presence();
         let connection = builder.serve_connection_with_upgrades(TokioIo::new(stream), service);
         // hyper does not notice that the caller has closed the connection while unread bytes, such
         // as a pipelined request, precede the end of the stream.
-        let ended = tokio::select! {
+        let result = tokio::select! {
             biased;
-            () = caller.left() => return,
-            ended = connection => ended,
+            () = presence.left() => return,
+            result = connection => result,
         };
-        if let Err(error) = ended {
+        if let Err(error) = result {
             log::debug!("connection of a caller failed: {error}");
         }
     }
@@ -243,8 +243,8 @@
             });
             tokio::spawn(async move {
                 let builder = Builder::new(TokioExecutor::new());
-                let served = builder.serve_connection(TokioIo::new(stream), service);
-                if let Err(error) = served.await {
+                let connection = builder.serve_connection(TokioIo::new(stream), service);
+                if let Err(error) = connection.await {
                     log::debug!("connection for metrics failed: {error}");
                 }
             });
--- a/dockgate/src/caller/endpoint_refusal.rs
+++ b/dockgate/src/caller/endpoint_refusal.rs
@@ -8,7 +8,7 @@
 
 /// Returns what a refusal says of its endpoint: full, or in backoff for the time that it names.
 ///
-/// The time of 429 may concern the workspace alone. A date is ignored: endpoints' clocks may be off.
+/// The time of 429 may concern the workspace alone. A date is ignored, as clocks may differ.
 pub(super) fn classify_refusal(status: StatusCode, headers: &HeaderMap) -> SlotSign {
     let seconds = headers.get(header::RETRY_AFTER);
     let seconds = seconds.and_then(|value| value.to_str().ok()?.trim().parse::<u32>().ok());
--- a/dockgate/src/caller/request_runner.rs
+++ b/dockgate/src/caller/request_runner.rs
@@ -222,8 +222,8 @@
         number: u32,
     ) -> Result<BoundAttempt, AttemptFailure> {
         let config = self.cell.current();
-        let found = find_endpoint(&config, req, grant);
-        let Some((endpoint, pool)) = found else {
+        let endpoint_and_pool = find_endpoint(&config, req, grant);
+        let Some((endpoint, pool)) = endpoint_and_pool else {
             self.dispatch.finish(grant.id, 0.0, SlotSign::Answered);
             return Err(AttemptFailure {
                 state: AttemptState::Bound,
@@ -369,11 +369,11 @@
         attempt: &BoundAttempt,
     ) -> Result<Request<Full<Bytes>>, AttemptFailure> {
         let address = attempt.endpoint.address_from(&self.settings.domain);
-        let built = Request::builder()
+        let result = Request::builder()
             .method(req.method.clone())
             .uri(format!("http://{address}{}", req.path))
             .body(Full::new(req.body.clone()));
-        let mut request = built.map_err(|error| {
+        let mut request = result.map_err(|error| {
             failure(
                 AttemptState::Bound,
                 &attempt.endpoint.name,
--- a/dockgate/src/config_cell.rs
+++ b/dockgate/src/config_cell.rs
@@ -1,7 +1,7 @@
-//! Keeps the accepted configuration in force: strictly in order, never back.
+//! Holds the configuration in force, whose version only increases.
 
 use crate::logging::{LogEvent, log_event};
-use crate::members::RETRY_MS;
+use crate::members::RETRY_DELAY_MS;
 use crate::metrics::METRICS;
 use crate::probed_wait::wait_probed;
 use dockgate_config::{ConfigHead, ConfigStore};
@@ -12,20 +12,20 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// The configuration in force on this box; readers swap in a newer one, never an older.
+/// The shared configuration in force on this box, which only a newer version replaces.
 #[derive(Debug, Clone)]
 pub(crate) struct ConfigCell {
     sender: Arc<watch::Sender<Arc<FleetConfig>>>,
-    reachable: Arc<AtomicBool>,
+    platform_reachable: Arc<AtomicBool>,
 }
 
 impl ConfigCell {
-    /// Makes a cell that has never seen a configuration.
+    /// Creates a cell without a configuration.
     pub(crate) fn new() -> Self {
         let (sender, _) = watch::channel(Arc::default());
         Self {
             sender: Arc::new(sender),
-            reachable: Arc::default(),
+            platform_reachable: Arc::default(),
         }
     }
 
@@ -34,12 +34,12 @@
         self.sender.borrow().clone()
     }
 
-    /// Tells whether any configuration is in force.
+    /// Returns whether any configuration is in force.
     pub(crate) fn is_ready(&self) -> bool {
         self.sender.borrow().version > 0
     }
 
-    /// Puts a configuration in force if it is newer; returns whether it was.
+    /// Puts a configuration in force if it is newer, and returns whether it was.
     pub(crate) fn offer(&self, config: FleetConfig, source: &str) -> bool {
         let version = config.version;
         let newer = self.sender.send_if_modified(|current| {
@@ -61,12 +61,16 @@
         self.sender.subscribe()
     }
 
-    /// Tells whether the platform's service answered last time.
+    /// Returns whether the last call to the platform succeeded.
     pub(crate) fn platform_reachable(&self) -> bool {
-        self.reachable.load(Ordering::Relaxed)
+        self.platform_reachable.load(Ordering::Relaxed)
     }
 
-    /// Brings the configuration up to a head.
+    /// Brings the configuration up to date with a head of the store.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the platform cannot be reached or the stored changes are invalid.
     pub(crate) async fn follow(
         &self,
         store: &ConfigStore,
@@ -81,20 +85,20 @@
     }
 }
 
-/// Watches the head and puts every accepted change in force.
-pub(crate) async fn watch_config(cell: ConfigCell, store: ConfigStore, wait: Duration) {
+/// Watches the head of the store and puts every accepted change in force.
+pub(crate) async fn watch_config(cell: ConfigCell, store: ConfigStore, watch_timeout: Duration) {
     let mut revision = 0;
     loop {
-        match watch_once(&cell, &store, revision, wait).await {
-            Ok(seen) => {
-                cell.reachable.store(true, Ordering::Relaxed);
-                revision = seen;
+        match watch_once(&cell, &store, revision, watch_timeout).await {
+            Ok(seen_revision) => {
+                cell.platform_reachable.store(true, Ordering::Relaxed);
+                revision = seen_revision;
             }
             Err(error) => {
-                cell.reachable.store(false, Ordering::Relaxed);
+                cell.platform_reachable.store(false, Ordering::Relaxed);
                 log::warn!("{error}");
-                let pause = rand::random_range(RETRY_MS);
-                tokio::time::sleep(Duration::from_millis(pause)).await;
+                let delay = rand::random_range(RETRY_DELAY_MS);
+                tokio::time::sleep(Duration::from_millis(delay)).await;
             }
         }
     }
@@ -104,19 +108,19 @@
     cell: &ConfigCell,
     store: &ConfigStore,
     revision: u64,
-    wait: Duration,
+    watch_timeout: Duration,
 ) -> Result<u64, PlatformError> {
-    let watch = store.watch_head(revision, wait);
-    let Some((head, seen)) = wait_probed(store.client(), watch).await? else {
+    let watch = store.watch_head(revision, watch_timeout);
+    let Some((head, seen_revision)) = wait_probed(store.client(), watch).await? else {
         return Ok(revision);
     };
     cell.follow(store, &head).await?;
-    if seen == revision {
-        // The history was forgotten, and nothing has changed: there is no reason to hurry.
-        let pause = rand::random_range(RETRY_MS);
-        tokio::time::sleep(Duration::from_millis(pause)).await;
+    if seen_revision == revision {
+        // The store has dropped its history without a change; the delay prevents a busy loop.
+        let delay = rand::random_range(RETRY_DELAY_MS);
+        tokio::time::sleep(Duration::from_millis(delay)).await;
     }
-    Ok(seen)
+    Ok(seen_revision)
 }
 
 #[cfg(test)]
--- a/dockgate/src/config_cell/tests.rs
+++ b/dockgate/src/config_cell/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn an_older_configuration_never_comes_back() {
+fn older_configuration_is_ignored() {
     let cell = ConfigCell::new();
     let config = |version| FleetConfig {
         version,
--- a/dockgate/src/daemon.rs
+++ b/dockgate/src/daemon.rs
@@ -1,4 +1,4 @@
-//! Puts the daemon's parts together, and takes them apart in order.
+//! Starts the parts of the daemon and stops them in order.
 
 use crate::caller::CallerListener;
 use crate::clock::{timeout, watch_suspensions};
@@ -20,16 +20,16 @@
 use std::time::Duration;
 use tokio::net::TcpListener;
 
-/// How often the end of the requests in flight is looked for.
-const DRAIN_POLL: Duration = Duration::from_millis(20);
-/// How long peers have to take in the last settles.
-const LAST_WORDS: Duration = Duration::from_millis(100);
+/// Interval of the checks for requests in flight while draining.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Time for the links to deliver the last settles.
+const FINAL_SETTLE_DELAY: Duration = Duration::from_millis(100);
 
-/// Runs the daemon until it is told to stop.
+/// Runs the daemon until it receives a stop signal.
 ///
 /// # Errors
 ///
-/// Returns an error where a socket cannot be opened.
+/// Returns an error if the runtime cannot be started or a socket cannot be opened.
 pub(crate) fn run(settings: DaemonSettings) -> Result<(), DaemonError> {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
@@ -66,7 +66,7 @@
         store.clone(),
         settings.platform.watch,
     ));
-    // The list replaces the seeds as soon as it can be read.
+    // The list of the platform replaces the seeds once it can be read.
     dispatch.set_members(settings.seeds.clone());
     tokio::spawn(follow_members(
         client,
@@ -76,54 +76,54 @@
         dispatch.clone(),
     ));
 
-    let (stop, stop_server) = stop_channel();
+    let (stop_handle, server_handle) = stop_channel();
     let fleet = settings.secrets.fleet.clone();
-    let door = peer_listener(dispatch.clone(), cell.clone(), fleet)?;
-    tokio::spawn(door.serve(peers, stop.clone()));
+    let listener = peer_listener(dispatch.clone(), cell.clone(), fleet)?;
+    tokio::spawn(listener.serve(peers, stop_handle.clone()));
     let token = settings.secrets.operator.clone();
-    let door = operator_listener(store, cell.clone(), dispatch.clone(), token)?;
-    tokio::spawn(door.serve(operators, stop));
+    let listener = operator_listener(store, cell.clone(), dispatch.clone(), token)?;
+    tokio::spawn(listener.serve(operators, stop_handle));
 
-    let flag = StopFlag::default();
-    let door = CallerListener::new(
+    let stop_flag = StopFlag::default();
+    let caller_listener = CallerListener::new(
         settings.clone(),
         cell,
         dispatch.clone(),
         incarnation,
-        flag.clone(),
+        stop_flag.clone(),
     );
-    let door = Arc::new(door);
-    tokio::spawn(door.clone().serve_metrics(metrics));
-    let serving = tokio::spawn(door.clone().serve(callers));
+    let caller_listener = Arc::new(caller_listener);
+    tokio::spawn(caller_listener.clone().serve_metrics(metrics));
+    let serve_task = tokio::spawn(caller_listener.clone().serve(callers));
     wait_for_signal().await;
-    drain(&settings, &dispatch, &flag, &door).await;
-    serving.abort();
-    drop(stop_server);
+    drain(&settings, &dispatch, &stop_flag, &caller_listener).await;
+    serve_task.abort();
+    drop(server_handle);
     Ok(())
 }
 
-/// Stops in order: not ready, endpoints handed over, requests in flight finished.
+/// Reports not ready, hands the endpoints over and waits for the requests in flight.
 async fn drain(
     settings: &DaemonSettings,
     dispatch: &DispatchHandle,
-    flag: &StopFlag,
-    door: &CallerListener,
+    stop_flag: &StopFlag,
+    caller_listener: &CallerListener,
 ) {
     log_event(&LogEvent::Lifecycle { state: "stopping" });
-    flag.set();
+    stop_flag.set();
     dispatch.leave().await;
-    // The balancer needs a moment to see that the box is not ready.
+    // Gives the load balancer time to notice that the box is not ready.
     tokio::time::sleep(settings.limits.stop_grace).await;
-    let finished = async {
-        while door.in_flight() > 0 {
-            tokio::time::sleep(DRAIN_POLL).await;
+    let all_finished = async {
+        while caller_listener.in_flight() > 0 {
+            tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
         }
     };
-    let finished = timeout(settings.limits.stop_timeout, finished).await;
-    let state = match finished {
+    let drained = timeout(settings.limits.stop_timeout, all_finished).await;
+    let state = match drained {
         Ok(()) => "stopped",
         Err(_) => "stopped with requests in flight",
     };
-    tokio::time::sleep(LAST_WORDS).await;
+    tokio::time::sleep(FINAL_SETTLE_DELAY).await;
     log_event(&LogEvent::Lifecycle { state });
 }
--- a/dockgate/src/error.rs
+++ b/dockgate/src/error.rs
@@ -1,17 +1,17 @@
-//! Errors that end the daemon.
+//! Errors that prevent the daemon from starting.
 
 use dockgate_core::IniProblems;
 use quick_error::quick_error;
 
 quick_error! {
-    /// Why the daemon cannot start; each carries the step and what it was about.
+    /// The reason why the daemon cannot start, with the failed step and its subject.
     #[derive(Debug)]
     pub enum DaemonError {
         /// A file cannot be read.
         File(step: &'static str, path: String, cause: std::io::Error) {
             display("{} {}: {}", step, path, cause)
         }
-        /// The settings are wrong.
+        /// The settings are invalid.
         Settings(problems: IniProblems) {
             display("{}", problems)
             from()
@@ -22,23 +22,23 @@
         }
         /// The runtime cannot be started.
         Runtime(cause: std::io::Error) {
-            display("start the runtime: {}", cause)
+            display("cannot start the runtime: {}", cause)
         }
         /// A JSON-RPC method cannot be registered.
         Method(cause: jsonrpsee::server::RegisterMethodError) {
-            display("register a method: {}", cause)
+            display("cannot register a JSON-RPC method: {}", cause)
             from()
         }
     }
 }
 
 impl DaemonError {
-    /// Exit code for settings that are wrong.
+    /// Exit code for invalid or unreadable settings.
     const EXIT_SETTINGS: u8 = 2;
-    /// Exit code for everything else.
+    /// Exit code for all other errors.
     const EXIT_OTHER: u8 = 1;
 
-    /// Returns the process's exit code for this error.
+    /// Returns the exit code of the process for this error.
     pub(crate) const fn exit_code(&self) -> u8 {
         match self {
             Self::Settings(_) | Self::File(..) => Self::EXIT_SETTINGS,
--- a/dockgate/src/link_task.rs
+++ b/dockgate/src/link_task.rs
@@ -1,8 +1,8 @@
-//! A link to one peer: a WebSocket on which batches of messages are exchanged by JSON-RPC.
+//! A link to one peer: a WebSocket that carries batches of messages as JSON-RPC calls.
 //!
-//! At most one batch is under way. What comes up meanwhile goes with the next, so that batches
-//! grow by themselves when there is more to say. When a link breaks, whatever may not have been
-//! delivered goes back to the control actor.
+//! At most one batch is in flight. Messages that arrive meanwhile form the next batch, so batches
+//! grow with the load. When a link fails, all messages that may not have been delivered are
+//! returned to the control actor.
 
 use crate::config_cell::ConfigCell;
 use crate::dispatch::{DispatchHandle, LinkFailure, PeerBatch};
@@ -22,24 +22,24 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// The most messages in one batch.
-const MOST_MESSAGES: usize = 512;
-/// How long to wait before a batch is offered again to a peer that has no link to this box yet.
-const NOT_LINKED: Duration = Duration::from_millis(20);
-/// How long to wait before a broken link is opened again, in milliseconds.
-const RETRY_MS: std::ops::Range<u64> = 50..200;
+/// The maximum number of messages in one batch.
+const MAX_BATCH_MESSAGES: usize = 512;
+/// Delay before a batch is resent to a peer that has no link to this box yet.
+const NOT_LINKED_DELAY: Duration = Duration::from_millis(20);
+/// Random delay before a failed link is reopened, in milliseconds.
+const REOPEN_DELAY_MS: std::ops::Range<u64> = 50..200;
 
 quick_error! {
-    /// Why a link broke; each carries the step and the peer.
+    /// The failure of a link, with the peer and the step.
     #[derive(Debug)]
     enum LinkError {
         /// A call failed.
         Call(step: &'static str, peer: String, cause: ClientError) {
             display("peer {}: {}: {}", peer, step, cause)
         }
-        /// The fleet secret cannot stand in a header.
+        /// The fleet secret is not a valid header value.
         Secret(peer: String) {
-            display("peer {}: connect: the fleet secret is not plain text", peer)
+            display("peer {}: connect: the fleet secret is not a valid header value", peer)
         }
     }
 }
@@ -49,7 +49,7 @@
 pub(crate) struct LinkSender(mpsc::UnboundedSender<PeerMessage>);
 
 impl LinkSender {
-    /// Makes a queue; the receiver goes to the link's task.
+    /// Creates a queue; the receiver belongs to the task of the link.
     pub(crate) fn new() -> (Self, mpsc::UnboundedReceiver<PeerMessage>) {
         let (sender, receiver) = mpsc::unbounded_channel();
         (Self(sender), receiver)
@@ -57,12 +57,12 @@
 
     /// Queues a message.
     pub(crate) fn send(&self, message: PeerMessage) {
-        // A link that has ended belongs to a box that is no more.
+        // The task of a link ends only when its box was removed.
         let _ = self.0.send(message);
     }
 }
 
-/// Keeps a link to one peer open.
+/// Keeps the link to one peer open.
 pub(crate) struct LinkTask {
     peer: MemberBox,
     settings: Arc<DaemonSettings>,
@@ -72,7 +72,7 @@
 }
 
 impl LinkTask {
-    /// Makes the task.
+    /// Creates the task.
     pub(crate) const fn new(
         peer: MemberBox,
         settings: Arc<DaemonSettings>,
@@ -89,12 +89,12 @@
         }
     }
 
-    /// Runs until the box is taken off the list.
+    /// Runs until the box is removed from the list.
     pub(crate) async fn run(self, mut receiver: mpsc::UnboundedReceiver<PeerMessage>) {
         loop {
             let mut undelivered = Vec::new();
-            let ended = self.session(&mut receiver, &mut undelivered).await;
-            let Err(error) = ended else { return };
+            let result = self.run_session(&mut receiver, &mut undelivered).await;
+            let Err(error) = result else { return };
             while let Ok(message) = receiver.try_recv() {
                 undelivered.push(message);
             }
@@ -107,49 +107,49 @@
                 reason: error.to_string(),
             };
             self.dispatch.link_down(failure).await;
-            let pause = rand::random_range(RETRY_MS);
-            tokio::time::sleep(Duration::from_millis(pause)).await;
+            let delay = rand::random_range(REOPEN_DELAY_MS);
+            tokio::time::sleep(Duration::from_millis(delay)).await;
         }
     }
 
-    async fn session(
+    async fn run_session(
         &self,
         receiver: &mut mpsc::UnboundedReceiver<PeerMessage>,
         undelivered: &mut Vec<PeerMessage>,
     ) -> Result<(), LinkError> {
         let client = self.connect().await?;
-        self.open(&client).await?;
+        self.open_session(&client).await?;
         let mut batch = Vec::new();
         loop {
             if batch.is_empty() {
                 tokio::select! {
-                    count = receiver.recv_many(&mut batch, MOST_MESSAGES) => {
+                    count = receiver.recv_many(&mut batch, MAX_BATCH_MESSAGES) => {
                         if count == 0 {
                             return Ok(());
                         }
                     }
-                    cause = client.on_disconnect() => return Err(self.failed("wait")(cause)),
+                    cause = client.on_disconnect() => return Err(self.call_error("wait")(cause)),
                 }
             }
-            let answered = self.exchange(&client, &batch).await;
-            let answer = answered.inspect_err(|_| undelivered.append(&mut batch))?;
-            let Some(answer) = answer else {
-                // Closing this link too would make both sides wait for each other for ever.
-                tokio::time::sleep(NOT_LINKED).await;
+            let result = self.exchange(&client, &batch).await;
+            let reply = result.inspect_err(|_| undelivered.append(&mut batch))?;
+            let Some(reply) = reply else {
+                // If each side closed its link while the other has none, neither could open first.
+                tokio::time::sleep(NOT_LINKED_DELAY).await;
                 continue;
             };
             batch.clear();
-            let reaction = PeerBatch {
+            let peer_batch = PeerBatch {
                 from: self.peer.key,
-                messages: answer,
+                messages: reply,
             };
-            if let Some(reaction) = self.dispatch.peer_batch(reaction).await {
-                batch.extend(reaction);
+            if let Some(messages) = self.dispatch.peer_batch(peer_batch).await {
+                batch.extend(messages);
             }
         }
     }
 
-    fn failed(&self, step: &'static str) -> impl Fn(ClientError) -> LinkError {
+    fn call_error(&self, step: &'static str) -> impl Fn(ClientError) -> LinkError {
         move |cause| LinkError::Call(step, self.peer.name.clone(), cause)
     }
 
@@ -181,24 +181,24 @@
             .enable_ws_ping(ping)
             .build(format!("ws://{}", self.peer.address))
             .await
-            .map_err(self.failed("connect"))
+            .map_err(self.call_error("connect"))
     }
 
-    /// Replaces what the peer knows of this box, and learns what it lacks.
-    async fn open(&self, client: &WsClient) -> Result<(), LinkError> {
+    /// Exchanges hellos with the peer and fetches a newer configuration from it.
+    async fn open_session(&self, client: &WsClient) -> Result<(), LinkError> {
         let Some(hello) = self.dispatch.prepare_hello(self.peer.key).await else {
             return Ok(());
         };
         let reply: HelloReply = client
             .request(methods::HELLO, rpc_params![hello])
             .await
-            .map_err(self.failed("hello"))?;
-        let mine = self.cell.current().version;
-        if reply.config_version > mine {
+            .map_err(self.call_error("hello"))?;
+        let local_version = self.cell.current().version;
+        if reply.config_version > local_version {
             let answer: ConfigAnswer = client
-                .request(methods::CONFIG, rpc_params![mine])
+                .request(methods::CONFIG, rpc_params![local_version])
                 .await
-                .map_err(self.failed("config"))?;
+                .map_err(self.call_error("config"))?;
             if let Some(config) = answer.config {
                 self.cell.offer(config, &self.peer.name);
             }
@@ -207,7 +207,7 @@
         Ok(())
     }
 
-    /// Hands a batch over; the peer takes nothing in while it has no link to this box.
+    /// Sends a batch and returns the reply; `None` if the peer has no link to this box yet.
     async fn exchange(
         &self,
         client: &WsClient,
@@ -219,11 +219,11 @@
             params
                 .insert(message)
                 .map_err(ClientError::ParseError)
-                .map_err(self.failed("write a batch"))?;
+                .map_err(self.call_error("write a batch"))?;
         }
         client
             .request(methods::EXCHANGE, params)
             .await
-            .map_err(self.failed("exchange"))
+            .map_err(self.call_error("exchange"))
     }
 }
--- a/dockgate/src/main.rs
+++ b/dockgate/src/main.rs
@@ -1,6 +1,6 @@
-//! The dockgate daemon: entry, scheduler and ledger peer in one process.
+//! The dockgate daemon: entry, scheduler and ledger replica in one process.
 //!
-//! `dockgate --settings FILE` runs it; `dockgate --settings FILE --check` only checks the settings.
+//! `dockgate --settings FILE` runs the daemon; with `--check`, it only checks the settings.
 
 mod caller;
 mod clock;
@@ -31,12 +31,12 @@
     let args = DaemonArgs::parse();
     #[cfg(debug_assertions)]
     clock::follow_file();
-    let started =
+    let result =
         GatewayRuntime::new().and_then(|runtime| match gateway::is_gateway(args.settings()) {
             true => start_gateway(&args, runtime),
             false => start_daemon(&args),
         });
-    match started {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("{error}");
--- a/dockgate/src/members.rs
+++ b/dockgate/src/members.rs
@@ -1,4 +1,4 @@
-//! The boxes of the fleet, from the platform's lagging list.
+//! The boxes of the fleet, from the records of the platform, which may lag behind.
 
 use crate::dispatch::DispatchHandle;
 use crate::probed_wait::wait_probed;
@@ -7,8 +7,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long to wait after the platform's service failed, in milliseconds.
-pub(crate) const RETRY_MS: std::ops::Range<u64> = 200..600;
+/// Random delay after a failed call to the platform, in milliseconds.
+pub(crate) const RETRY_DELAY_MS: std::ops::Range<u64> = 200..600;
 
 /// Another box of the fleet.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -19,15 +19,15 @@
     pub(crate) name: String,
     /// Its failure domain.
     pub(crate) domain: String,
-    /// Where its peer door is.
+    /// The address of its peer listener.
     pub(crate) address: SocketAddr,
     /// Whether it is leaving.
     pub(crate) leaving: bool,
 }
 
 impl MemberBox {
-    /// Makes a member of its record, as seen from a failure domain.
-    fn seen_from(domain: &str, record: &BoxRecord) -> Self {
+    /// Converts the record of a box, with its address for peers in `domain`.
+    fn from_record(domain: &str, record: &BoxRecord) -> Self {
         Self {
             key: BoxKey::from_name(&record.name),
             name: record.name.clone(),
@@ -42,42 +42,42 @@
 pub(crate) async fn follow_members(
     client: PlatformClient,
     domain: String,
-    me: BoxKey,
-    wait: Duration,
+    local_box: BoxKey,
+    watch_timeout: Duration,
     dispatch: DispatchHandle,
 ) {
     loop {
         match client.list(BOXES).await {
             Ok(listing) => {
-                dispatch.set_members(others(&listing, &domain, me));
-                wait_for_change(&client, &listing, wait).await;
+                dispatch.set_members(other_boxes(&listing, &domain, local_box));
+                wait_for_change(&client, &listing, watch_timeout).await;
             }
             Err(error) => {
                 log::warn!("{error}");
-                pause().await;
+                retry_delay().await;
             }
         }
     }
 }
 
-/// Reads the records of all boxes but this one; one that cannot be read is passed over.
-fn others(listing: &StoreListing, domain: &str, me: BoxKey) -> Vec<MemberBox> {
+/// Decodes the records of all boxes but this one; logs and skips invalid records.
+fn other_boxes(listing: &StoreListing, domain: &str, local_box: BoxKey) -> Vec<MemberBox> {
     let records = listing.items.iter();
     let records = records.filter_map(|item| match BoxRecord::decode(&item.key, &item.bytes) {
-        Ok(record) => Some(MemberBox::seen_from(domain, &record)),
+        Ok(record) => Some(MemberBox::from_record(domain, &record)),
         Err(error) => {
             log::warn!("{error}");
             None
         }
     });
-    records.filter(|member| member.key != me).collect()
+    records.filter(|member| member.key != local_box).collect()
 }
 
-/// Waits until any record changes, or until it is not known whether one did.
-async fn wait_for_change(client: &PlatformClient, listing: &StoreListing, wait: Duration) {
+/// Waits until a record changes or the watch can no longer tell.
+async fn wait_for_change(client: &PlatformClient, listing: &StoreListing, watch_timeout: Duration) {
     let mut since = listing.revision;
     loop {
-        let watch = client.watch(BOXES, since, wait);
+        let watch = client.watch(BOXES, since, watch_timeout);
         match wait_probed(client, watch).await {
             Ok(WatchOutcome::Changes(changes))
                 if changes.events.is_empty() && changes.era == listing.era =>
@@ -87,14 +87,14 @@
             Ok(_) => return,
             Err(error) => {
                 log::warn!("{error}");
-                pause().await;
+                retry_delay().await;
                 return;
             }
         }
     }
 }
 
-async fn pause() {
-    let pause = rand::random_range(RETRY_MS);
-    tokio::time::sleep(Duration::from_millis(pause)).await;
+async fn retry_delay() {
+    let delay = rand::random_range(RETRY_DELAY_MS);
+    tokio::time::sleep(Duration::from_millis(delay)).await;
 }
--- a/dockgate/src/metrics.rs
+++ b/dockgate/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What the daemon counts, in the Prometheus text form.
+//! Metrics of the daemon, in the Prometheus text format.
 
 use crate::logging::dropped_lines;
 use prometheus::{
@@ -7,7 +7,7 @@
 };
 use std::sync::LazyLock;
 
-/// Upper bounds of the buckets of times, in seconds.
+/// Upper bounds of the histogram buckets for durations, in seconds.
 const SECONDS_BUCKETS: [f64; 14] = [
     0.000_5, 0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 10.0, 60.0,
 ];
@@ -21,39 +21,39 @@
     pub(crate) wait: HistogramVec,
     /// Attempts sent to a second endpoint.
     pub(crate) retries: IntCounter,
-    /// Streams that gave their slot up for a while.
+    /// Pauses of streams that freed their slot.
     pub(crate) pauses: IntCounter,
-    /// Grants given out by this scheduler.
+    /// Grants issued by this scheduler.
     pub(crate) grants: IntCounter,
-    /// Grants that came when nothing waited any more.
+    /// Grants received when no request was waiting.
     pub(crate) overgrants: IntGauge,
-    /// Grants that lapsed without a sign of their entry.
+    /// Grants that expired without a message from their entry.
     pub(crate) expired_grants: IntGauge,
-    /// Slots held beyond capacity, as when two boxes own an endpoint.
+    /// Slots held beyond the capacity of endpoints, for example if two boxes own an endpoint.
     pub(crate) overcommitted: IntGauge,
-    /// Requests waiting here.
+    /// Requests waiting at this entry.
     pub(crate) waiting: IntGauge,
-    /// Requests running from here.
+    /// Requests running from this entry.
     pub(crate) running: IntGauge,
-    /// Endpoints that this box schedules.
+    /// Endpoints scheduled by this box.
     pub(crate) endpoints: IntGauge,
-    /// Endpoints that get no new work for a while, after failures.
+    /// Endpoints scheduled here that get no new requests after failures.
     pub(crate) endpoints_in_backoff: IntGauge,
     /// Version of the configuration in force.
     pub(crate) config_version: IntGauge,
     /// Violations of invariants.
     pub(crate) violations: IntGauge,
-    /// Messages of peers that named something unknown, by step.
+    /// Messages of peers that refer to unknown objects, by step.
     pub(crate) ignored: IntCounterVec,
-    /// Callers, peers and operators turned away, by door.
+    /// Rejected callers, peers and operators, by listener.
     pub(crate) rejected: IntCounterVec,
-    /// Batches handed to peers.
+    /// Batches sent to peers.
     pub(crate) exchanges: IntCounter,
     /// Open links to peers.
     pub(crate) links: IntGauge,
-    /// Log lines that were dropped.
+    /// Dropped log lines.
     pub(crate) dropped_lines: IntGauge,
-    /// Processor time of the control actor, in microseconds.
+    /// Time spent in the handlers of the control actor, in microseconds.
     pub(crate) control_busy_us: IntCounter,
 }
 
@@ -67,22 +67,22 @@
             let metric = IntCounter::new(name, help).expect("a constant name is valid");
             registry
                 .register(Box::new(metric.clone()))
-                .expect("names differ");
+                .expect("metric names are unique");
             metric
         };
         let gauge = |name: &str, help: &str| {
             let metric = IntGauge::new(name, help).expect("a constant name is valid");
             registry
                 .register(Box::new(metric.clone()))
-                .expect("names differ");
+                .expect("metric names are unique");
             metric
         };
-        let counters = |name: &str, help: &str, labels: &[&str]| {
+        let counter_vec = |name: &str, help: &str, labels: &[&str]| {
             let metric = IntCounterVec::new(Opts::new(name, help), labels);
             let metric = metric.expect("a constant name is valid");
             registry
                 .register(Box::new(metric.clone()))
-                .expect("names differ");
+                .expect("metric names are unique");
             metric
         };
         let wait = HistogramOpts::new(
@@ -93,9 +93,9 @@
         let wait = wait.expect("a constant name is valid");
         registry
             .register(Box::new(wait.clone()))
-            .expect("names differ");
+            .expect("metric names are unique");
         Self {
-            requests: counters(
+            requests: counter_vec(
                 "dockgate_requests_total",
                 "Requests that ended, by outcome and step",
                 &["outcome", "step"],
@@ -149,12 +149,12 @@
                 "dockgate_invariant_violations",
                 "Violations of invariants since the start",
             ),
-            ignored: counters(
+            ignored: counter_vec(
                 "dockgate_ignored_messages_total",
                 "Messages of peers that named something unknown here, by step",
                 &["step"],
             ),
-            rejected: counters(
+            rejected: counter_vec(
                 "dockgate_turned_away_total",
                 "Callers, peers and operators turned away, by door",
                 &["door"],
@@ -173,24 +173,24 @@
         }
     }
 
-    /// Adds a metric of another part of the daemon.
+    /// Registers a metric of another part of the daemon.
     ///
     /// # Panics
     ///
-    /// Panics where two metrics have the same name, which is a fault of the program.
+    /// Panics if two metrics have the same name, which is a bug.
     pub(crate) fn register(&self, metric: impl prometheus::core::Collector + Clone + 'static) {
         self.registry
             .register(Box::new(metric))
-            .expect("names differ");
+            .expect("metric names are unique");
     }
 
-    /// Returns all metrics in the text form.
+    /// Returns all metrics in the Prometheus text format.
     pub(crate) fn render(&self) -> Vec<u8> {
         self.violations
             .set(dockgate_core::invariant_violations() as i64);
         self.dropped_lines.set(dropped_lines() as i64);
         let mut text = Vec::new();
-        // Writing to memory fails on a malformed metric only, which then is left out.
+        // Encoding fails only on a malformed metric, which is then omitted.
         let _ = TextEncoder::new().encode(&self.registry.gather(), &mut text);
         text
     }
--- a/dockgate/src/operator_listener.rs
+++ b/dockgate/src/operator_listener.rs
@@ -1,4 +1,4 @@
-//! The door for operators: plan, confirm, show, history, status.
+//! JSON-RPC listener for operators: plan, confirm, show, history and status.
 
 use crate::clock::unix_ms;
 use crate::config_cell::ConfigCell;
@@ -19,9 +19,9 @@
 use std::time::Duration;
 
 /// How long a plan can be confirmed.
-const PLAN_LIFE: Duration = Duration::from_secs(3_600);
-/// How often a commit whose reply was lost is settled by asking again.
-const COMMIT_TRIES: u32 = 3;
+const PLAN_TTL: Duration = Duration::from_secs(3_600);
+/// The maximum number of attempts to commit a plan.
+const MAX_COMMIT_ATTEMPTS: u32 = 3;
 
 struct OperatorContext {
     store: ConfigStore,
@@ -29,11 +29,11 @@
     dispatch: DispatchHandle,
 }
 
-/// Makes the door.
+/// Creates the listener.
 ///
 /// # Errors
 ///
-/// Returns an error where a method cannot be registered.
+/// Returns an error if a method cannot be registered.
 pub(crate) fn operator_listener(
     store: ConfigStore,
     cell: ConfigCell,
@@ -96,15 +96,15 @@
     let changes = match request.intent {
         PlanIntent::Changes(changes) => changes,
         PlanIntent::Declaration(file, text) => parse_declaration(&file, &text)
-            .map_err(invalid)?
+            .map_err(invalid_error)?
             .changes_from(&config),
     };
-    let plan = ConfigPlan::new(&config, changes).map_err(invalid)?;
-    let kept = context.store.keep_plan(&plan, PLAN_LIFE).await;
-    kept.map_err(|error| platform_error(&error))?;
+    let plan = ConfigPlan::new(&config, changes).map_err(invalid_error)?;
+    let stored = context.store.keep_plan(&plan, PLAN_TTL).await;
+    stored.map_err(|error| platform_error(&error))?;
     Ok(PlanReply {
         plan,
-        valid_for_s: PLAN_LIFE.as_secs(),
+        valid_for_s: PLAN_TTL.as_secs(),
     })
 }
 
@@ -128,27 +128,31 @@
             version,
             already: true,
         }),
-        CommitOutcome::Stale(head) => Err(stale(&plan, &head)),
+        CommitOutcome::Stale(head) => Err(stale_error(&plan, &head)),
     }
 }
 
-/// Commits a plan; a lost reply is settled by committing again, which changes things once.
+/// Commits a plan, with retries after errors: a repeated commit takes effect only once.
+///
+/// # Errors
+///
+/// Returns the last error if all attempts fail.
 async fn commit(
     store: &ConfigStore,
     plan: &ConfigPlan,
     author: &str,
 ) -> Result<CommitOutcome, ErrorObjectOwned> {
-    let mut last = None;
-    for _ in 0..COMMIT_TRIES {
+    let mut last_error = None;
+    for _ in 0..MAX_COMMIT_ATTEMPTS {
         match store.commit(plan, author, unix_ms()).await {
             Ok(outcome) => return Ok(outcome),
-            Err(error) => last = Some(platform_error(&error)),
+            Err(error) => last_error = Some(platform_error(&error)),
         }
     }
-    Err(last.unwrap_or_else(|| ErrorCode::InternalError.into()))
+    Err(last_error.unwrap_or_else(|| ErrorCode::InternalError.into()))
 }
 
-fn stale(plan: &ConfigPlan, head: &ConfigHead) -> ErrorObjectOwned {
+fn stale_error(plan: &ConfigPlan, head: &ConfigHead) -> ErrorObjectOwned {
     let detail = StaleDetail {
         base: plan.base,
         version: head.version,
@@ -161,7 +165,7 @@
     ErrorObjectOwned::owned(codes::STALE, message, Some(detail))
 }
 
-fn invalid(error: impl Display) -> ErrorObjectOwned {
+fn invalid_error(error: impl Display) -> ErrorObjectOwned {
     ErrorObjectOwned::owned(codes::INVALID, error.to_string(), None::<()>)
 }
 
--- a/dockgate/src/peer_listener.rs
+++ b/dockgate/src/peer_listener.rs
@@ -1,4 +1,4 @@
-//! The door for peers: hello, batches, and the configuration for those who lack it.
+//! JSON-RPC listener for peers: hello, batches of messages and the configuration.
 
 use crate::config_cell::ConfigCell;
 use crate::dispatch::{DispatchHandle, PeerBatch, PeerHello};
@@ -10,7 +10,7 @@
 use jsonrpsee::RpcModule;
 use jsonrpsee::types::{ErrorCode, ErrorObjectOwned, Params};
 
-/// Who calls, as the guard found it.
+/// The authenticated sender of a request.
 #[derive(Debug, Clone, Copy)]
 struct PeerIdentity(BoxKey);
 
@@ -19,11 +19,11 @@
     cell: ConfigCell,
 }
 
-/// Makes the door.
+/// Creates the listener.
 ///
 /// # Errors
 ///
-/// Returns an error where a method cannot be registered.
+/// Returns an error if a method cannot be registered.
 pub(crate) fn peer_listener(
     dispatch: DispatchHandle,
     cell: ConfigCell,
@@ -35,7 +35,7 @@
         let request: HelloRequest = params.one()?;
         let hello = PeerHello { from, request };
         let reply = context.dispatch.peer_hello(hello).await;
-        reply.ok_or_else(stopped)
+        reply.ok_or_else(actor_stopped)
     })?;
     module.register_async_method(
         methods::EXCHANGE,
@@ -47,20 +47,20 @@
         },
     )?;
     module.register_method(methods::CONFIG, |params, context, _| {
-        let known: u64 = params.one()?;
+        let known_version: u64 = params.one()?;
         let config = context.cell.current();
         Ok::<_, ErrorObjectOwned>(ConfigAnswer {
-            config: (config.version > known).then(|| (*config).clone()),
+            config: (config.version > known_version).then(|| (*config).clone()),
         })
     })?;
     Ok(RpcListener {
         name: "peers",
         methods: module.into(),
-        guard: move |headers: &HeaderMap| admit(headers, &secret),
+        guard: move |headers: &HeaderMap| authenticate(headers, &secret),
     })
 }
 
-fn admit(headers: &HeaderMap, secret: &str) -> Result<Extensions, &'static str> {
+fn authenticate(headers: &HeaderMap, secret: &str) -> Result<Extensions, &'static str> {
     if !has_secret(headers, secret) {
         return Err("the fleet secret is missing or wrong");
     }
@@ -83,6 +83,6 @@
     params.parse()
 }
 
-fn stopped() -> ErrorObjectOwned {
+fn actor_stopped() -> ErrorObjectOwned {
     ErrorCode::InternalError.into()
 }
--- a/dockgate/src/rpc_listener.rs
+++ b/dockgate/src/rpc_listener.rs
@@ -1,4 +1,4 @@
-//! A door for JSON-RPC: who may enter is decided on the headers, before anything is read.
+//! JSON-RPC listener that authenticates each request by its headers before reading its body.
 
 use crate::logging::{LogEvent, log_event};
 use crate::metrics::METRICS;
@@ -13,18 +13,20 @@
 use tokio::net::{TcpListener, TcpStream};
 use tower::Service;
 
-/// The largest message taken in, in bytes: a whole configuration fits.
-const MOST_BYTES: u32 = 64 << 20;
-/// Connections at once.
-const MOST_CONNECTIONS: u32 = 4_096;
+/// Upper bound of a message, in bytes; a complete configuration fits.
+const MAX_MESSAGE_BYTES: u32 = 64 << 20;
+/// The maximum number of concurrent connections.
+const MAX_CONNECTIONS: u32 = 4_096;
 
-/// A door and the guard that decides who enters; the guard leaves what it learned in the request.
+/// A JSON-RPC listener with a guard that authenticates requests.
+///
+/// The guard adds what it learns of the sender to the extensions of the request.
 pub(crate) struct RpcListener<G> {
     /// The name, for logs.
     pub(crate) name: &'static str,
-    /// What stands behind.
+    /// The methods that it serves.
     pub(crate) methods: Methods,
-    /// Decides on the headers; an error is the reason for turning away.
+    /// Accepts a request by its headers, or returns the reason for rejecting it.
     pub(crate) guard: G,
 }
 
@@ -32,60 +34,60 @@
 where
     G: Fn(&HeaderMap) -> Result<http::Extensions, &'static str> + Send + Sync + 'static,
 {
-    /// Serves until the process ends.
+    /// Serves connections until the stop handle is triggered.
     pub(crate) async fn serve(self, listener: TcpListener, stop: StopHandle) {
-        let door = Arc::new(self);
+        let this = Arc::new(self);
         loop {
             let accepted = tokio::select! {
                 accepted = listener.accept() => accepted,
                 () = stop.clone().shutdown() => return,
             };
             match accepted {
-                Ok((stream, peer)) => door.clone().enter(stream, peer, stop.clone()),
-                Err(error) => log::warn!("{}: accept: {error}", door.name),
+                Ok((stream, peer)) => this.clone().serve_connection(stream, peer, stop.clone()),
+                Err(error) => log::warn!("{}: accept failed: {error}", this.name),
             }
         }
     }
 
-    fn enter(self: Arc<Self>, stream: TcpStream, peer: SocketAddr, stop: StopHandle) {
-        // Small messages must not wait for each other.
+    fn serve_connection(self: Arc<Self>, stream: TcpStream, peer: SocketAddr, stop: StopHandle) {
+        // Without TCP_NODELAY, small messages would be delayed.
         let _ = stream.set_nodelay(true);
         let builder = Server::builder()
             .set_config(
                 jsonrpsee::server::ServerConfig::builder()
-                    .max_request_body_size(MOST_BYTES)
-                    .max_response_body_size(MOST_BYTES)
-                    .max_connections(MOST_CONNECTIONS)
+                    .max_request_body_size(MAX_MESSAGE_BYTES)
+                    .max_response_body_size(MAX_MESSAGE_BYTES)
+                    .max_connections(MAX_CONNECTIONS)
                     .build(),
             )
             .to_service_builder();
         let service_stop = stop.clone();
         let service = tower::service_fn(move |mut request: HttpRequest<hyper::body::Incoming>| {
-            let entered = (self.guard)(request.headers());
+            let authenticated = (self.guard)(request.headers());
             let mut service = builder
                 .clone()
                 .build(self.methods.clone(), service_stop.clone());
             let name = self.name;
             async move {
-                match entered {
+                match authenticated {
                     Ok(extensions) => {
                         request.extensions_mut().extend(extensions);
                         service.call(request).await
                     }
-                    Err(reason) => Ok::<_, BoxError>(turn_away(name, peer, reason)),
+                    Err(reason) => Ok::<_, BoxError>(reject(name, peer, reason)),
                 }
             }
         });
         let served = serve_with_graceful_shutdown(stream, service, stop.shutdown());
-        tokio::spawn(served.map(move |ended| {
-            if let Err(error) = ended {
-                log::debug!("connection of {peer}: {error}");
+        tokio::spawn(served.map(move |result| {
+            if let Err(error) = result {
+                log::debug!("connection of {peer} failed: {error}");
             }
         }));
     }
 }
 
-fn turn_away(door: &'static str, peer: SocketAddr, reason: &'static str) -> Response<HttpBody> {
+fn reject(door: &'static str, peer: SocketAddr, reason: &'static str) -> Response<HttpBody> {
     METRICS.rejected.with_label_values(&[door]).inc();
     log_event(&LogEvent::TurnedAway {
         door,
@@ -108,7 +110,7 @@
     scheme.eq_ignore_ascii_case("bearer").then(|| token.trim())
 }
 
-/// Compares a request's bearer token with a secret in constant time.
+/// Returns whether the bearer token of a request equals a secret, in constant time.
 pub(crate) fn has_secret(headers: &HeaderMap, secret: &str) -> bool {
     bearer_of(headers).is_some_and(|token| token.as_bytes().ct_eq(secret.as_bytes()).into())
 }
--- a/dockgate/src/rpc_listener/tests.rs
+++ b/dockgate/src/rpc_listener/tests.rs
@@ -9,9 +9,9 @@
     basic = { "Basic s3cret", false },
     bare = { "s3cret", false },
 )]
-fn only_the_secret_enters(value: &str, enters: bool) {
+fn only_the_bearer_secret_is_accepted(value: &str, accepted: bool) {
     let mut headers = HeaderMap::new();
     headers.insert(header::AUTHORIZATION, HeaderValue::from_str(value).unwrap());
-    assert_eq!(has_secret(&headers, "s3cret"), enters);
+    assert_eq!(has_secret(&headers, "s3cret"), accepted);
     assert!(!has_secret(&HeaderMap::new(), ""));
 }
--- a/dockgate/src/settings.rs
+++ b/dockgate/src/settings.rs
@@ -16,10 +16,10 @@
 #[derive(Debug, Clone, Parser)]
 #[command(version, about = "A router fleet's daemon")]
 pub(crate) struct DaemonArgs {
-    /// The settings file.
+    /// Path of the settings file.
     #[arg(long, env = "DOCKGATE_SETTINGS", default_value = "dockgate.ini")]
     settings: PathBuf,
-    /// Only checks the settings.
+    /// Checks the settings and exits.
     #[arg(long)]
     pub(crate) check: bool,
     /// Overrides `name` of `[box]`.
@@ -45,28 +45,28 @@
     platform: Option<SocketAddr>,
 }
 
-/// Everything the daemon is told by its operators on its own box.
+/// The settings of one daemon.
 #[derive(Debug, Clone)]
 pub(crate) struct DaemonSettings {
-    /// The box's name.
+    /// The name of the box.
     pub(crate) name: String,
     /// Its failure domain.
     pub(crate) domain: String,
-    /// Addresses that it listens at.
+    /// Addresses that the daemon listens on.
     pub(crate) listen: ListenSettings,
-    /// How the platform's service is reached.
+    /// Connection to the platform.
     pub(crate) platform: PlatformSettings,
-    /// Boxes to be asked while the platform's list has never been read.
+    /// Peers to use until the platform's list of boxes has been read.
     pub(crate) seeds: Vec<MemberBox>,
     /// Secrets, read from files.
     pub(crate) secrets: SecretSettings,
-    /// Limits towards callers.
+    /// Limits for callers and endpoints.
     pub(crate) limits: LimitSettings,
-    /// How slots are shared out.
+    /// Scheduling of slots.
     pub(crate) schedule: ScheduleSettings,
 }
 
-/// The addresses of the doors.
+/// The addresses of the listeners.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct ListenSettings {
     /// For callers.
@@ -79,23 +79,23 @@
     pub(crate) metrics: SocketAddr,
 }
 
-/// How the platform's service is reached.
+/// Connection to the platform.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct PlatformSettings {
     /// Its address.
     pub(crate) address: SocketAddr,
-    /// Bound of a call.
+    /// Timeout of a call.
     pub(crate) timeout: Duration,
-    /// How long a watch waits.
+    /// How long a watch waits for a change.
     pub(crate) watch: Duration,
 }
 
-/// What proves who is who.
+/// Secrets that authenticate peers and operators.
 #[derive(Clone, Default)]
 pub(crate) struct SecretSettings {
     /// Shared by the fleet's daemons.
     pub(crate) fleet: String,
-    /// Given to operators.
+    /// Bearer token of operators.
     pub(crate) operator: String,
 }
 
@@ -105,59 +105,59 @@
     }
 }
 
-/// Limits towards callers and endpoints.
+/// Limits for callers and endpoints.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct LimitSettings {
-    /// Connections of callers at once.
+    /// Maximum number of concurrent connections of callers.
     pub(crate) connections: usize,
-    /// Bytes of a request's body.
+    /// Maximum size of a request body, in bytes.
     pub(crate) body_bytes: usize,
-    /// Bytes of a request's headers.
+    /// Maximum size of the headers of a request, in bytes.
     pub(crate) header_bytes: usize,
     /// How long a caller may take to send its headers.
     pub(crate) header_timeout: Duration,
     /// How long a caller may take to send its body.
     pub(crate) body_timeout: Duration,
-    /// How long a request waits for a slot where the caller names no deadline.
+    /// How long a request waits for a slot if the caller sets no deadline.
     pub(crate) queue_timeout: Duration,
     /// How long connecting to an endpoint may take.
     pub(crate) connect_timeout: Duration,
-    /// How long an endpoint may be silent before or inside an answer.
+    /// How long an endpoint may send nothing before or during a response.
     pub(crate) answer_timeout: Duration,
-    /// Attempts for one request.
+    /// Maximum number of attempts for one request.
     pub(crate) attempts: u32,
-    /// How long a stopping daemon still answers, so that the balancer sees it.
+    /// How long a stopping daemon still responds, so that the load balancer notices.
     pub(crate) stop_grace: Duration,
     /// How long a stopping daemon waits for requests in flight.
     pub(crate) stop_timeout: Duration,
 }
 
-/// How slots are shared out.
+/// Scheduling of slots.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct ScheduleSettings {
     /// How workspaces are ordered.
     pub(crate) mode: OrderMode,
-    /// What the order key adds.
+    /// Parameters of the order.
     pub(crate) order: OrderRule,
     /// When streams are paused.
     pub(crate) pause: PauseRule,
-    /// How much younger a request at an entry of the scheduler's domain may be and still go first.
+    /// Age advantage of requests from entries in the failure domain of the scheduler.
     pub(crate) locality: Duration,
-    /// How often service given is reported to other schedulers.
+    /// Interval of the reports to other schedulers.
     pub(crate) report_every: Duration,
-    /// How long a grant lasts without a sign of its entry.
+    /// How long a grant is valid without a message from its entry.
     pub(crate) grant_ttl: Duration,
-    /// How often the cost of a running request is reported.
+    /// Interval of the cost reports of a running request.
     pub(crate) progress_every: Duration,
-    /// How long a newly owned endpoint is left alone.
+    /// How long a scheduler waits for adopted grants before it grants slots of a new endpoint.
     pub(crate) adopt: Duration,
-    /// How long a request may wait on the first scheduler asked.
+    /// How long a request waits on its first scheduler before it is sent to more.
     pub(crate) widen: Duration,
-    /// How many schedulers are asked after that.
+    /// The number of schedulers that it is sent to after that.
     pub(crate) width: usize,
-    /// How long a link may be closed before its box is passed over.
+    /// How long a link may be closed before its box counts as dead.
     pub(crate) suspect: Duration,
-    /// Bound of a call to a peer.
+    /// Timeout of a call to a peer.
     pub(crate) peer_timeout: Duration,
 }
 
@@ -171,7 +171,7 @@
     ///
     /// # Errors
     ///
-    /// Returns every problem in the settings, or the file that cannot be read.
+    /// Returns an error if a file cannot be read, or all problems in the settings.
     pub(crate) fn load(&self) -> Result<DaemonSettings, DaemonError> {
         let path = self.settings.display().to_string();
         let text = std::fs::read_to_string(&self.settings)
@@ -183,7 +183,7 @@
 }
 
 fn read_secrets(path: &str, text: &str) -> Result<SecretSettings, DaemonError> {
-    const SHORTEST: usize = 16;
+    const MIN_SECRET_LEN: usize = 16;
     let mut document = IniDocument::parse(path, text)?;
     let mut secrets = SecretSettings::default();
     let mut problems = Vec::new();
@@ -201,11 +201,11 @@
                 .map_err(|cause| DaemonError::File("read secret", file.clone(), cause))?
                 .trim()
                 .to_owned();
-            if secret.len() < SHORTEST {
+            if secret.len() < MIN_SECRET_LEN {
                 problems.push(IniProblem {
                     file: path.to_owned(),
                     line,
-                    message: format!("{file} must hold at least {SHORTEST} characters"),
+                    message: format!("{file} must hold at least {MIN_SECRET_LEN} characters"),
                 });
             }
         }
@@ -216,9 +216,9 @@
     }
 }
 
-/// The section of a box that is known from the settings.
-const SEED: &str = "seed";
-/// Sections of a settings file, in the order of their use.
+/// Kind of the sections that describe seed peers.
+const SEED_SECTION: &str = "seed";
+/// The other sections of a settings file.
 const SECTIONS: [&str; 6] = ["box", "listen", "platform", "secrets", "limits", "schedule"];
 
 fn parse_settings(
@@ -228,14 +228,14 @@
 ) -> Result<DaemonSettings, IniProblems> {
     let mut document = IniDocument::parse(file, text)?;
     let mut sections = document.take_sections();
-    let (mut seeds, mut rest): (Vec<_>, Vec<_>) = std::mem::take(&mut sections)
+    let (mut seeds, mut others): (Vec<_>, Vec<_>) = std::mem::take(&mut sections)
         .into_iter()
-        .partition(|section| section.kind == SEED && !section.name.is_empty());
-    std::mem::swap(&mut sections, &mut rest);
+        .partition(|section| section.kind == SEED_SECTION && !section.name.is_empty());
+    std::mem::swap(&mut sections, &mut others);
     for section in &sections {
         if !SECTIONS.contains(&section.kind.as_str()) || !section.name.is_empty() {
             let allowed = SECTIONS.join("], [");
-            let message = format!("unknown section; allowed: [{allowed}], [{SEED} NAME]");
+            let message = format!("unknown section; allowed: [{allowed}], [{SEED_SECTION} NAME]");
             document.report(section.line, message);
         }
     }
@@ -252,7 +252,7 @@
         (section("box"), section("listen"), section("platform"));
     let (mut secrets, mut limits, mut schedule) =
         (section("secrets"), section("limits"), section("schedule"));
-    let settings = read_all(
+    let settings = read_sections(
         args,
         &mut identity,
         &mut listen,
@@ -267,13 +267,13 @@
         document.close(section);
     }
     document.finish()?;
-    // A required key that is missing has been reported by now.
+    // Missing required keys have been reported by `finish`.
     let mut settings = settings.ok_or_else(|| IniProblems::Invalid(Vec::new()))?;
     settings.seeds = members;
     Ok(settings)
 }
 
-/// Reads `[seed NAME]`: another box, known before the platform's list has been read.
+/// Reads a section `[seed NAME]`, which describes a peer.
 fn read_seed(section: &mut SectionReader) -> Option<MemberBox> {
     let domain = section.take_required("domain", "the box's failure domain");
     let address = section.take_required("address", ADDRESS);
@@ -286,7 +286,7 @@
     })
 }
 
-fn read_all(
+fn read_sections(
     args: &DaemonArgs,
     identity: &mut SectionReader,
     listen: &mut SectionReader,
@@ -294,8 +294,8 @@
     limits: &mut SectionReader,
     schedule: &mut SectionReader,
 ) -> Option<DaemonSettings> {
-    let name = required(identity, "name", "the box's name", args.name.clone());
-    let domain = required(
+    let name = take_overridable(identity, "name", "the box's name", args.name.clone());
+    let domain = take_overridable(
         identity,
         "domain",
         "the box's failure domain",
@@ -317,13 +317,13 @@
     })
 }
 
-fn required<T: std::str::FromStr>(
+fn take_overridable<T: std::str::FromStr>(
     section: &mut SectionReader,
     key: &str,
     allowed: &str,
-    given: Option<T>,
+    override_value: Option<T>,
 ) -> Option<T> {
-    match given {
+    match override_value {
         Some(value) => {
             section.take_text(key);
             Some(value)
@@ -333,10 +333,10 @@
 }
 
 fn read_listen(section: &mut SectionReader, args: &DaemonArgs) -> Option<ListenSettings> {
-    let callers = required(section, "callers", ADDRESS, args.callers);
-    let peers = required(section, "peers", ADDRESS, args.peers);
-    let operators = required(section, "operators", ADDRESS, args.operators);
-    let metrics = required(section, "metrics", ADDRESS, args.metrics);
+    let callers = take_overridable(section, "callers", ADDRESS, args.callers);
+    let peers = take_overridable(section, "peers", ADDRESS, args.peers);
+    let operators = take_overridable(section, "operators", ADDRESS, args.operators);
+    let metrics = take_overridable(section, "metrics", ADDRESS, args.metrics);
     Some(ListenSettings {
         callers: callers?,
         peers: peers?,
@@ -345,17 +345,17 @@
     })
 }
 
-/// Takes a time in milliseconds within a range.
+/// Takes a duration in milliseconds from `min_ms` to `max_ms`.
 fn take_ms(
     section: &mut SectionReader,
     key: &str,
     default: u64,
-    least: u64,
-    most: u64,
+    min_ms: u64,
+    max_ms: u64,
 ) -> Duration {
-    let allowed = format!("milliseconds from {least} to {most}");
+    let allowed = format!("milliseconds from {min_ms} to {max_ms}");
     let value = section.take_checked(key, default, &allowed, |value| {
-        (least..=most).contains(value)
+        (min_ms..=max_ms).contains(value)
     });
     Duration::from_millis(value)
 }
@@ -364,17 +364,17 @@
     section: &mut SectionReader,
     key: &str,
     default: usize,
-    least: usize,
-    most: usize,
+    min_count: usize,
+    max_count: usize,
 ) -> usize {
-    let allowed = format!("a whole number from {least} to {most}");
+    let allowed = format!("a whole number from {min_count} to {max_count}");
     section.take_checked(key, default, &allowed, |value| {
-        (least..=most).contains(value)
+        (min_count..=max_count).contains(value)
     })
 }
 
 fn read_platform(section: &mut SectionReader, args: &DaemonArgs) -> Option<PlatformSettings> {
-    let address = required(section, "address", ADDRESS, args.platform);
+    let address = take_overridable(section, "address", ADDRESS, args.platform);
     Some(PlatformSettings {
         timeout: take_ms(section, "timeout_ms", 2_000, 10, 60_000),
         watch: take_ms(section, "watch_ms", 20_000, 100, 300_000),
--- a/dockgate/src/settings/tests.rs
+++ b/dockgate/src/settings/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use yare::parameterized;
 
-const GOOD: &str = "[box]\nname = a\ndomain = d\n[listen]\ncallers = 127.0.0.1:1\n\
+const VALID: &str = "[box]\nname = a\ndomain = d\n[listen]\ncallers = 127.0.0.1:1\n\
     peers = 127.0.0.1:2\noperators = 127.0.0.1:3\nmetrics = 127.0.0.1:4\n\
     [platform]\naddress = 127.0.0.1:5\n[secrets]\nfleet_file = f\noperator_file = o\n";
 
@@ -12,7 +12,7 @@
 #[test]
 fn flags_override_the_file() {
     let flags = args(&["--name", "b", "--callers", "127.0.0.1:9"]);
-    let settings = parse_settings("s.ini", GOOD, &flags).unwrap();
+    let settings = parse_settings("s.ini", VALID, &flags).unwrap();
     assert_eq!(
         (settings.name.as_str(), settings.domain.as_str()),
         ("b", "d")
@@ -26,8 +26,8 @@
     range = { "[limits]\nattempts = 0\n", "s.ini:15: attempts = 0: must be a whole number" },
     word = { "[schedule]\norder = best\n", "s.ini:15: order = best: must be fair" },
 )]
-fn bad_settings_are_reported_with_their_line(extra: &str, expected: &str) {
-    let text = format!("{GOOD}{extra}");
+fn invalid_settings_are_reported_with_their_line(extra: &str, expected: &str) {
+    let text = format!("{VALID}{extra}");
     let report = parse_settings("s.ini", &text, &args(&[]))
         .unwrap_err()
         .to_string();
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_missing_key_is_named() {
+fn missing_key_is_reported_by_name() {
     let report = parse_settings("s.ini", "", &args(&[]))
         .unwrap_err()
         .to_string();
