--- a/dockgate/src/caller/proxy_headers.rs
+++ b/dockgate/src/caller/proxy_headers.rs
@@ -16,7 +16,7 @@
 /// Prefix of the headers that the daemon sets itself; those of callers are not forwarded.
 const DAEMON_PREFIX: &str = "dockgate-";
 
-/// Removes the hop-by-hop headers and those named_headers in `Connection`.
+/// Removes the hop-by-hop headers and those named in `Connection`.
 pub(super) fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let named_headers: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
--- a/dockgate/src/metrics.rs
+++ b/dockgate/src/metrics.rs
@@ -8,7 +8,7 @@
 use std::sync::LazyLock;
 
 /// Upper bounds of the histogram buckets for durations, in seconds.
-const SECONDS_BUCKETS: [f64; 14] = [
+const DURATION_BUCKETS_S: [f64; 14] = [
     0.000_5, 0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 10.0, 60.0,
 ];
 
@@ -89,7 +89,7 @@
             "dockgate_wait_seconds",
             "Time a request waited for a slot, by pool",
         );
-        let wait = HistogramVec::new(wait.buckets(SECONDS_BUCKETS.to_vec()), &["pool"]);
+        let wait = HistogramVec::new(wait.buckets(DURATION_BUCKETS_S.to_vec()), &["pool"]);
         let wait = wait.expect("a constant name is valid");
         registry
             .register(Box::new(wait.clone()))
