--- a/dockgate/src/caller.rs
+++ b/dockgate/src/caller.rs
@@ -258,7 +258,7 @@
     response
 }
 
-/// Lists the configured models in the format of the OpenAI API.
+/// Lists the configured models in the format of the chat-completions API.
 fn models_response(config: &dockgate_core::FleetConfig) -> Response<ResponseBody> {
     let models: Vec<serde_json::Value> = config
         .pools
--- a/dockgate/src/caller/endpoint_refusal/tests.rs
+++ b/dockgate/src/caller/endpoint_refusal/tests.rs
@@ -13,13 +13,13 @@
 fn unavailable_with_seconds_starts_a_backoff(
     status: u16,
     retry_after: Option<&'static str>,
-    sign: SlotSign,
+    slot_outcome: SlotSign,
 ) {
     let status = StatusCode::from_u16(status).unwrap();
     let values = retry_after.map(HeaderValue::from_static);
     let headers = values.map(|value| (header::RETRY_AFTER, value));
     assert_eq!(
         classify_refusal(status, &headers.into_iter().collect()),
-        sign
+        slot_outcome
     );
 }
--- a/dockgate/src/caller/metered_body.rs
+++ b/dockgate/src/caller/metered_body.rs
@@ -44,12 +44,13 @@
     pub(super) dispatch: DispatchHandle,
     pub(super) cost: f64,
     /// How the endpoint behaved.
-    pub(super) sign: SlotSign,
+    pub(super) slot_outcome: SlotSign,
 }
 
 impl Drop for RunningGrant {
     fn drop(&mut self) {
-        self.dispatch.finish(self.grant, self.cost, self.sign);
+        self.dispatch
+            .finish(self.grant, self.cost, self.slot_outcome);
     }
 }
 
@@ -162,7 +163,7 @@
     fn fail(&mut self, error: ResponseError) -> ResponseError {
         log::warn!("{error}");
         self.outcome = Some("failed");
-        self.running.sign = SlotSign::Lost;
+        self.running.slot_outcome = SlotSign::Lost;
         error
     }
 }
--- a/dockgate/src/caller/request_runner.rs
+++ b/dockgate/src/caller/request_runner.rs
@@ -31,7 +31,7 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// Upper bound of a response that is not streamed, in bytes.
+/// Upper bound of a buffered response, in bytes.
 const MAX_RESPONSE_BYTES: usize = 64 << 20;
 /// Random delay before the next attempt, in milliseconds.
 const RETRY_DELAY_MS: std::ops::Range<u64> = 5..50;
@@ -288,7 +288,7 @@
             dispatch: self.dispatch.clone(),
             cost: 0.0,
             // An attempt that ends before the response head counts as a lost endpoint.
-            sign: SlotSign::Lost,
+            slot_outcome: SlotSign::Lost,
         };
         let request = self.endpoint_request(req, attempt)?;
         let answer_timeout = self.settings.limits.answer_timeout;
@@ -310,15 +310,15 @@
             status @ (StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE)
                 if attempt.endpoint.honest_refusal =>
             {
-                running.sign = classify_refusal(status, response.headers());
+                running.slot_outcome = classify_refusal(status, response.headers());
                 return Err(failure(AttemptState::Refused, name, status.to_string()));
             }
             StatusCode::SERVICE_UNAVAILABLE if req.repeatable => {
-                running.sign = classify_refusal(response.status(), response.headers());
+                running.slot_outcome = classify_refusal(response.status(), response.headers());
                 let cause = "it is unavailable".to_owned();
                 return Err(failure(AttemptState::Sent, name, cause));
             }
-            _ => running.sign = SlotSign::Answered,
+            _ => running.slot_outcome = SlotSign::Answered,
         }
         Ok((response, running))
     }
@@ -436,11 +436,11 @@
         let body = match timeout(answer_timeout, collected).await {
             Ok(Ok(body)) => body.to_bytes(),
             Ok(Err(error)) => {
-                running.sign = SlotSign::Lost;
+                running.slot_outcome = SlotSign::Lost;
                 return Err(failure(AttemptState::Sent, name, error));
             }
             Err(_) => {
-                running.sign = SlotSign::Lost;
+                running.slot_outcome = SlotSign::Lost;
                 let cause = "the answer did not end in time".to_owned();
                 return Err(failure(AttemptState::Sent, name, cause));
             }
--- a/dockgate/src/caller/stream_relay.rs
+++ b/dockgate/src/caller/stream_relay.rs
@@ -173,7 +173,7 @@
             }
         };
         if matches!(end, SegmentEnd::Lost(_)) {
-            segment.running.sign = SlotSign::Lost;
+            segment.running.slot_outcome = SlotSign::Lost;
         }
         progress.events += meter.events();
         progress.cost = earlier_cost + meter.cost(&segment.rule);
--- a/dockgate/src/dispatch/actor.rs
+++ b/dockgate/src/dispatch/actor.rs
@@ -192,10 +192,10 @@
         self.send(to, message);
     }
 
-    pub(super) fn finish(&mut self, id: GrantId, cost: f64, sign: SlotSign) {
+    pub(super) fn finish(&mut self, id: GrantId, cost: f64, slot_outcome: SlotSign) {
         self.pause_senders.remove(&id);
         if let Some(scheduler) = self.entry.finish(id) {
-            self.settle(scheduler, id, cost, Some(sign), now_ms());
+            self.settle(scheduler, id, cost, Some(slot_outcome), now_ms());
         }
     }
 
--- a/dockgate/src/dispatch/handle.rs
+++ b/dockgate/src/dispatch/handle.rs
@@ -139,8 +139,8 @@
     }
 
     /// Reports the end of a running request, with its cost and the state of its endpoint.
-    pub(crate) fn finish(&self, grant: GrantId, cost: f64, sign: SlotSign) {
-        self.send_detached(Finish(grant, cost, sign));
+    pub(crate) fn finish(&self, grant: GrantId, cost: f64, slot_outcome: SlotSign) {
+        self.send_detached(Finish(grant, cost, slot_outcome));
     }
 
     /// Handles a batch of a peer and returns the messages for it; `None` if no link is open.
--- a/dockgate/src/dispatch/handlers.rs
+++ b/dockgate/src/dispatch/handlers.rs
@@ -65,8 +65,8 @@
 });
 
 handle!(Finish, (), |actor, message| {
-    let Finish(id, cost, sign) = message;
-    actor.finish(id, cost, sign);
+    let Finish(id, cost, slot_outcome) = message;
+    actor.finish(id, cost, slot_outcome);
     actor.process_actions(Vec::new());
 });
 
--- a/dockgate/src/dispatch/peer_links.rs
+++ b/dockgate/src/dispatch/peer_links.rs
@@ -165,7 +165,7 @@
         updates
     }
 
-    /// Forgets the slots announced to a peer that has lost its state.
+    /// Forgets the free slots announced to a peer, which has opened a new link.
     pub(super) fn forget_announced(&mut self, key: BoxKey) {
         if let Some(link) = self.links.get_mut(&key) {
             link.announced_free.clear();
--- a/dockgate/src/link_task.rs
+++ b/dockgate/src/link_task.rs
@@ -134,7 +134,7 @@
             let result = self.exchange(&client, &batch).await;
             let reply = result.inspect_err(|_| undelivered.append(&mut batch))?;
             let Some(reply) = reply else {
-                // If each side closed its link while the other has none, neither could open first.
+                // Closing this link as well could make both sides wait for each other forever.
                 tokio::time::sleep(NOT_LINKED_DELAY).await;
                 continue;
             };
--- a/dockgate/src/members.rs
+++ b/dockgate/src/members.rs
@@ -73,7 +73,7 @@
     records.filter(|member| member.key != local_box).collect()
 }
 
-/// Waits until a record changes or the watch can no longer tell.
+/// Waits until a record changes or it is unknown whether one did.
 async fn wait_for_change(client: &PlatformClient, listing: &StoreListing, watch_timeout: Duration) {
     let mut since = listing.revision;
     loop {
--- a/dockgate/src/settings.rs
+++ b/dockgate/src/settings.rs
@@ -14,7 +14,7 @@
 
 /// Command line of the daemon.
 #[derive(Debug, Clone, Parser)]
-#[command(version, about = "A router fleet's daemon")]
+#[command(version, about = "The daemon of a fleet of request routers")]
 pub(crate) struct DaemonArgs {
     /// Path of the settings file.
     #[arg(long, env = "DOCKGATE_SETTINGS", default_value = "dockgate.ini")]
