--- a/dockgate-bench/src/fleet/config.rs
+++ b/dockgate-bench/src/fleet/config.rs
@@ -116,7 +116,7 @@
     /// Returns what the daemon refused.
     pub async fn retire(&self, name: &str) -> Result<Option<ConfigChange>, BenchError> {
         let config = self.shown(0).await?;
-        let spec = config.endpoints.named(name).cloned();
+        let spec = config.endpoints.get_by_name(name).cloned();
         let change = ConfigChange::RetireEndpoint(name.to_owned());
         self.change(0, PlanIntent::Changes(vec![change])).await?;
         Ok(spec.map(ConfigChange::PutEndpoint))
--- a/dockgate-bench/src/gateway_fleet.rs
+++ b/dockgate-bench/src/gateway_fleet.rs
@@ -334,7 +334,7 @@
         };
         fleet
             .store
-            .set(dockgate_platform::ROUTES, config.to_owned());
+            .set(dockgate_platform::ROUTES_KEY, config.to_owned());
         for (index, service) in services.iter().enumerate() {
             fleet
                 .add_endpoint(&format!("life-{index}"), service)
--- a/dockgate-bench/src/gateway_soak/older_copies.rs
+++ b/dockgate-bench/src/gateway_soak/older_copies.rs
@@ -56,7 +56,7 @@
     /// Lets the operator and the endpoints write again what they wrote.
     pub(super) fn write_again(&mut self, fleet: &GatewayFleet) {
         let store = &fleet.store;
-        store.set(dockgate_platform::ROUTES, self.config.clone());
+        store.set(dockgate_platform::ROUTES_KEY, self.config.clone());
         for endpoint in &fleet.endpoints {
             let state = match self.has_left(endpoint) {
                 true => "draining",
--- a/dockgate-bench/src/gateway_soak/soak_fault.rs
+++ b/dockgate-bench/src/gateway_soak/soak_fault.rs
@@ -299,7 +299,7 @@
                 fleet.store.forget_history();
                 self.version += self.draw.random_range(1..4);
                 let config = route_config(self.version, KEYS);
-                fleet.store.set(dockgate_platform::ROUTES, config);
+                fleet.store.set(dockgate_platform::ROUTES_KEY, config);
                 (
                     format!("history lost, configuration {}", self.version),
                     lasts,
@@ -388,7 +388,7 @@
                 self.config = large_config(self.version, KEYS, MORE_ROUTES);
                 fleet
                     .store
-                    .set(dockgate_platform::ROUTES, self.config.clone());
+                    .set(dockgate_platform::ROUTES_KEY, self.config.clone());
                 (format!("large configuration {}", self.version), None)
             }
             _ if self.lives < super::SERVICES.len() => {
@@ -429,7 +429,7 @@
             _ => {
                 self.version += 1;
                 let config = large_config(self.version, KEYS, MORE_ROUTES);
-                fleet.store.set(dockgate_platform::ROUTES, config);
+                fleet.store.set(dockgate_platform::ROUTES_KEY, config);
                 format!("large configuration {}", self.version)
             }
         };
--- a/dockgate-bench/src/scenario.rs
+++ b/dockgate-bench/src/scenario.rs
@@ -161,7 +161,7 @@
                     continue;
                 }
             }
-            document.close(section);
+            document.close_section(section);
         }
         document.finish()?;
         if scenario.arms.is_empty() {
--- a/dockgate-bench/src/standin/platform.rs
+++ b/dockgate-bench/src/standin/platform.rs
@@ -176,7 +176,7 @@
     /// Changes what the record of one box says.
     pub fn set_box_state(&self, name: &str, state: BoxState) {
         self.state.change(|store| {
-            let key = format!("{}{name}", dockgate_platform::BOXES);
+            let key = format!("{}{name}", dockgate_platform::BOX_KEY_PREFIX);
             let item = store.get(&key).cloned();
             let known = item.and_then(|item| BoxRecord::decode(&key, &item.value.0).ok());
             if let Some(known) = known {
@@ -277,19 +277,19 @@
         (&Method::GET, routes::KEY) => Ok(read(&state, &query)),
         (&Method::GET, routes::RANGE) => Ok(range(&state, &query)),
         (&Method::GET, routes::WATCH) => {
-            if query.text("path_prefix") == dockgate_platform::ENDPOINTS {
+            if query.text("path_prefix") == dockgate_platform::ENDPOINT_KEY_PREFIX {
                 door.note_watch(Duration::from_millis(query.number("wait_ms")));
             }
             watch_changes(&state, &query).await
         }
         (&Method::POST, routes::TXN) => reply(&state, transact(&state, &body)),
         (&Method::POST, routes::LEASE) => reply(&state, grant_lease(&state, &body)),
-        (&Method::POST, path) if path.starts_with(routes::KEEP) => {
-            let lease = path[routes::KEEP.len()..].parse().unwrap_or_default();
+        (&Method::POST, path) if path.starts_with(routes::RENEW) => {
+            let lease = path[routes::RENEW.len()..].parse().unwrap_or_default();
             reply(&state, found(state.change(|store| store.renew(lease))))
         }
-        (&Method::DELETE, path) if path.starts_with(routes::END) => {
-            let lease = path[routes::END.len()..].parse().unwrap_or_default();
+        (&Method::DELETE, path) if path.starts_with(routes::END_LEASE) => {
+            let lease = path[routes::END_LEASE.len()..].parse().unwrap_or_default();
             reply(&state, found(state.change(|store| store.end_lease(lease))))
         }
         _ => Ok(answer(StatusCode::NOT_FOUND, "no such path")),
--- a/dockgate-bench/src/standin/routed.rs
+++ b/dockgate-bench/src/standin/routed.rs
@@ -148,7 +148,7 @@
             "capacity": 8, "state": state, "warmup_left_ms": 0, "sequence": 1, "born": self.born_ms,
         });
         (
-            format!("{}{}", dockgate_platform::ENDPOINTS, self.id),
+            format!("{}{}", dockgate_platform::ENDPOINT_KEY_PREFIX, self.id),
             value.to_string(),
         )
     }
--- a/dockgate-bench/tests/ending.rs
+++ b/dockgate-bench/tests/ending.rs
@@ -215,7 +215,7 @@
     assert_eq!((held.trials, held.next_trial_ms.is_some()), (0, true));
     let bad = gateways[0].quarantine(Some("07".to_owned())).await;
     assert!(bad.is_err_and(|problem| problem.contains("is no print")));
-    let left = gateways[0].quarantine(Some(held.print.clone())).await;
+    let left = gateways[0].quarantine(Some(held.fingerprint.clone())).await;
     assert_eq!(left.map(|left| left.requests.len()), Ok(0));
     fleet.all_hold(0).await;
     let sound = fleet.fleet.endpoints.iter();
--- a/dockgate-bench/tests/fleet.rs
+++ b/dockgate-bench/tests/fleet.rs
@@ -269,12 +269,12 @@
     fleet.platform.set_loses_replies(false);
     let version = config.version + 1;
     let settled = store.commit(&first, "a", 0).await.unwrap();
-    assert_eq!(settled, CommitOutcome::Already(version));
+    assert_eq!(settled, CommitOutcome::AlreadyCommitted(version));
     let stale = store.commit(&second, "b", 0).await.unwrap();
     let CommitOutcome::Stale(head) = stale else {
         panic!("{stale:?}");
     };
-    assert_eq!(head.since(config.version).unwrap().len(), 1);
+    assert_eq!(head.entries_since(config.version).unwrap().len(), 1);
     fleet.stop().await;
 }
 
@@ -290,7 +290,7 @@
         fleet.change(number % 2, intent).await.unwrap();
     }
     let client = PlatformClient::new(fleet.platform.address, Duration::from_secs(2));
-    let (head, _) = ConfigStore::new(client).head().await.unwrap();
+    let (head, _) = ConfigStore::new(client).read_head().await.unwrap();
     assert!(head.snapshot > 0 && head.entries.len() < 70);
 
     for out in [false, true] {
--- a/dockgate-bench/tests/leaving.rs
+++ b/dockgate-bench/tests/leaving.rs
@@ -164,7 +164,7 @@
         "service": "plain", "address": listener.local_addr().unwrap(), "zone": "a", "version": "v1",
         "capacity": 8, "state": "ready", "warmup_left_ms": 0, "sequence": 1,
     });
-    let key = format!("{}unread", dockgate_platform::ENDPOINTS);
+    let key = format!("{}unread", dockgate_platform::ENDPOINT_KEY_PREFIX);
     fleet.store.set(&key, value.to_string());
     let gateway = &fleet.gateways[0];
     wait_until("the endpoint is known", async || {
--- a/dockgate-bench/tests/older_copy.rs
+++ b/dockgate-bench/tests/older_copy.rs
@@ -158,7 +158,7 @@
     let copy = fleet.store.copy();
     fleet
         .store
-        .set(dockgate_platform::ROUTES, route_config(5, KEYS));
+        .set(dockgate_platform::ROUTES_KEY, route_config(5, KEYS));
     let in_force = async |version: u64| {
         for gateway in &fleet.gateways {
             let line = format!("dockgate_config_version {version}\n");
@@ -175,9 +175,9 @@
     in_force(5).await;
     fleet
         .store
-        .set(dockgate_platform::ROUTES, route_config(5, KEYS));
+        .set(dockgate_platform::ROUTES_KEY, route_config(5, KEYS));
     fleet
         .store
-        .set(dockgate_platform::ROUTES, route_config(7, KEYS));
+        .set(dockgate_platform::ROUTES_KEY, route_config(7, KEYS));
     in_force(7).await;
 }
--- a/dockgate-bench/tests/records.rs
+++ b/dockgate-bench/tests/records.rs
@@ -3,7 +3,7 @@
 use dockgate_bench::gateway_fleet::{GatewayFleet, start_fleet, wait_until};
 use dockgate_bench::standin::caller::{call, request, text};
 use dockgate_bench::standin::{EndpointManner, RoutedStandIn};
-use dockgate_platform::ENDPOINTS;
+use dockgate_platform::ENDPOINT_KEY_PREFIX;
 use http::StatusCode;
 use serde_json::json;
 
@@ -90,7 +90,7 @@
     for (name, value) in &odd {
         fleet
             .store
-            .set(&format!("{ENDPOINTS}{name}"), value.clone());
+            .set(&format!("{ENDPOINT_KEY_PREFIX}{name}"), value.clone());
     }
     // One that was in use is overwritten; the other one is written behind all of them.
     let (key, good) = fleet.endpoints[0].record("a", "ready");
--- a/dockgate-config/src/config_store.rs
+++ b/dockgate-config/src/config_store.rs
@@ -38,7 +38,7 @@
 
 impl ConfigHead {
     /// Returns the entries after a version, or none where the log was trimmed past it.
-    pub fn since(&self, version: u64) -> Option<Vec<ConfigEntry>> {
+    pub fn entries_since(&self, version: u64) -> Option<Vec<ConfigEntry>> {
         let missing = self.version.saturating_sub(version) as usize;
         let start = self.entries.len().checked_sub(missing)?;
         Some(self.entries[start..].to_vec())
@@ -51,7 +51,7 @@
     /// It made this version.
     Committed(u64),
     /// It had made this version before.
-    Already(u64),
+    AlreadyCommitted(u64),
     /// The version that it is based on no longer stands.
     Stale(ConfigHead),
 }
@@ -78,7 +78,7 @@
     /// # Errors
     ///
     /// Returns an error where the service gives no answer or the head cannot be read.
-    pub async fn head(&self) -> Result<(ConfigHead, u64), PlatformError> {
+    pub async fn read_head(&self) -> Result<(ConfigHead, u64), PlatformError> {
         self.client
             .get(HEAD)
             .await?
@@ -96,7 +96,7 @@
         wait: Duration,
     ) -> Result<Option<(ConfigHead, u64)>, PlatformError> {
         match self.client.watch(HEAD, since, wait).await? {
-            WatchOutcome::HistoryLost => self.head().await.map(Some),
+            WatchOutcome::HistoryLost => self.read_head().await.map(Some),
             WatchOutcome::Changes(StoreChanges { events, .. }) => {
                 let written = events.into_iter().rev().find_map(|event| match event {
                     StoreEvent::Written(value) if value.key == HEAD => Some(value),
@@ -117,11 +117,11 @@
         config: &FleetConfig,
         head: &ConfigHead,
     ) -> Result<FleetConfig, PlatformError> {
-        match head.since(config.version) {
+        match head.entries_since(config.version) {
             Some(entries) => replay(config, &entries),
             None => {
                 let snapshot = self.snapshot(head).await?;
-                let entries = head.since(snapshot.version).unwrap_or_default();
+                let entries = head.entries_since(snapshot.version).unwrap_or_default();
                 replay(&snapshot, &entries)
             }
         }
@@ -146,7 +146,7 @@
     /// # Errors
     ///
     /// Returns an error where the service gives no answer.
-    pub async fn keep_plan(&self, plan: &ConfigPlan, ttl: Duration) -> Result<(), PlatformError> {
+    pub async fn store_plan(&self, plan: &ConfigPlan, ttl: Duration) -> Result<(), PlatformError> {
         let lease = self.client.lease(ttl).await?;
         let key = format!("{PLAN}{}", plan.id);
         let value = to_bytes(plan);
@@ -161,7 +161,7 @@
     /// # Errors
     ///
     /// Returns an error where the service gives no answer or the plan cannot be read.
-    pub async fn plan(&self, id: &str) -> Result<Option<ConfigPlan>, PlatformError> {
+    pub async fn read_plan(&self, id: &str) -> Result<Option<ConfigPlan>, PlatformError> {
         let key = format!("{PLAN}{id}");
         let value = self.client.get(&key).await?;
         value
@@ -183,10 +183,10 @@
         author: &str,
         at_ms: u64,
     ) -> Result<CommitOutcome, PlatformError> {
-        let (head, revision) = self.head().await?;
+        let (head, revision) = self.read_head().await?;
         let done = head.entries.iter().find(|entry| entry.plan == plan.id.0);
         match done {
-            Some(entry) => return Ok(CommitOutcome::Already(entry.version)),
+            Some(entry) => return Ok(CommitOutcome::AlreadyCommitted(entry.version)),
             None if head.version != plan.base => return Ok(CommitOutcome::Stale(head)),
             None => {}
         }
@@ -209,10 +209,10 @@
         {
             PutOutcome::Done(_) => Ok(CommitOutcome::Committed(next.version)),
             PutOutcome::Conflict | PutOutcome::NoLease => {
-                let (head, _) = self.head().await?;
+                let (head, _) = self.read_head().await?;
                 let done = head.entries.iter().find(|entry| entry.plan == plan.id.0);
                 Ok(match done {
-                    Some(entry) => CommitOutcome::Already(entry.version),
+                    Some(entry) => CommitOutcome::AlreadyCommitted(entry.version),
                     None => CommitOutcome::Stale(head),
                 })
             }
--- a/dockgate-config/src/lib.rs
+++ b/dockgate-config/src/lib.rs
@@ -7,7 +7,7 @@
 //! use dockgate_config::ConfigHead;
 //!
 //! let head = ConfigHead::default();
-//! assert_eq!(head.since(0), Some(Vec::new()));
+//! assert_eq!(head.entries_since(0), Some(Vec::new()));
 //! ```
 
 mod config_store;
--- a/dockgate-core/src/config/arena.rs
+++ b/dockgate-core/src/config/arena.rs
@@ -50,7 +50,7 @@
     }
 
     /// Returns a spec by its name.
-    pub fn named(&self, name: &str) -> Option<&T> {
+    pub fn get_by_name(&self, name: &str) -> Option<&T> {
         self.get(self.find(name)?)
     }
 
--- a/dockgate-core/src/config/change.rs
+++ b/dockgate-core/src/config/change.rs
@@ -74,11 +74,11 @@
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum ChangeError {
         /// The name to retire does not exist.
-        Missing(subject: &'static str, name: String) {
+        NotFound(subject: &'static str, name: String) {
             display("there is no {} named {}", subject, name)
         }
         /// An endpoint names a pool that does not exist.
-        Dangling(endpoint: String, pool: String) {
+        UnknownPool(endpoint: String, pool: String) {
             display("endpoint {} names pool {}, which does not exist", endpoint, pool)
         }
         /// A pool is retired while it has endpoints.
@@ -86,19 +86,19 @@
             display("pool {} still has endpoint {}", pool, endpoint)
         }
         /// Two engine pools serve the same model.
-        ModelTwice(model: String) {
+        DuplicateModel(model: String) {
             display("model {} is served by two pools", model)
         }
         /// Two workspaces have the same key.
-        KeyTwice(workspace: String) {
+        DuplicateKey(workspace: String) {
             display("workspace {} has a key that another workspace has too", workspace)
         }
         /// Two endpoints have the same address.
-        AddressTwice(endpoint: String) {
+        DuplicateAddress(endpoint: String) {
             display("endpoint {} has an address that another endpoint has too", endpoint)
         }
         /// An entry does not follow the version in force.
-        Gap(have: u64, got: u64) {
+        VersionGap(have: u64, got: u64) {
             display("version {} cannot follow version {}", got, have)
         }
     }
@@ -123,10 +123,10 @@
     ///
     /// # Errors
     ///
-    /// Returns [`ChangeError::Gap`] for an entry out of order, or the rule that is broken.
+    /// Returns [`ChangeError::VersionGap`] for an entry out of order, or the rule that is broken.
     pub fn advance(&self, entry: &ConfigEntry) -> Result<Self, ChangeError> {
         if entry.version != self.version + 1 {
-            return Err(ChangeError::Gap(self.version, entry.version));
+            return Err(ChangeError::VersionGap(self.version, entry.version));
         }
         let mut config = self.apply(&entry.changes)?;
         config.version = entry.version;
@@ -148,7 +148,7 @@
             ConfigChange::PutEndpoint(spec) => self.endpoints.put(spec),
             ConfigChange::PutKind(spec) => self.kinds.put(spec),
             retire if !found => {
-                return Err(ChangeError::Missing(subject, retire.name().to_owned()));
+                return Err(ChangeError::NotFound(subject, retire.name().to_owned()));
             }
             _ => {}
         }
@@ -166,10 +166,10 @@
         for (_, endpoint) in self.endpoints.iter() {
             if self.pools.find(&endpoint.pool).is_none() {
                 let (name, pool) = (endpoint.name.clone(), endpoint.pool.clone());
-                return Err(ChangeError::Dangling(name, pool));
+                return Err(ChangeError::UnknownPool(name, pool));
             }
             if !addresses.insert(endpoint.address) {
-                return Err(ChangeError::AddressTwice(endpoint.name.clone()));
+                return Err(ChangeError::DuplicateAddress(endpoint.name.clone()));
             }
         }
         Ok(())
@@ -182,7 +182,9 @@
             .filter(|(_, pool)| pool.kind == PoolKind::Engine)
             .flat_map(|(_, pool)| &pool.models)
             .find(|model| !models.insert(*model))
-            .map_or(Ok(()), |model| Err(ChangeError::ModelTwice(model.clone())))
+            .map_or(Ok(()), |model| {
+                Err(ChangeError::DuplicateModel(model.clone()))
+            })
     }
 
     fn check_keys(&self) -> Result<(), ChangeError> {
@@ -190,7 +192,7 @@
         for (_, workspace) in self.workspaces.iter() {
             for hash in &workspace.key_hashes {
                 if !hashes.insert(hash.to_string()) {
-                    return Err(ChangeError::KeyTwice(workspace.name.clone()));
+                    return Err(ChangeError::DuplicateKey(workspace.name.clone()));
                 }
             }
         }
--- a/dockgate-core/src/config/declaration.rs
+++ b/dockgate-core/src/config/declaration.rs
@@ -77,7 +77,7 @@
                 continue;
             }
         }
-        document.close(section);
+        document.close_section(section);
     }
     report_dangling(&declaration, &endpoint_lines, &mut document);
     document.finish()?;
@@ -257,7 +257,7 @@
 ) {
     let new = wanted
         .iter()
-        .filter(|spec| arena.named(spec.name()) != Some(spec));
+        .filter(|spec| arena.get_by_name(spec.name()) != Some(spec));
     changes.extend(new.cloned().map(put));
 }
 
--- a/dockgate-core/src/config/declaration/tests.rs
+++ b/dockgate-core/src/config/declaration/tests.rs
@@ -13,7 +13,7 @@
     let config = empty.apply(&declaration.changes_from(&empty)).unwrap();
     assert_eq!(declaration.changes_from(&config), []);
     assert_eq!(
-        config.kinds.named("quiz").map(|kind| kind.repeatable),
+        config.kinds.get_by_name("quiz").map(|kind| kind.repeatable),
         Some(false)
     );
     let text = serde_json::to_string(&config).unwrap();
--- a/dockgate-core/src/ids.rs
+++ b/dockgate-core/src/ids.rs
@@ -105,7 +105,7 @@
     }
 
     /// Tells whether this id was given out by that life of a scheduler.
-    pub const fn is_from(self, incarnation: Incarnation) -> bool {
+    pub const fn is_issued_by(self, incarnation: Incarnation) -> bool {
         (self.0 >> Self::COUNTER_BITS) as u32 == incarnation.0 & Self::INCARNATION_MASK
     }
 }
--- a/dockgate-core/src/ids/tests.rs
+++ b/dockgate-core/src/ids/tests.rs
@@ -3,6 +3,6 @@
 #[test]
 fn grant_id_tells_its_incarnation() {
     let id = GrantId::new(Incarnation(7), u32::MAX);
-    assert!(id.is_from(Incarnation(7)));
-    assert!(!id.is_from(Incarnation(8)));
+    assert!(id.is_issued_by(Incarnation(7)));
+    assert!(!id.is_issued_by(Incarnation(8)));
 }
--- a/dockgate-core/src/ini.rs
+++ b/dockgate-core/src/ini.rs
@@ -288,7 +288,7 @@
     }
 
     /// Adds the problems of a section that has been read.
-    pub fn close(&mut self, section: SectionReader) {
+    pub fn close_section(&mut self, section: SectionReader) {
         self.problems.extend(section.finish());
     }
 
--- a/dockgate-core/src/ini/tests.rs
+++ b/dockgate-core/src/ini/tests.rs
@@ -7,7 +7,7 @@
     for mut section in document.take_sections() {
         section.take_text("name");
         section.take::<u32>("limit", "a whole number");
-        document.close(section);
+        document.close_section(section);
     }
     let report = document.finish().unwrap_err().to_string();
     assert_eq!(
--- a/dockgate-core/src/lib.rs
+++ b/dockgate-core/src/lib.rs
@@ -41,7 +41,7 @@
 pub use ids::{BoxKey, EndpointKey, GrantId, Incarnation, KindKey, PoolKey, SpecKey, WorkspaceKey};
 pub use ini::{IniDocument, IniProblem, IniProblems, SectionReader};
 pub use invariant::{check_invariant, invariant_violations, set_fatal_invariants};
-pub use placement::{owner_of, score_of};
+pub use placement::{owner_of, rendezvous_score};
 pub use plan::{ConfigPlan, PlanEffect, PlanId, ShareEffect};
 pub use queue::{QueueError, RequestQueue, RequestRank, WaitingRequest};
 pub use scheduler::{
--- a/dockgate-core/src/placement.rs
+++ b/dockgate-core/src/placement.rs
@@ -7,7 +7,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Scores a box for an item; the highest score owns it.
-pub fn score_of(item: u32, box_key: BoxKey) -> u64 {
+pub fn rendezvous_score(item: u32, box_key: BoxKey) -> u64 {
     let mut bytes = [0; 8];
     bytes[..4].copy_from_slice(&item.to_le_bytes());
     bytes[4..].copy_from_slice(&box_key.0.to_le_bytes());
@@ -19,7 +19,7 @@
     boxes
         .iter()
         .copied()
-        .max_by_key(|box_key| (score_of(endpoint.0, *box_key), *box_key))
+        .max_by_key(|box_key| (rendezvous_score(endpoint.0, *box_key), *box_key))
 }
 
 #[cfg(test)]
--- a/dockgate-core/src/plan.rs
+++ b/dockgate-core/src/plan.rs
@@ -91,7 +91,10 @@
 }
 
 fn share_of(config: &FleetConfig, name: &str) -> f64 {
-    let share = config.workspaces.named(name).map_or(0, |spec| spec.share);
+    let share = config
+        .workspaces
+        .get_by_name(name)
+        .map_or(0, |spec| spec.share);
     match config.total_share() {
         0 => 0.0,
         total => f64::from(share) / total as f64,
@@ -123,7 +126,7 @@
         ConfigChange::RetireEndpoint(_) => true,
         ConfigChange::PutEndpoint(spec) => config
             .endpoints
-            .named(&spec.name)
+            .get_by_name(&spec.name)
             .is_some_and(|old| old.pool != spec.pool || old.address != spec.address),
         _ => false,
     };
--- a/dockgate-core/src/topology.rs
+++ b/dockgate-core/src/topology.rs
@@ -14,7 +14,7 @@
     /// Its failure domain.
     pub domain: String,
     /// Whether it may schedule endpoints; a leaving box may not.
-    pub schedules: bool,
+    pub may_schedule: bool,
 }
 
 /// The owners of all endpoints, worked out from a configuration and the boxes seen alive.
@@ -30,7 +30,7 @@
     /// Gives every endpoint to a box of its own failure domain.
     pub fn new(config: &FleetConfig, boxes: &[LiveBox]) -> Self {
         let mut by_domain: HashMap<&str, Vec<BoxKey>> = HashMap::new();
-        for live in boxes.iter().filter(|live| live.schedules) {
+        for live in boxes.iter().filter(|live| live.may_schedule) {
             by_domain.entry(&live.domain).or_default().push(live.key);
         }
         let mut topology = Self {
@@ -80,7 +80,7 @@
     }
 
     /// Returns the schedulers of each pool as `me` asks them: itself, its own domain, the others.
-    pub fn schedulers_from(&self, me: BoxKey) -> HashMap<PoolKey, Vec<BoxKey>> {
+    pub fn schedulers_by_distance(&self, me: BoxKey) -> HashMap<PoolKey, Vec<BoxKey>> {
         let home = self.domains.get(&me);
         let distance = |key: &BoxKey| match key {
             key if *key == me => 0,
--- a/dockgate-core/src/topology/tests.rs
+++ b/dockgate-core/src/topology/tests.rs
@@ -15,11 +15,11 @@
     empty.apply(&declaration.changes_from(&empty)).unwrap()
 }
 
-fn live(key: u32, domain: &str, schedules: bool) -> LiveBox {
+fn live(key: u32, domain: &str, may_schedule: bool) -> LiveBox {
     LiveBox {
         key: BoxKey(key),
         domain: domain.to_owned(),
-        schedules,
+        may_schedule,
     }
 }
 
@@ -29,7 +29,7 @@
     let topology = FleetTopology::new(&config(), &boxes);
     assert_eq!(topology.endpoints_of(BoxKey(1)).len(), 6);
     assert_eq!(topology.endpoints_of(BoxKey(2)).len(), 0);
-    let asked = topology.schedulers_from(BoxKey(2));
+    let asked = topology.schedulers_by_distance(BoxKey(2));
     assert_eq!(asked[&PoolKey(1)], [BoxKey(1), BoxKey(3)]);
 }
 
--- a/dockgate-proto/src/peer.rs
+++ b/dockgate-proto/src/peer.rs
@@ -31,7 +31,7 @@
     /// Entry to scheduler: how many requests wait, how many grants were seen, and for how many
     /// milliseconds the oldest has waited.
     #[serde(rename = "s")]
-    Seek(PoolKey, WorkspaceKey, u32, u32, u32),
+    SlotRequest(PoolKey, WorkspaceKey, u32, u32, u32),
     /// Scheduler to entry: a slot on an endpoint for one request.
     #[serde(rename = "g")]
     Grant(GrantId, PoolKey, WorkspaceKey, EndpointKey),
@@ -46,7 +46,7 @@
     Refused(GrantId),
     /// Entry to scheduler: the endpoint refused, and asked to be sent nothing for so many milliseconds.
     #[serde(rename = "w")]
-    Resting(GrantId, u32),
+    Backoff(GrantId, u32),
     /// Entry to scheduler: the endpoint could not be reached or was lost, and the cost so far.
     #[serde(rename = "e")]
     Lost(GrantId, u64),
@@ -58,7 +58,7 @@
     Adopt(GrantId, PoolKey, WorkspaceKey, EndpointKey, u64),
     /// Scheduler to entries: free slots of a pool.
     #[serde(rename = "f")]
-    Free(PoolKey, u32),
+    FreeSlots(PoolKey, u32),
     /// Scheduler to scheduler: service given.
     #[serde(rename = "l")]
     Ledger(LedgerReport),
@@ -71,16 +71,16 @@
     /// Returns the step of a request's way that this message belongs to, for logs and metrics.
     pub const fn step(&self) -> &'static str {
         match self {
-            Self::Seek(..) => "seek",
+            Self::SlotRequest(..) => "seek",
             Self::Grant(..) => "grant",
             Self::Progress(..) => "progress",
             Self::Settle(..) => "settle",
             Self::Refused(_) => "refused",
-            Self::Resting(..) => "resting",
+            Self::Backoff(..) => "resting",
             Self::Lost(..) => "lost",
             Self::Pause(_) => "pause",
             Self::Adopt(..) => "adopt",
-            Self::Free(..) => "free",
+            Self::FreeSlots(..) => "free",
             Self::Ledger(_) => "ledger",
             Self::Leaving => "leaving",
         }
--- a/dockgate-proto/src/quarantine.rs
+++ b/dockgate-proto/src/quarantine.rs
@@ -13,7 +13,8 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuarantineRow {
     /// Its print, as it stands in log lines.
-    pub print: String,
+    #[serde(rename = "print")]
+    pub fingerprint: String,
     /// How long ago it went there, or was tried last, in milliseconds.
     pub age_ms: u64,
     /// How many trials it has had.
--- a/dockgate/src/caller/classify.rs
+++ b/dockgate/src/caller/classify.rs
@@ -142,7 +142,7 @@
         };
         let name = name.to_str().unwrap_or_default();
         let kind =
-            self.config.kinds.named(name).ok_or_else(|| {
+            self.config.kinds.get_by_name(name).ok_or_else(|| {
                 refuse(RefusalCode::UnknownKind, format!("there is no kind {name}"))
             })?;
         Ok(kind.repeatable)
--- a/dockgate/src/dispatch/actor.rs
+++ b/dockgate/src/dispatch/actor.rs
@@ -52,7 +52,7 @@
         let me = LiveBox {
             key: BoxKey::from_name(&settings.name),
             domain: settings.domain.clone(),
-            schedules: true,
+            may_schedule: true,
         };
         let schedule = &settings.schedule;
         let rule = ScheduleRule {
@@ -146,7 +146,7 @@
             self.scheduler.seek(to, demand, now);
             return;
         }
-        let message = PeerMessage::Seek(
+        let message = PeerMessage::SlotRequest(
             demand.pool,
             demand.workspace,
             demand.waiting,
@@ -186,7 +186,7 @@
             None => PeerMessage::Progress(id, cost),
             Some(SlotSign::Answered) => PeerMessage::Settle(id, cost),
             Some(SlotSign::Full) => PeerMessage::Refused(id),
-            Some(SlotSign::Resting(rest_ms)) => PeerMessage::Resting(id, rest_ms),
+            Some(SlotSign::Resting(rest_ms)) => PeerMessage::Backoff(id, rest_ms),
             Some(SlotSign::Lost) => PeerMessage::Lost(id, cost),
         };
         self.send(to, message);
@@ -237,7 +237,7 @@
     ) -> Vec<EntryAction> {
         let step = message.step();
         let known = match message {
-            PeerMessage::Seek(pool, workspace, waiting, seen, age_ms) => {
+            PeerMessage::SlotRequest(pool, workspace, waiting, seen, age_ms) => {
                 let demand = SeekDemand {
                     pool,
                     workspace,
@@ -269,7 +269,7 @@
                 let report = settle_report(id, 0, Some(SlotSign::Full));
                 self.scheduler.settle(from, report, now)
             }
-            PeerMessage::Resting(id, rest_ms) => {
+            PeerMessage::Backoff(id, rest_ms) => {
                 let report = settle_report(id, 0, Some(SlotSign::Resting(rest_ms)));
                 self.scheduler.settle(from, report, now)
             }
@@ -291,7 +291,7 @@
                 self.pause(id);
                 true
             }
-            PeerMessage::Free(pool, free) => {
+            PeerMessage::FreeSlots(pool, free) => {
                 self.entry.note_free(from, pool, free);
                 true
             }
@@ -361,7 +361,7 @@
         self.scheduler
             .set_schedulers(self.topology.scheduler_counts());
         self.entry
-            .set_schedulers(self.topology.schedulers_from(self.me.key));
+            .set_schedulers(self.topology.schedulers_by_distance(self.me.key));
         let topology = &self.topology;
         let moved = self.entry.reassign(|endpoint| topology.owner(endpoint));
         for (owner, adopted) in moved {
--- a/dockgate/src/dispatch/handlers.rs
+++ b/dockgate/src/dispatch/handlers.rs
@@ -219,7 +219,7 @@
 });
 
 handle!(Leave, (), |actor, _message| {
-    actor.me.schedules = false;
+    actor.me.may_schedule = false;
     for key in actor.links.keys() {
         actor.links.send(key, PeerMessage::Leaving);
     }
--- a/dockgate/src/dispatch/links.rs
+++ b/dockgate/src/dispatch/links.rs
@@ -119,7 +119,7 @@
             PeerMessage::Settle(id, cost) => PeerMessage::Settle(id, cost),
             // What was lost with the link says nothing of the endpoint any more.
             PeerMessage::Lost(id, cost) => PeerMessage::Settle(id, cost),
-            PeerMessage::Refused(id) | PeerMessage::Resting(id, _) => PeerMessage::Settle(id, 0),
+            PeerMessage::Refused(id) | PeerMessage::Backoff(id, _) => PeerMessage::Settle(id, 0),
             _ => return,
         };
         if link.settles.len() < Self::MOST_SETTLES {
@@ -136,7 +136,7 @@
             .map(|link| LiveBox {
                 key: link.member.key,
                 domain: link.member.domain.clone(),
-                schedules: !link.member.leaving,
+                may_schedule: !link.member.leaving,
             });
         std::iter::once(me.clone()).chain(others).collect()
     }
@@ -156,7 +156,7 @@
             let same_side = (*told == 0) == (*free == 0);
             if !same_side || *free > *told * 2 || *free * 2 < *told {
                 *told = *free;
-                news.push(PeerMessage::Free(*pool, *free));
+                news.push(PeerMessage::FreeSlots(*pool, *free));
             }
         }
         news
--- a/dockgate/src/gateway/call/sending.rs
+++ b/dockgate/src/gateway/call/sending.rs
@@ -333,8 +333,8 @@
         let bytes = read
             .inspect_err(|_| place.guard.note(EndpointOutcome::Failed))?
             .to_bytes();
-        if !head.closes {
-            connection.keep(head.idle);
+        if !head.closes_connection {
+            connection.keep(head.idle_timeout);
         }
         let response = pass_on(parts.status, &parts.headers, whole_body(bytes));
         if verdict == AnswerVerdict::Failed {
@@ -472,8 +472,8 @@
 async fn settle(body: Incoming, connection: UsedConnection, head: &AnswerHead) {
     const MOST_WAIT: Duration = Duration::from_millis(20);
     let read = tokio::time::timeout(MOST_WAIT, body.collect()).await;
-    if matches!(read, Ok(Ok(_))) && !head.closes {
-        connection.keep(head.idle);
+    if matches!(read, Ok(Ok(_))) && !head.closes_connection {
+        connection.keep(head.idle_timeout);
     }
 }
 
--- a/dockgate/src/gateway/event_stream.rs
+++ b/dockgate/src/gateway/event_stream.rs
@@ -170,8 +170,8 @@
             self.events,
             &self.tries,
         );
-        if !source.head.closes {
-            source.connection.keep(source.head.idle);
+        if !source.head.closes_connection {
+            source.connection.keep(source.head.idle_timeout);
         }
         None
     }
--- a/dockgate/src/gateway/follow.rs
+++ b/dockgate/src/gateway/follow.rs
@@ -13,8 +13,8 @@
 use crate::clock::wakings;
 use dockgate_core::gateway::{EndpointChange, StoreRevision};
 use dockgate_platform::{
-    ENDPOINTS, EndpointReading, PlatformError, ROUTES, StoreEvent, StoreListing, StoredValue,
-    WatchOutcome, decode_routes, read_endpoint, read_endpoint_event,
+    DecodedEndpoint, ENDPOINT_KEY_PREFIX, PlatformError, ROUTES_KEY, StoreEvent, StoreListing,
+    StoredValue, WatchOutcome, decode_endpoint_event, decode_endpoint_item, decode_routes,
 };
 use std::sync::Arc;
 use std::time::Duration;
@@ -159,12 +159,12 @@
 }
 
 fn offer(state: &GatewayState, value: &StoredValue) {
-    if value.key != ROUTES {
+    if value.key != ROUTES_KEY {
         return;
     }
     match decode_routes(&value.bytes) {
         Ok(config) => state.offer_routes(config, "store"),
-        Err(error) => note_unreadable(ROUTES, &error),
+        Err(error) => note_unreadable(ROUTES_KEY, &error),
     }
 }
 
@@ -181,17 +181,17 @@
         });
         newest.into_iter().for_each(|value| offer(&state, value));
     };
-    let contact = StoreContact::new(ROUTES, state.settings().drain);
+    let contact = StoreContact::new(ROUTES_KEY, state.settings().drain);
     follow(&state, contact, ROUTES_PAUSE, listed, changed).await;
 }
 
 /// Notes a record that names no endpoint to use, and returns what is to be believed.
-fn believe(reading: EndpointReading) -> EndpointChange {
-    let EndpointReading { change, fault } = reading;
+fn believe(reading: DecodedEndpoint) -> EndpointChange {
+    let DecodedEndpoint { change, fault } = reading;
     if let Some(fault) = fault {
         GATEWAY_METRICS.note_unusable(fault.as_str());
         log_gateway(&GatewayEvent::Unreadable {
-            what: &format!("{ENDPOINTS}{}", change.id()),
+            what: &format!("{ENDPOINT_KEY_PREFIX}{}", change.id()),
             problem: format!(
                 "{} at revision {}",
                 fault.as_str(),
@@ -205,16 +205,19 @@
 /// Follows the endpoints.
 pub(super) async fn follow_endpoints(state: Arc<GatewayState>) {
     let listed = |contact: &StoreContact, listing: StoreListing, era| {
-        let readings = listing.items.iter().map(|item| read_endpoint(item, era));
+        let readings = listing
+            .items
+            .iter()
+            .map(|item| decode_endpoint_item(item, era));
         let listed = readings.map(believe).collect();
         let revision = StoreRevision::new(era, listing.revision);
         state.replace_endpoints(listed, revision, contact.kept_until_ms());
     };
     let changed = |contact: &StoreContact, events: Vec<StoreEvent>, era| {
-        let readings = events.iter().map(|event| read_endpoint_event(event, era));
+        let readings = events.iter().map(|event| decode_endpoint_event(event, era));
         let changes = readings.map(believe).collect();
         state.apply_endpoints(changes, contact.kept_until_ms(), "store");
     };
-    let contact = StoreContact::new(ENDPOINTS, state.settings().drain);
+    let contact = StoreContact::new(ENDPOINT_KEY_PREFIX, state.settings().drain);
     follow(&state, contact, ENDPOINTS_PAUSE, listed, changed).await;
 }
--- a/dockgate/src/gateway/quarantine_door.rs
+++ b/dockgate/src/gateway/quarantine_door.rs
@@ -51,7 +51,7 @@
         .into_iter()
         .filter(|(_, quarantine)| quarantine.stage.is_active());
     let row = |(print, quarantine): (RequestFingerprint, Quarantine)| QuarantineRow {
-        print: print.to_string(),
+        fingerprint: print.to_string(),
         age_ms: (now as i64 - quarantine.at_ms).max(0) as u64,
         trials: quarantine.stage.trials,
         next_trial_ms: quarantine
--- a/dockgate/src/gateway/quarantine_store.rs
+++ b/dockgate/src/gateway/quarantine_store.rs
@@ -11,8 +11,8 @@
 use crate::clock::{now_ms, unix_ms};
 use dockgate_core::gateway::{Quarantine, QuarantineStage, RequestFingerprint};
 use dockgate_platform::{
-    ClockPair, PlatformClient, PlatformError, PutCondition, PutOutcome, QUARANTINE, StoreListing,
-    StoredValue, decode_quarantines, encode_quarantines,
+    ClockPair, PlatformClient, PlatformError, PutCondition, PutOutcome, QUARANTINE_KEY,
+    StoreListing, StoredValue, decode_quarantines, encode_quarantines,
 };
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -46,7 +46,7 @@
         }
         Err(error) => {
             log_gateway(&GatewayEvent::Unreadable {
-                what: QUARANTINE,
+                what: QUARANTINE_KEY,
                 problem: error.to_string(),
             });
             None
@@ -77,7 +77,7 @@
     listing: &StoreListing,
     writes: bool,
 ) {
-    let stored = listing.items.iter().find(|item| item.key == QUARANTINE);
+    let stored = listing.items.iter().find(|item| item.key == QUARANTINE_KEY);
     let seen = read(state, stored);
     let wanted = || state.with(|beliefs| beliefs.suspects.quarantines(now_ms()));
     // Another writer's value is replaced once there is something to say.
@@ -100,7 +100,7 @@
 /// Brings the value in the store to what this box believes, unless another box writes it meanwhile: the next
 /// probe shows what came of it.
 async fn write(state: &GatewayState, client: &PlatformClient) -> Result<(), PlatformError> {
-    let stored = client.get(QUARANTINE).await?;
+    let stored = client.get(QUARANTINE_KEY).await?;
     let seen = read(state, stored.as_ref()).unwrap_or_default();
     let wanted = state.with(|beliefs| beliefs.suspects.quarantines(now_ms()));
     if seen == StoredStages::of(&wanted) {
@@ -120,7 +120,7 @@
         None => PutCondition::Absent,
     };
     let value = encode_quarantines(wanted, clock());
-    client.put(QUARANTINE, value, condition, None).await
+    client.put(QUARANTINE_KEY, value, condition, None).await
 }
 
 /// Asks whether this box may send a request in quarantine once: of all boxes that ask, on whichever side of a
@@ -142,7 +142,7 @@
 
 async fn ask_trial(state: &GatewayState, print: RequestFingerprint) -> Result<bool, PlatformError> {
     let client = state.store_client();
-    let stored = client.get(QUARANTINE).await?;
+    let stored = client.get(QUARANTINE_KEY).await?;
     if read(state, stored.as_ref()).is_none() {
         return Ok(false);
     }
--- a/dockgate/src/gateway/refusal.rs
+++ b/dockgate/src/gateway/refusal.rs
@@ -2,7 +2,7 @@
 
 use super::call_body::{CallBody, whole_body};
 use dockgate_core::Outcome;
-use dockgate_platform::{HeadProblem, encode_refusal};
+use dockgate_platform::{HeadError, encode_refusal};
 use http::{HeaderValue, Response, StatusCode, header};
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum RefusalReason {
     /// The head cannot be used.
-    BadHead(HeadProblem),
+    BadHead(HeadError),
     /// The body is larger than allowed.
     BodyTooLarge,
     /// The body did not arrive in time.
--- a/dockgate/src/gateway/settings.rs
+++ b/dockgate/src/gateway/settings.rs
@@ -132,7 +132,7 @@
     let settings = read_gateway(&mut identity, &mut listen, &mut platform, &mut gateway);
     let admission_rule = read_admission(&mut admission);
     for section in [identity, listen, platform, gateway, admission] {
-        document.close(section);
+        document.close_section(section);
     }
     document.finish()?;
     // A required key that is missing has been reported by now.
--- a/dockgate/src/gateway/store_probe.rs
+++ b/dockgate/src/gateway/store_probe.rs
@@ -7,7 +7,7 @@
 use super::quarantine_store;
 use crate::clock::{now_ms, timeout, wakings};
 use dockgate_core::gateway::{ProbeChange, ProbeTiming, StoreRevision};
-use dockgate_platform::{PlatformClient, QUARANTINES};
+use dockgate_platform::{PlatformClient, QUARANTINE_KEY_PREFIX};
 use std::ops::Range;
 use std::sync::Arc;
 use std::time::Duration;
@@ -72,7 +72,7 @@
     const STEP: &str = "probe";
     let sent_ms = now_ms();
     let patience = Duration::from_millis(rule.timeout_ms);
-    let answer = client.probe(QUARANTINES, patience).await;
+    let answer = client.probe(QUARANTINE_KEY_PREFIX, patience).await;
     let outcome = if answer.is_ok() { "answered" } else { "failed" };
     let counter = &GATEWAY_METRICS.store_calls;
     counter.with_label_values(&[STEP, outcome]).inc();
--- a/dockgate/src/members.rs
+++ b/dockgate/src/members.rs
@@ -3,7 +3,9 @@
 use crate::dispatch::DispatchHandle;
 use crate::probed_wait::wait_probed;
 use dockgate_core::BoxKey;
-use dockgate_platform::{BOXES, BoxRecord, BoxState, PlatformClient, StoreListing, WatchOutcome};
+use dockgate_platform::{
+    BOX_KEY_PREFIX, BoxRecord, BoxState, PlatformClient, StoreListing, WatchOutcome,
+};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -47,7 +49,7 @@
     dispatch: DispatchHandle,
 ) {
     loop {
-        match client.list(BOXES).await {
+        match client.list(BOX_KEY_PREFIX).await {
             Ok(listing) => {
                 dispatch.set_members(others(&listing, &domain, me));
                 wait_for_change(&client, &listing, wait).await;
@@ -77,7 +79,7 @@
 async fn wait_for_change(client: &PlatformClient, listing: &StoreListing, wait: Duration) {
     let mut since = listing.revision;
     loop {
-        let watch = client.watch(BOXES, since, wait);
+        let watch = client.watch(BOX_KEY_PREFIX, since, wait);
         match wait_probed(client, watch).await {
             Ok(WatchOutcome::Changes(changes))
                 if changes.events.is_empty() && changes.era == listing.era =>
--- a/dockgate/src/operator_door.rs
+++ b/dockgate/src/operator_door.rs
@@ -59,7 +59,7 @@
         let HistoryRequest { limit } = params.one()?;
         let (head, _) = context
             .store
-            .head()
+            .read_head()
             .await
             .map_err(|error| platform_error(&error))?;
         let mut entries = head.entries;
@@ -87,7 +87,7 @@
 ) -> Result<PlanReply, ErrorObjectOwned> {
     let (head, _) = context
         .store
-        .head()
+        .read_head()
         .await
         .map_err(|error| platform_error(&error))?;
     let followed = context.cell.follow(&context.store, &head).await;
@@ -100,7 +100,7 @@
             .changes_from(&config),
     };
     let plan = ConfigPlan::new(&config, changes).map_err(invalid)?;
-    let kept = context.store.keep_plan(&plan, PLAN_LIFE).await;
+    let kept = context.store.store_plan(&plan, PLAN_LIFE).await;
     kept.map_err(|error| platform_error(&error))?;
     Ok(PlanReply {
         plan,
@@ -112,7 +112,7 @@
     context: &OperatorContext,
     request: ConfirmRequest,
 ) -> Result<ConfirmReply, ErrorObjectOwned> {
-    let plan = context.store.plan(&request.plan).await;
+    let plan = context.store.read_plan(&request.plan).await;
     let plan = plan
         .map_err(|error| platform_error(&error))?
         .ok_or_else(|| {
@@ -124,7 +124,7 @@
             version,
             already: false,
         }),
-        CommitOutcome::Already(version) => Ok(ConfirmReply {
+        CommitOutcome::AlreadyCommitted(version) => Ok(ConfirmReply {
             version,
             already: true,
         }),
@@ -152,7 +152,7 @@
     let detail = StaleDetail {
         base: plan.base,
         version: head.version,
-        since: head.since(plan.base).unwrap_or_default(),
+        since: head.entries_since(plan.base).unwrap_or_default(),
     };
     let message = format!(
         "the plan is based on version {}, but version {} is in force; plan again",
--- a/dockgate/src/probed_wait.rs
+++ b/dockgate/src/probed_wait.rs
@@ -1,7 +1,7 @@
 //! Waits for a long answer of the platform's store, and probes the store meanwhile.
 
 use dockgate_core::gateway::ProbeTiming;
-use dockgate_platform::{PlatformClient, PlatformError, QUARANTINES};
+use dockgate_platform::{PlatformClient, PlatformError, QUARANTINE_KEY_PREFIX};
 use std::future::Future;
 use std::time::Duration;
 
@@ -32,7 +32,7 @@
     loop {
         tokio::time::sleep(Duration::from_millis(rule.interval_ms)).await;
         let patience = Duration::from_millis(rule.timeout_ms);
-        if let Err(silence) = client.probe(QUARANTINES, patience).await {
+        if let Err(silence) = client.probe(QUARANTINE_KEY_PREFIX, patience).await {
             return silence;
         }
     }
--- a/dockgate/src/settings.rs
+++ b/dockgate/src/settings.rs
@@ -240,7 +240,9 @@
         }
     }
     let members: Vec<MemberBox> = seeds.iter_mut().filter_map(read_seed).collect();
-    seeds.into_iter().for_each(|seed| document.close(seed));
+    seeds
+        .into_iter()
+        .for_each(|seed| document.close_section(seed));
     let mut section = |kind: &str| -> SectionReader {
         let found = sections.iter().position(|section| section.kind == kind);
         found.map_or_else(
@@ -264,7 +266,7 @@
         secrets.take_required::<String>(key, "the path of a file that holds the secret");
     }
     for section in [identity, listen, platform, secrets, limits, schedule] {
-        document.close(section);
+        document.close_section(section);
     }
     document.finish()?;
     // A required key that is missing has been reported by now.
--- a/dockgatectl/src/change.rs
+++ b/dockgatectl/src/change.rs
@@ -82,7 +82,7 @@
         }
     };
     let WorkspaceFlags { name, .. } = flags;
-    let old = config.workspaces.named(name);
+    let old = config.workspaces.get_by_name(name);
     check_exists("workspace", name, old.is_some(), exists)?;
     let or_old = |flag: &Option<String>, old: Option<String>| flag.clone().or(old);
     let keys = join(&flags.key, || {
@@ -116,7 +116,7 @@
         PoolVerb::Retire(flag) => return Ok(ConfigChange::RetirePool(flag.name.clone())),
     };
     let PoolFlags { name, .. } = flags;
-    let old = config.pools.named(name);
+    let old = config.pools.get_by_name(name);
     check_exists("pool", name, old.is_some(), exists)?;
     let weight = |flag: &Option<String>, old: Option<f64>| {
         flag.clone().or(old.map(|weight| weight.to_string()))
@@ -165,7 +165,7 @@
         EndpointVerb::Retire(flag) => return Ok(ConfigChange::RetireEndpoint(flag.name.clone())),
     };
     let EndpointFlags { name, .. } = flags;
-    let old = config.endpoints.named(name);
+    let old = config.endpoints.get_by_name(name);
     check_exists("endpoint", name, old.is_some(), exists)?;
     let pool = flags.pool.clone().or(old.map(|old| old.pool.clone()));
     let pool_name = pool.clone().unwrap_or_default();
@@ -187,7 +187,7 @@
         section = section.set(&format!("address.{from}"), Some(&address));
     }
     // The pool is looked up by the daemon; here it only has to be declared.
-    let declared = config.pools.named(&pool_name).map(|pool| pool.kind);
+    let declared = config.pools.get_by_name(&pool_name).map(|pool| pool.kind);
     let kind = match declared {
         Some(PoolKind::Service) => "service",
         _ => "engine",
@@ -236,7 +236,7 @@
         KindVerb::Retire(flag) => return Ok(ConfigChange::RetireKind(flag.name.clone())),
     };
     let KindFlags { name, repeatable } = flags;
-    let old = config.kinds.named(name);
+    let old = config.kinds.get_by_name(name);
     check_exists("kind", name, old.is_some(), exists)?;
     let repeatable = repeatable
         .clone()
--- a/dockgatectl/src/change/tests.rs
+++ b/dockgatectl/src/change/tests.rs
@@ -21,7 +21,7 @@
     let config = config
         .apply(&[workspace_change(&config, &set).unwrap()])
         .unwrap();
-    let spec = config.workspaces.named("w").unwrap();
+    let spec = config.workspaces.get_by_name("w").unwrap();
     assert_eq!((spec.share, spec.priority), (9, 3));
 }
 
--- a/dockgatectl/src/render.rs
+++ b/dockgatectl/src/render.rs
@@ -54,7 +54,7 @@
             for row in &answer.requests {
                 let next = row.next_trial_ms;
                 table.add_row([
-                    row.print.clone(),
+                    row.fingerprint.clone(),
                     seconds(row.age_ms),
                     row.trials.to_string(),
                     next.map_or_else(|| "none".to_owned(), seconds),
