--- a/dockgate-core/src/config.rs
+++ b/dockgate-core/src/config.rs
@@ -1,4 +1,4 @@
-//! The fleet's configuration: what operators declare, in force as one immutable value.
+//! The fleet's configuration, as one immutable value per version.
 
 mod arena;
 mod change;
@@ -15,10 +15,10 @@
 use crate::ids::{EndpointKey, KindKey, PoolKey, WorkspaceKey};
 use serde::{Deserialize, Serialize};
 
-/// The accepted configuration at one version.
+/// The accepted configuration of one version.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct FleetConfig {
-    /// Number of the last change applied; zero is the empty configuration.
+    /// The number of the last change set applied; zero for the empty configuration.
     pub version: u64,
     /// The workspaces that share the fleet.
     pub workspaces: SpecArena<WorkspaceKey, WorkspaceSpec>,
@@ -50,7 +50,7 @@
             .map(|(key, _)| key)
     }
 
-    /// Finds a pool of plain services by its name.
+    /// Finds a pool of plain HTTP services by its name.
     pub fn pool_of_service(&self, name: &str) -> Option<PoolKey> {
         let key = self.pools.find(name)?;
         let spec = self.pools.get(key)?;
@@ -68,7 +68,7 @@
             .filter(move |(_, spec)| Some(spec.pool.as_str()) == name)
     }
 
-    /// Returns the sum of every workspace's share.
+    /// Returns the sum of the shares of all workspaces.
     pub fn total_share(&self) -> u64 {
         self.workspaces
             .iter()
--- a/dockgate-core/src/config/arena.rs
+++ b/dockgate-core/src/config/arena.rs
@@ -1,10 +1,10 @@
-//! An arena of specs: small keys that are never used twice, with an index by name.
+//! An arena of specs with small keys that are never reused, and an index by name.
 
 use crate::ids::SpecKey;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use std::collections::{BTreeMap, HashMap};
 
-/// Holds the specs of one type; a name keeps its key for as long as it exists.
+/// Holds the specs of one type. A spec keeps its key when it is replaced.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SpecArena<K, T> {
     next: u32,
@@ -12,9 +12,9 @@
     names: HashMap<String, K>,
 }
 
-/// A spec that has a name of its own among its type.
+/// A spec with a name that is unique within its type.
 pub trait NamedSpec {
-    /// Returns the name.
+    /// Returns the name of the spec.
     fn name(&self) -> &str;
 }
 
@@ -29,22 +29,22 @@
 }
 
 impl<K: SpecKey, T: NamedSpec> SpecArena<K, T> {
-    /// Returns how many specs there are.
+    /// Returns the number of specs.
     pub fn len(&self) -> usize {
         self.specs.len()
     }
 
-    /// Tells whether there are none.
+    /// Returns whether the arena holds no specs.
     pub fn is_empty(&self) -> bool {
         self.specs.is_empty()
     }
 
-    /// Returns a spec.
+    /// Returns a spec by its key.
     pub fn get(&self, key: K) -> Option<&T> {
         self.specs.get(&key)
     }
 
-    /// Returns the key of a name.
+    /// Returns the key of the spec with this name.
     pub fn find(&self, name: &str) -> Option<K> {
         self.names.get(name).copied()
     }
@@ -54,12 +54,12 @@
         self.get(self.find(name)?)
     }
 
-    /// Returns every spec, in the order of the keys.
+    /// Returns an iterator over all specs, ordered by key.
     pub fn iter(&self) -> impl Iterator<Item = (K, &T)> {
         self.specs.iter().map(|(key, spec)| (*key, spec))
     }
 
-    /// Adds a spec, or replaces the one of the same name.
+    /// Adds a spec, or replaces the spec of the same name.
     pub fn put(&mut self, spec: T) {
         let key = self.find(spec.name()).unwrap_or_else(|| {
             self.next += 1;
@@ -69,14 +69,14 @@
         self.specs.insert(key, spec);
     }
 
-    /// Removes a spec; returns whether it was there.
+    /// Removes a spec and returns whether it existed.
     pub fn remove(&mut self, name: &str) -> bool {
         let key = self.names.remove(name);
         key.and_then(|key| self.specs.remove(&key)).is_some()
     }
 }
 
-/// The form in which an arena is stored: the next key and the entries.
+/// The serialized form of an arena: the next key and the entries.
 #[derive(Serialize, Deserialize)]
 struct StoredArena<E> {
     next: u32,
--- a/dockgate-core/src/config/change.rs
+++ b/dockgate-core/src/config/change.rs
@@ -1,4 +1,4 @@
-//! Changes to the configuration, and their application in order.
+//! Changes to the configuration, and how they are applied.
 
 use super::spec::{EndpointSpec, KindSpec, PoolKind, PoolSpec, WorkspaceSpec};
 use super::{FleetConfig, arena::NamedSpec};
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::HashSet;
 
-/// One change; a `Put` adds the spec or replaces the one of the same name.
+/// One change. A `Put` adds the spec or replaces the spec of the same name.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ConfigChange {
@@ -16,11 +16,11 @@
     RetireWorkspace(String),
     /// Adds or replaces a pool.
     PutPool(PoolSpec),
-    /// Removes a pool, which must have no endpoints left.
+    /// Removes a pool that has no endpoints left.
     RetirePool(String),
     /// Adds or replaces an endpoint.
     PutEndpoint(EndpointSpec),
-    /// Removes an endpoint: it gets no new work and finishes what it has.
+    /// Removes an endpoint, which gets no new requests and finishes its running ones.
     RetireEndpoint(String),
     /// Adds or replaces a kind of request.
     PutKind(KindSpec),
@@ -29,7 +29,7 @@
 }
 
 impl ConfigChange {
-    /// Returns the type of thing changed, as operators name it.
+    /// Returns the type of the changed item, as operators name it.
     pub const fn subject(&self) -> &'static str {
         match self {
             Self::PutWorkspace(_) | Self::RetireWorkspace(_) => "workspace",
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Returns the name of the thing changed.
+    /// Returns the name of the changed item.
     pub fn name(&self) -> &str {
         match self {
             Self::PutWorkspace(spec) => spec.name(),
@@ -54,26 +54,27 @@
     }
 }
 
-/// One accepted change set, as it stands in the platform's service.
+/// One accepted change set, as stored in the platform's store.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ConfigEntry {
-    /// The version that this entry makes.
+    /// The version that this entry creates.
     pub version: u64,
-    /// The plan that was confirmed.
+    /// The id of the confirmed plan.
     pub plan: String,
-    /// Who confirmed it, as they named themselves.
+    /// The author, as given by whoever confirmed the plan.
     pub author: String,
-    /// When, in milliseconds of Unix time by the confirming box's clock; for people only.
+    /// The time of confirmation by the confirming box's clock, in Unix milliseconds; shown to
+    /// operators only.
     pub at_ms: u64,
-    /// The changes, applied in this order.
+    /// The changes, in the order in which they are applied.
     pub changes: Vec<ConfigChange>,
 }
 
 quick_error! {
-    /// Why a change cannot be applied.
+    /// An error that keeps a change from being applied.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum ChangeError {
-        /// The name to retire does not exist.
+        /// The item to retire does not exist.
         NotFound(subject: &'static str, name: String) {
             display("there is no {} named {}", subject, name)
         }
@@ -81,7 +82,7 @@
         UnknownPool(endpoint: String, pool: String) {
             display("endpoint {} names pool {}, which does not exist", endpoint, pool)
         }
-        /// A pool is retired while it has endpoints.
+        /// A pool that still has endpoints is retired.
         PoolInUse(pool: String, endpoint: String) {
             display("pool {} still has endpoint {}", pool, endpoint)
         }
@@ -91,13 +92,13 @@
         }
         /// Two workspaces have the same key.
         DuplicateKey(workspace: String) {
-            display("workspace {} has a key that another workspace has too", workspace)
+            display("workspace {} has the same key as another workspace", workspace)
         }
         /// Two endpoints have the same address.
         DuplicateAddress(endpoint: String) {
-            display("endpoint {} has an address that another endpoint has too", endpoint)
+            display("endpoint {} has the same address as another endpoint", endpoint)
         }
-        /// An entry does not follow the version in force.
+        /// An entry is not the successor of the current version.
         VersionGap(have: u64, got: u64) {
             display("version {} cannot follow version {}", got, have)
         }
@@ -105,11 +106,11 @@
 }
 
 impl FleetConfig {
-    /// Applies changes and checks the whole; the version stays.
+    /// Applies changes to a copy and validates the result. The version stays the same.
     ///
     /// # Errors
     ///
-    /// Returns the first rule that the outcome would break; nothing is applied then.
+    /// Returns the first rule that the result would violate.
     pub fn apply(&self, changes: &[ConfigChange]) -> Result<Self, ChangeError> {
         let mut config = self.clone();
         for change in changes {
@@ -119,11 +120,11 @@
         Ok(config)
     }
 
-    /// Applies the entry that makes the next version.
+    /// Applies the entry that creates the next version.
     ///
     /// # Errors
     ///
-    /// Returns [`ChangeError::VersionGap`] for an entry out of order, or the rule that is broken.
+    /// Returns [`ChangeError::VersionGap`] for an entry out of order, or the rule that is violated.
     pub fn advance(&self, entry: &ConfigEntry) -> Result<Self, ChangeError> {
         if entry.version != self.version + 1 {
             return Err(ChangeError::VersionGap(self.version, entry.version));
--- a/dockgate-core/src/config/declaration.rs
+++ b/dockgate-core/src/config/declaration.rs
@@ -1,4 +1,4 @@
-//! Declaration files: the whole fleet in one INI file kept in version control.
+//! Declaration files: INI files that describe the whole fleet, for use with version control.
 //!
 //! ```ini
 //! [workspace council]
@@ -20,8 +20,8 @@
 //! ```
 
 use super::spec::{
-    CostRule, EndpointSpec, KindSpec, PRIORITIES, PoolKind, PoolSpec, QUEUE_LIMITS, SHARES, SLOTS,
-    WorkspaceSpec,
+    CostRule, EndpointSpec, KindSpec, PRIORITY_RANGE, PoolKind, PoolSpec, QUEUE_LIMIT_RANGE,
+    SHARE_RANGE, SLOT_RANGE, WorkspaceSpec,
 };
 use super::{ConfigChange, FleetConfig, KeyHash, SpecArena};
 use crate::config::arena::NamedSpec;
@@ -29,14 +29,15 @@
 use crate::ini::{IniDocument, IniProblems, SectionReader};
 use std::net::SocketAddr;
 
-const SECTIONS: &str = "[workspace NAME], [pool NAME], [endpoint NAME] and [kind NAME]";
-const ADDRESS: &str = "an IP number and a port, such as 10.0.0.7:8000 (names are not looked up)";
-const WEIGHT: &str = "a number from 0 to 1000000";
+const ALLOWED_SECTIONS: &str = "[workspace NAME], [pool NAME], [endpoint NAME] and [kind NAME]";
+const ALLOWED_ADDRESS: &str =
+    "an IP address and a port, such as 10.0.0.7:8000 (host names are not resolved)";
+const ALLOWED_WEIGHT: &str = "a number from 0 to 1000000";
 const DEFAULT_QUEUE_LIMIT: u32 = 256;
 const DEFAULT_OUTPUT_WEIGHT: f64 = 1.0;
 const DEFAULT_SLOTS: u32 = 16;
 
-/// The specs that a declaration file names.
+/// The specs in a declaration file.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Declaration {
     /// The workspaces.
@@ -49,11 +50,11 @@
     pub kinds: Vec<KindSpec>,
 }
 
-/// Parses and checks a declaration; `file` is the name used in problems.
+/// Parses and validates a declaration; `file` is the file name used in errors.
 ///
 /// # Errors
 ///
-/// Returns every problem found, each with its line and what is allowed.
+/// Returns every problem found, each with its line and the allowed values.
 pub fn parse_declaration(file: &str, text: &str) -> Result<Declaration, IniProblems> {
     let mut document = IniDocument::parse(file, text)?;
     let mut declaration = Declaration::default();
@@ -72,19 +73,19 @@
             ("kind", false) => declaration.kinds.push(read_kind(&mut section)),
             _ => {
                 let header = format!("[{} {}]", section.kind, section.name);
-                let message = format!("unknown section {header}; allowed: {SECTIONS}");
+                let message = format!("unknown section {header}; allowed: {ALLOWED_SECTIONS}");
                 document.report(section.line, message);
                 continue;
             }
         }
         document.close_section(section);
     }
-    report_dangling(&declaration, &endpoint_lines, &mut document);
+    report_unknown_pools(&declaration, &endpoint_lines, &mut document);
     document.finish()?;
     Ok(declaration)
 }
 
-fn report_dangling(
+fn report_unknown_pools(
     declaration: &Declaration,
     lines: &[(usize, usize)],
     document: &mut IniDocument,
@@ -111,23 +112,25 @@
     WorkspaceSpec {
         name: section.name.clone(),
         share: section.take_checked("share", 1, "a whole number from 1 to 10000", |share| {
-            SHARES.contains(share)
+            SHARE_RANGE.contains(share)
         }),
         priority: section.take_checked("priority", 0, "a whole number from 0 to 9", |priority| {
-            PRIORITIES.contains(priority)
+            PRIORITY_RANGE.contains(priority)
         }),
         key_hashes,
         queue_limit: section.take_checked(
             "queue_limit",
             DEFAULT_QUEUE_LIMIT,
             "a whole number from 1 to 100000",
-            |limit| QUEUE_LIMITS.contains(limit),
+            |limit| QUEUE_LIMIT_RANGE.contains(limit),
         ),
     }
 }
 
 fn take_weight(section: &mut SectionReader, key: &str, default: f64) -> f64 {
-    section.take_checked(key, default, WEIGHT, |weight| (0.0..=1e6).contains(weight))
+    section.take_checked(key, default, ALLOWED_WEIGHT, |weight| {
+        (0.0..=1e6).contains(weight)
+    })
 }
 
 fn read_pool(section: &mut SectionReader) -> Option<PoolSpec> {
@@ -161,13 +164,13 @@
 fn read_endpoint(section: &mut SectionReader) -> Option<EndpointSpec> {
     let pool = section.take_required("pool", "the name of a pool");
     let domain = section.take_required("domain", "the name of a failure domain");
-    let address: Option<SocketAddr> = section.take_required("address", ADDRESS);
-    let domain_addresses = section.take_prefixed("address.", ADDRESS);
+    let address: Option<SocketAddr> = section.take_required("address", ALLOWED_ADDRESS);
+    let domain_addresses = section.take_prefixed("address.", ALLOWED_ADDRESS);
     let slots = section.take_checked(
         "slots",
         DEFAULT_SLOTS,
         "a whole number from 1 to 4096",
-        |slots| SLOTS.contains(slots),
+        |slots| SLOT_RANGE.contains(slots),
     );
     let honest_refusal = take_flag(section, "honest_refusal", false);
     Some(EndpointSpec {
@@ -202,7 +205,7 @@
 }
 
 impl Declaration {
-    /// Lists the changes that turn `config` into this declaration; what is not declared retires.
+    /// Returns the changes that turn `config` into this declaration; undeclared items are retired.
     pub fn changes_from(&self, config: &FleetConfig) -> Vec<ConfigChange> {
         let mut changes = Vec::new();
         put_changed(
@@ -250,19 +253,19 @@
 }
 
 fn put_changed<K: SpecKey, T: NamedSpec + PartialEq + Clone>(
-    wanted: &[T],
+    declared: &[T],
     arena: &SpecArena<K, T>,
     put: impl Fn(T) -> ConfigChange,
     changes: &mut Vec<ConfigChange>,
 ) {
-    let new = wanted
+    let new = declared
         .iter()
         .filter(|spec| arena.get_by_name(spec.name()) != Some(spec));
     changes.extend(new.cloned().map(put));
 }
 
 fn retire_absent<K: SpecKey, T: NamedSpec>(
-    wanted: &[T],
+    declared: &[T],
     arena: &SpecArena<K, T>,
     retire: impl Fn(String) -> ConfigChange,
     changes: &mut Vec<ConfigChange>,
@@ -270,7 +273,7 @@
     let gone = arena
         .iter()
         .map(|(_, spec)| spec.name())
-        .filter(|name| !wanted.iter().any(|spec| spec.name() == *name));
+        .filter(|name| !declared.iter().any(|spec| spec.name() == *name));
     changes.extend(gone.map(|name| retire(name.to_owned())));
 }
 
--- a/dockgate-core/src/config/key_hash.rs
+++ b/dockgate-core/src/config/key_hash.rs
@@ -1,4 +1,4 @@
-//! Hashes of workspace keys: the only form in which a key is stored.
+//! Hashes of API keys. The keys themselves are never stored.
 
 use quick_error::quick_error;
 use serde::{Deserialize, Serialize};
@@ -12,10 +12,10 @@
 pub struct KeyHash([u8; 32]);
 
 quick_error! {
-    /// A text that is not a key hash.
+    /// An error from parsing a key hash.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum KeyHashError {
-        /// The text has another form.
+        /// The text is not a 64-digit hexadecimal number.
         Malformed {
             display("a key hash is 64 hexadecimal digits, as `dockgatectl hash-key` prints")
         }
@@ -23,12 +23,12 @@
 }
 
 impl KeyHash {
-    /// Hashes an API key. Keys are long random strings, so that no slow hash is needed.
+    /// Hashes an API key. Keys are long random strings, so a fast hash is sufficient.
     pub fn of(api_key: &str) -> Self {
         Self(*blake3::hash(api_key.as_bytes()).as_bytes())
     }
 
-    /// Compares in constant time.
+    /// Compares two hashes in constant time.
     pub fn matches(self, other: Self) -> bool {
         self.0.ct_eq(&other.0).into()
     }
--- a/dockgate-core/src/ids.rs
+++ b/dockgate-core/src/ids.rs
@@ -1,13 +1,13 @@
-//! Small `Copy` keys that name things in arenas and in messages between boxes.
+//! Small `Copy` keys that identify items in arenas and in messages between boxes.
 //!
-//! Workspaces, pools, endpoints and kinds get their key from the configuration when they are first
-//! accepted; a key is never used again for something else, so a late message cannot be mistaken.
+//! Workspaces, pools, endpoints and kinds get their key when the configuration first accepts them.
+//! Keys are never reused, so a delayed message cannot refer to the wrong item.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// A key of an entry in a [`SpecArena`](crate::SpecArena).
+/// A key of a spec in a [`SpecArena`](crate::SpecArena).
 pub trait SpecKey: Copy + Ord + From<u32> + Into<u32> {}
 
 macro_rules! spec_key {
@@ -42,23 +42,23 @@
 }
 
 spec_key!(
-    /// Names a workspace.
+    /// Identifies a workspace.
     WorkspaceKey
 );
 spec_key!(
-    /// Names a pool of endpoints.
+    /// Identifies a pool of endpoints.
     PoolKey
 );
 spec_key!(
-    /// Names an endpoint.
+    /// Identifies an endpoint.
     EndpointKey
 );
 spec_key!(
-    /// Names a kind of request.
+    /// Identifies a kind of request.
     KindKey
 );
 
-/// Names a box: a hash of the box's name, so that every box derives the same key alone.
+/// Identifies a box by a hash of its name, which every box derives without coordination.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, Default,
 )]
@@ -66,7 +66,7 @@
 pub struct BoxKey(pub u32);
 
 impl BoxKey {
-    /// Derives the key of the box with this name.
+    /// Derives the key from the name of a box.
     pub fn from_name(name: &str) -> Self {
         Self(xxh3_64(name.as_bytes()) as u32)
     }
@@ -78,16 +78,16 @@
     }
 }
 
-/// One life of a daemon: drawn at random at start, so that a restart is never taken for its
-/// predecessor.
+/// Identifies one run of a daemon by a number drawn at random at its start, so that a restarted
+/// daemon is distinguished from its predecessor.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, Default,
 )]
 #[serde(transparent)]
 pub struct Incarnation(pub u32);
 
-/// Names a grant: 21 bits of the scheduler's incarnation and a 32-bit counter, which together
-/// stay exact in a JSON number.
+/// Identifies a grant by 21 bits of the scheduler's incarnation and a 32-bit counter. The 53 bits
+/// are represented exactly by a JSON number.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, Default,
 )]
@@ -98,13 +98,13 @@
     const COUNTER_BITS: u32 = 32;
     const INCARNATION_MASK: u32 = (1 << 21) - 1;
 
-    /// Composes an id from a scheduler's incarnation and its own counter.
+    /// Composes an id from a scheduler's incarnation and counter.
     pub const fn new(incarnation: Incarnation, counter: u32) -> Self {
         let high = (incarnation.0 & Self::INCARNATION_MASK) as u64;
         Self(high << Self::COUNTER_BITS | counter as u64)
     }
 
-    /// Tells whether this id was given out by that life of a scheduler.
+    /// Returns whether the scheduler of this incarnation issued the grant.
     pub const fn is_issued_by(self, incarnation: Incarnation) -> bool {
         (self.0 >> Self::COUNTER_BITS) as u32 == incarnation.0 & Self::INCARNATION_MASK
     }
--- a/dockgate-core/src/ini.rs
+++ b/dockgate-core/src/ini.rs
@@ -1,30 +1,30 @@
-//! Reads INI text into checked sections, with the line of everything that is wrong.
+//! Reads INI files and reports every problem with its line.
 //!
-//! Declarations, daemon settings and bench scenarios all go through [`IniDocument`]. Syntax is the
-//! `rust-ini` library's; this module adds line numbers, duplicate detection and the collection of
-//! every problem before anything is reported.
+//! Declarations, daemon settings and bench scenarios are read by [`IniDocument`]. The syntax is that
+//! of the `rust-ini` library; this module adds line numbers and duplicate detection, and collects all
+//! problems of a file into one error.
 
 use quick_error::quick_error;
 use std::collections::BTreeMap;
 use std::fmt::Display;
 use std::str::FromStr;
 
-/// One thing wrong in a file.
+/// One problem in a file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct IniProblem {
-    /// The file, as the user named it.
+    /// The name of the file, as given by the user.
     pub file: String,
-    /// The line, counted from one.
+    /// The line number, starting at one.
     pub line: usize,
-    /// What is wrong and what is allowed.
+    /// The problem and the allowed values.
     pub message: String,
 }
 
 quick_error! {
-    /// Everything wrong in a file, in the order of its lines.
+    /// All problems of a file, ordered by line.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum IniProblems {
-        /// The file cannot be used.
+        /// The file is invalid.
         Invalid(problems: Vec<IniProblem>) {
             display("{}", join_problems(problems))
         }
@@ -45,15 +45,15 @@
     value: String,
 }
 
-/// One section being read: each key is taken once, and what is left over is unknown.
+/// Reads one section: each known key is taken once, and any remaining key is reported as unknown.
 #[derive(Debug, Clone)]
 pub struct SectionReader {
     file: String,
-    /// The section's type: the first word of its header.
+    /// The type of the section: the first word of its header.
     pub kind: String,
-    /// The section's name: the rest of its header, or empty.
+    /// The name of the section: the rest of its header, may be empty.
     pub name: String,
-    /// The line of the header.
+    /// The line number of the header.
     pub line: usize,
     entries: BTreeMap<String, IniEntry>,
     allowed: Vec<String>,
@@ -61,7 +61,7 @@
 }
 
 impl SectionReader {
-    /// Makes a section that a file does not have, so that required keys are reported.
+    /// Creates a placeholder for a missing section, so that its required keys are reported.
     pub fn empty(file: &str, kind: &str) -> Self {
         Self::new(file, kind, "", 1)
     }
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Adds a problem at a line of this section.
+    /// Adds a problem in this section.
     pub fn report(&mut self, line: usize, message: impl Into<String>) {
         self.problems.push(IniProblem {
             file: self.file.clone(),
@@ -92,12 +92,12 @@
         self.entries.remove(key)
     }
 
-    /// Takes a key's text, if it is set.
+    /// Takes the text of a key, if it is set.
     pub fn take_text(&mut self, key: &str) -> Option<String> {
         self.take_entry(key).map(|entry| entry.value)
     }
 
-    /// Takes a key that parses as `T`; `allowed` says in words what is accepted.
+    /// Takes a key and parses its value as `T`; `allowed` describes the valid values.
     pub fn take<T: FromStr>(&mut self, key: &str, allowed: &str) -> Option<T> {
         let entry = self.take_entry(key)?;
         let value = entry.value.parse().ok();
@@ -108,7 +108,9 @@
         value
     }
 
-    /// Takes a key that parses as `T` and passes `accept`, else the default.
+    /// Takes a key, parses its value as `T` and validates it by `accept`.
+    ///
+    /// Returns the default if the key is not set or its value is invalid.
     pub fn take_checked<T: FromStr + Display>(
         &mut self,
         key: &str,
@@ -127,14 +129,14 @@
         }
     }
 
-    /// Takes a comma-separated list; an unset key is an empty list.
+    /// Takes a comma-separated list, which is empty if the key is not set.
     pub fn take_list(&mut self, key: &str) -> Vec<String> {
         self.take_text(key)
             .map(|text| split_list(&text))
             .unwrap_or_default()
     }
 
-    /// Takes a key that must be set.
+    /// Takes a required key, and reports it if it is not set.
     pub fn take_required<T: FromStr>(&mut self, key: &str, allowed: &str) -> Option<T> {
         if !self.entries.contains_key(key) {
             let message = format!("[{}] lacks {key}, which must be {allowed}", self.header());
@@ -146,7 +148,7 @@
         self.take(key, allowed)
     }
 
-    /// Takes every key that starts with `prefix`, as pairs of the rest of the key and the value.
+    /// Takes all keys that start with `prefix`, and returns them without it, with their values.
     pub fn take_prefixed<T: FromStr>(&mut self, prefix: &str, allowed: &str) -> Vec<(String, T)> {
         let keys: Vec<String> = self
             .entries
@@ -162,7 +164,7 @@
             .collect()
     }
 
-    /// Returns the line of a key, or of the header where the key is not set.
+    /// Returns the line of a key, or of the header if the key is not set.
     pub fn line_of(&self, key: &str) -> usize {
         self.entries.get(key).map_or(self.line, |entry| entry.line)
     }
@@ -174,7 +176,7 @@
         }
     }
 
-    /// Reports every key that was not taken, and hands over the problems.
+    /// Reports every key that was not taken, and returns all problems.
     #[must_use]
     pub fn finish(mut self) -> Vec<IniProblem> {
         let allowed = self.allowed.join(", ");
@@ -186,7 +188,7 @@
     }
 }
 
-/// Splits a comma-separated list, without blanks and empty items.
+/// Splits a comma-separated list, and drops surrounding blanks and empty items.
 fn split_list(text: &str) -> Vec<String> {
     text.split(',')
         .map(str::trim)
@@ -204,11 +206,11 @@
 }
 
 impl IniDocument {
-    /// Parses INI text; `file` is the name used in problems.
+    /// Parses INI text; `file` is the file name used in errors.
     ///
     /// # Errors
     ///
-    /// Returns the syntax error with its line.
+    /// Returns a syntax error with its line.
     pub fn parse(file: &str, text: &str) -> Result<Self, IniProblems> {
         ini::Ini::load_from_str_noescape(text).map_err(|error| {
             IniProblems::Invalid(vec![IniProblem {
@@ -228,7 +230,7 @@
         Ok(document)
     }
 
-    /// Reads one line that the library has already accepted.
+    /// Reads one line of text that the library has already validated.
     fn read_line(&mut self, number: usize, line: &str) {
         match line.as_bytes().first() {
             None | Some(b'#' | b';') => {}
@@ -242,12 +244,12 @@
         let header = header.split(']').next().unwrap_or(header).trim();
         let (kind, name) = header.split_once(' ').unwrap_or((header, ""));
         let name = name.trim();
-        let twin = self
+        let duplicate_of = self
             .sections
             .iter()
             .find(|section| section.kind == kind && section.name == name)
             .map(|section| section.line);
-        if let Some(first) = twin {
+        if let Some(first) = duplicate_of {
             self.report(number, format!("[{header}] is already at line {first}"));
         }
         let section = SectionReader::new(&self.file, kind, name, number);
@@ -259,21 +261,21 @@
             return;
         };
         let Some(section) = self.sections.last_mut() else {
-            self.report(number, "a key stands before the first [section]".to_owned());
+            self.report(number, "key before the first [section]".to_owned());
             return;
         };
         let entry = IniEntry {
             line: number,
             value: value.trim().trim_matches('"').to_owned(),
         };
-        let old = section.entries.insert(key.trim().to_owned(), entry);
-        if let Some(old) = old {
-            let message = format!("{} is already set at line {}", key.trim(), old.line);
+        let replaced = section.entries.insert(key.trim().to_owned(), entry);
+        if let Some(replaced) = replaced {
+            let message = format!("{} is already set at line {}", key.trim(), replaced.line);
             section.report(number, message);
         }
     }
 
-    /// Adds a problem that belongs to no section.
+    /// Adds a problem outside of any section.
     pub fn report(&mut self, line: usize, message: String) {
         self.problems.push(IniProblem {
             file: self.file.clone(),
@@ -282,21 +284,21 @@
         });
     }
 
-    /// Takes every section, in the order of the file.
+    /// Takes all sections, in file order.
     pub fn take_sections(&mut self) -> Vec<SectionReader> {
         std::mem::take(&mut self.sections)
     }
 
-    /// Adds the problems of a section that has been read.
+    /// Finishes a section and collects its problems.
     pub fn close_section(&mut self, section: SectionReader) {
         self.problems.extend(section.finish());
     }
 
-    /// Ends the reading.
+    /// Finishes the document.
     ///
     /// # Errors
     ///
-    /// Returns every problem reported so far, in the order of the lines.
+    /// Returns all problems reported so far, ordered by line.
     pub fn finish(mut self) -> Result<(), IniProblems> {
         self.problems.sort_by_key(|problem| problem.line);
         match self.problems.is_empty() {
--- a/dockgate-core/src/ini/tests.rs
+++ b/dockgate-core/src/ini/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn problems_carry_file_and_line_and_what_is_allowed() {
+fn problems_include_file_line_and_allowed_keys() {
     let text = "[box]\nname = a\nname = b\ncolour = red\nlimit = x\n[box]\n";
     let mut document = IniDocument::parse("d.ini", text).unwrap();
     for mut section in document.take_sections() {
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn syntax_errors_name_the_line() {
+fn syntax_errors_include_the_file_name() {
     let error = IniDocument::parse("d.ini", "[box]\nname\n[x").unwrap_err();
     assert!(error.to_string().starts_with("d.ini:"));
 }
--- a/dockgate-core/src/invariant.rs
+++ b/dockgate-core/src/invariant.rs
@@ -1,31 +1,31 @@
-//! Invariants asserted inside the program, in every build.
+//! Invariants that are checked at run time, in every build.
 //!
-//! A violation is counted and logged by the caller's metric; in tests and in the bench it is fatal.
+//! Violations are counted for the metrics. In tests and in the bench they panic.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 
 static VIOLATIONS: AtomicU64 = AtomicU64::new(0);
 static FATAL: AtomicBool = AtomicBool::new(cfg!(test));
 
-/// Makes every later violation panic (or not).
+/// Sets whether violations panic.
 pub fn set_fatal_invariants(fatal: bool) {
     FATAL.store(fatal, Ordering::Relaxed);
 }
 
-/// Returns how many violations this process has seen.
+/// Returns the number of violations in this process.
 pub fn invariant_violations() -> u64 {
     VIOLATIONS.load(Ordering::Relaxed)
 }
 
-/// Counts a violation unless `holds`, and returns `holds`.
+/// Counts a violation if `holds` is false, and returns `holds`.
 ///
 /// # Panics
 ///
-/// When violations are fatal, see [`set_fatal_invariants`].
+/// Panics on a violation if [`set_fatal_invariants`] is on.
 pub fn check_invariant(name: &'static str, holds: bool) -> bool {
     if !holds {
         VIOLATIONS.fetch_add(1, Ordering::Relaxed);
-        assert!(!FATAL.load(Ordering::Relaxed), "invariant broken: {name}");
+        assert!(!FATAL.load(Ordering::Relaxed), "invariant violated: {name}");
     }
     holds
 }
--- a/dockgate-core/src/lib.rs
+++ b/dockgate-core/src/lib.rs
@@ -1,8 +1,7 @@
-//! Decisions of dockgate: fair shares, slots, attempts, configuration and plans.
+//! The decision logic of dockgate: fair shares, slots, attempts, configuration and plans.
 //!
-//! Everything here is a plain struct or function fed with events and the current time. Nothing in
-//! this crate does I/O, reads a clock or draws a random number, so that long randomised runs with
-//! injected faults stay cheap and repeatable.
+//! This crate does no I/O, reads no clock and draws no random numbers: callers pass events and the
+//! current time. Randomized tests with fault injection are therefore fast and reproducible.
 //!
 //! ```
 //! use dockgate_core::{FleetConfig, parse_declaration};
--- a/dockgate-core/src/placement.rs
+++ b/dockgate-core/src/placement.rs
@@ -1,12 +1,13 @@
-//! Which box schedules an endpoint: rendezvous hashing over the boxes seen alive.
+//! Assignment of endpoints to scheduling boxes by rendezvous hashing over the live boxes.
 //!
-//! Nothing is elected. Boxes with the same view agree; boxes with different views may both think
-//! they own an endpoint, which costs quality for a moment and never a promise.
+//! There is no leader election. Boxes with the same view of the fleet agree on the owners. With
+//! different views, two boxes may both own an endpoint for a while; scheduling is then less precise,
+//! but remains safe.
 
 use crate::ids::{BoxKey, EndpointKey};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Scores a box for an item; the highest score owns it.
+/// Returns the score of a box for an item; the box with the highest score owns it.
 pub fn rendezvous_score(item: u32, box_key: BoxKey) -> u64 {
     let mut bytes = [0; 8];
     bytes[..4].copy_from_slice(&item.to_le_bytes());
@@ -14,7 +15,7 @@
     xxh3_64(&bytes)
 }
 
-/// Picks the box that schedules `endpoint` among `boxes`, or none where there are no boxes.
+/// Returns the box that schedules `endpoint`, or `None` if `boxes` is empty.
 pub fn owner_of(endpoint: EndpointKey, boxes: &[BoxKey]) -> Option<BoxKey> {
     boxes
         .iter()
--- a/dockgate-core/src/plan.rs
+++ b/dockgate-core/src/plan.rs
@@ -1,11 +1,11 @@
-//! Plans: what an intent would change, reviewed by the operator before anything does.
+//! Plans: configuration changes with their effects, for review before they are committed.
 
 use crate::config::{ChangeError, ConfigChange, FleetConfig};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Names a plan: a hash of its base version and its changes, so that the same intent on the same
-/// version is the same plan.
+/// Identifies a plan by a hash of its base version and changes, so that repeating a request on the
+/// same version yields the same plan.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct PlanId(pub String);
@@ -16,49 +16,49 @@
     }
 }
 
-/// The share of a workspace before and after, as fractions of the fleet.
+/// The share of a workspace before and after a plan, as fractions of the fleet.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ShareEffect {
-    /// The workspace.
+    /// The name of the workspace.
     pub workspace: String,
-    /// Its fraction under the base version; zero where it is new.
+    /// Its fraction in the base version; zero for a new workspace.
     pub before: f64,
-    /// Its fraction under the plan; zero where it is retired.
+    /// Its fraction after the plan; zero for a retired workspace.
     pub after: f64,
 }
 
-/// What a plan would do beyond its differences.
+/// The effects of a plan on the fleet.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct PlanEffect {
-    /// Shares that move.
+    /// The shares that change.
     pub shares: Vec<ShareEffect>,
-    /// Endpoints that get no new work and finish what they have.
+    /// Endpoints that get no new requests and finish their running ones.
     pub drained: Vec<String>,
-    /// What would be refused afterwards and is not now.
+    /// Descriptions of the requests that are refused only after the plan.
     pub refused: Vec<String>,
-    /// Slots over the fleet, before and after.
+    /// Slots of the whole fleet, before and after.
     pub slots: (u64, u64),
 }
 
-/// A reviewed set of changes, valid for one base version.
+/// A set of changes and their effects, valid for one base version.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ConfigPlan {
-    /// The plan's name.
+    /// The id of the plan.
     pub id: PlanId,
-    /// The version that it changes.
+    /// The version that the changes apply to.
     pub base: u64,
     /// The changes.
     pub changes: Vec<ConfigChange>,
-    /// Their effects.
+    /// The effects of the changes.
     pub effect: PlanEffect,
 }
 
 impl ConfigPlan {
-    /// Works out the plan of a list of changes.
+    /// Creates a plan and computes its effects.
     ///
     /// # Errors
     ///
-    /// Returns the rule that the changes would break.
+    /// Returns the rule that the changes would violate.
     pub fn new(config: &FleetConfig, changes: Vec<ConfigChange>) -> Result<Self, ChangeError> {
         let after = config.apply(&changes)?;
         Ok(Self {
@@ -127,7 +127,7 @@
         ConfigChange::PutEndpoint(spec) => config
             .endpoints
             .get_by_name(&spec.name)
-            .is_some_and(|old| old.pool != spec.pool || old.address != spec.address),
+            .is_some_and(|current| current.pool != spec.pool || current.address != spec.address),
         _ => false,
     };
     changes
@@ -137,7 +137,7 @@
         .collect()
 }
 
-/// Names the pools and workspaces whose requests would be refused after the change only.
+/// Describes the pools and workspaces whose requests are refused only after the changes.
 fn refused_requests(before: &FleetConfig, after: &FleetConfig) -> Vec<String> {
     let pools = before
         .pools
--- a/dockgate-core/src/plan/tests.rs
+++ b/dockgate-core/src/plan/tests.rs
@@ -6,7 +6,7 @@
     [workspace w]\nshare = 3\n[workspace v]\n";
 
 #[test]
-fn a_plan_tells_shares_drains_and_refusals() {
+fn plan_lists_changed_shares_drained_endpoints_and_refusals() {
     let empty = FleetConfig::default();
     let changes = parse_declaration("f", FLEET).unwrap().changes_from(&empty);
     let config = empty.apply(&changes).unwrap();
--- a/dockgate-core/src/topology.rs
+++ b/dockgate-core/src/topology.rs
@@ -1,4 +1,4 @@
-//! Which box schedules which endpoint, and whom to ask for a pool, as one box sees the fleet.
+//! Owners of all endpoints, and the schedulers of each pool, as seen by one box.
 
 use crate::config::FleetConfig;
 use crate::ids::{BoxKey, EndpointKey, PoolKey};
@@ -6,18 +6,18 @@
 use crate::scheduler::SlotEndpoint;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// A box that is seen alive.
+/// A live box.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LiveBox {
-    /// The box.
+    /// The key of the box.
     pub key: BoxKey,
     /// Its failure domain.
     pub domain: String,
-    /// Whether it may schedule endpoints; a leaving box may not.
+    /// Whether it may schedule endpoints; false for a leaving box.
     pub may_schedule: bool,
 }
 
-/// The owners of all endpoints, worked out from a configuration and the boxes seen alive.
+/// The owners of all endpoints, derived from the configuration and the live boxes.
 #[derive(Debug, Clone, Default)]
 pub struct FleetTopology {
     owners: HashMap<EndpointKey, BoxKey>,
@@ -27,16 +27,19 @@
 }
 
 impl FleetTopology {
-    /// Gives every endpoint to a box of its own failure domain.
+    /// Assigns every endpoint to a box of its own failure domain.
     pub fn new(config: &FleetConfig, boxes: &[LiveBox]) -> Self {
         let mut by_domain: HashMap<&str, Vec<BoxKey>> = HashMap::new();
-        for live in boxes.iter().filter(|live| live.may_schedule) {
-            by_domain.entry(&live.domain).or_default().push(live.key);
+        for live_box in boxes.iter().filter(|live_box| live_box.may_schedule) {
+            by_domain
+                .entry(&live_box.domain)
+                .or_default()
+                .push(live_box.key);
         }
         let mut topology = Self {
             domains: boxes
                 .iter()
-                .map(|live| (live.key, live.domain.clone()))
+                .map(|live_box| (live_box.key, live_box.domain.clone()))
                 .collect(),
             ..Self::default()
         };
@@ -71,7 +74,7 @@
             .collect()
     }
 
-    /// Returns how many boxes schedule endpoints of each pool.
+    /// Returns the number of boxes that schedule endpoints of each pool.
     pub fn scheduler_counts(&self) -> HashMap<PoolKey, u32> {
         self.schedulers
             .iter()
@@ -79,19 +82,20 @@
             .collect()
     }
 
-    /// Returns the schedulers of each pool as `me` asks them: itself, its own domain, the others.
-    pub fn schedulers_by_distance(&self, me: BoxKey) -> HashMap<PoolKey, Vec<BoxKey>> {
-        let home = self.domains.get(&me);
+    /// Returns the schedulers of each pool, ordered by distance from the box `own_key`: first the box
+    /// itself, then those of its failure domain, then the others.
+    pub fn schedulers_by_distance(&self, own_key: BoxKey) -> HashMap<PoolKey, Vec<BoxKey>> {
+        let own_domain = self.domains.get(&own_key);
         let distance = |key: &BoxKey| match key {
-            key if *key == me => 0,
-            key if self.domains.get(key) == home => 1,
+            key if *key == own_key => 0,
+            key if self.domains.get(key) == own_domain => 1,
             _ => 2,
         };
         self.schedulers
             .iter()
             .map(|(pool, boxes)| {
                 let mut boxes: Vec<BoxKey> = boxes.iter().copied().collect();
-                boxes.sort_by_key(|key| (distance(key), key.0 ^ me.0));
+                boxes.sort_by_key(|key| (distance(key), key.0 ^ own_key.0));
                 (*pool, boxes)
             })
             .collect()
--- a/dockgate-core/src/topology/tests.rs
+++ b/dockgate-core/src/topology/tests.rs
@@ -15,7 +15,7 @@
     empty.apply(&declaration.changes_from(&empty)).unwrap()
 }
 
-fn live(key: u32, domain: &str, may_schedule: bool) -> LiveBox {
+fn live_box(key: u32, domain: &str, may_schedule: bool) -> LiveBox {
     LiveBox {
         key: BoxKey(key),
         domain: domain.to_owned(),
@@ -25,17 +25,21 @@
 
 #[test]
 fn endpoints_are_scheduled_in_their_own_domain() {
-    let boxes = [live(1, "a", true), live(2, "a", false), live(3, "b", true)];
+    let boxes = [
+        live_box(1, "a", true),
+        live_box(2, "a", false),
+        live_box(3, "b", true),
+    ];
     let topology = FleetTopology::new(&config(), &boxes);
     assert_eq!(topology.endpoints_of(BoxKey(1)).len(), 6);
     assert_eq!(topology.endpoints_of(BoxKey(2)).len(), 0);
-    let asked = topology.schedulers_by_distance(BoxKey(2));
-    assert_eq!(asked[&PoolKey(1)], [BoxKey(1), BoxKey(3)]);
+    let schedulers = topology.schedulers_by_distance(BoxKey(2));
+    assert_eq!(schedulers[&PoolKey(1)], [BoxKey(1), BoxKey(3)]);
 }
 
 #[test]
-fn a_domain_without_boxes_leaves_its_endpoints_unscheduled() {
-    let topology = FleetTopology::new(&config(), &[live(1, "a", true)]);
+fn endpoints_of_a_domain_without_boxes_are_not_scheduled() {
+    let topology = FleetTopology::new(&config(), &[live_box(1, "a", true)]);
     assert_eq!(topology.scheduler_counts()[&PoolKey(1)], 1);
     let owned = topology.endpoints_of(BoxKey(1));
     assert!(
