--- a/dockgate-config/src/config_store.rs
+++ b/dockgate-config/src/config_store.rs
@@ -1,8 +1,9 @@
-//! Where the accepted configuration stands in the platform's service.
+//! Storage of the configuration log in the platform's key-value store.
 //!
-//! One key, the head, is the whole truth: the version and the most recent entries. A commit is one
-//! compare-and-swap of it, so that a daemon that dies between steps leaves nothing half done, and a
-//! watcher needs one read for one change. A snapshot is written before the head that names it.
+//! A single key, the head, holds the version and the most recent entries. A commit is one
+//! compare-and-swap of the head, so a daemon that crashes during a commit leaves no partial state,
+//! and a watcher needs one read per change. A snapshot is written before the head that refers to
+//! it.
 
 use bytes::Bytes;
 use dockgate_core::{ConfigEntry, ConfigPlan, FleetConfig};
@@ -13,31 +14,31 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-const HEAD: &str = "config/head";
-const SNAPSHOT: &str = "config/snapshot/";
-const PLAN: &str = "plan/";
-/// The most entries that the head holds; a daemon further behind starts from the snapshot.
-const MOST_ENTRIES: usize = 24;
-/// How many entries stay in the head when a snapshot is made.
-const KEPT_ENTRIES: usize = 8;
-/// The size of a part of a snapshot, in bytes, below the largest value of the service.
+const HEAD_KEY: &str = "config/head";
+const SNAPSHOT_PREFIX: &str = "config/snapshot/";
+const PLAN_PREFIX: &str = "plan/";
+/// The maximum number of entries in the head. A daemon that lags further loads the snapshot.
+const MAX_ENTRIES: usize = 24;
+/// The number of entries that remain in the head after a snapshot.
+const RETAINED_ENTRIES: usize = 8;
+/// The size of a snapshot part in bytes, below the store's maximum size of a value.
 const PART_BYTES: usize = 512 << 10;
 
-/// The value of the head.
+/// The head of the configuration log.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct ConfigHead {
-    /// The version in force.
+    /// The current version.
     pub version: u64,
-    /// The version of the last snapshot; zero is the empty configuration.
+    /// The version of the last snapshot; zero for the empty configuration.
     pub snapshot: u64,
-    /// In how many parts the snapshot stands.
+    /// The number of parts of the snapshot.
     pub parts: usize,
-    /// The last entries, ending at `version`.
+    /// The most recent entries, up to `version`.
     pub entries: Vec<ConfigEntry>,
 }
 
 impl ConfigHead {
-    /// Returns the entries after a version, or none where the log was trimmed past it.
+    /// Returns the entries after a version, or `None` if the log no longer holds all of them.
     pub fn entries_since(&self, version: u64) -> Option<Vec<ConfigEntry>> {
         let missing = self.version.saturating_sub(version) as usize;
         let start = self.entries.len().checked_sub(missing)?;
@@ -45,14 +46,14 @@
     }
 }
 
-/// What became of a confirmed plan.
+/// The outcome of committing a plan.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CommitOutcome {
-    /// It made this version.
+    /// The commit created this version.
     Committed(u64),
-    /// It had made this version before.
+    /// An earlier commit of the same plan created this version.
     AlreadyCommitted(u64),
-    /// The version that it is based on no longer stands.
+    /// The base version of the plan is no longer the current one.
     Stale(ConfigHead),
 }
 
@@ -63,12 +64,12 @@
 }
 
 impl ConfigStore {
-    /// Makes a store on a client.
+    /// Creates a store that uses this client.
     pub const fn new(client: PlatformClient) -> Self {
         Self { client }
     }
 
-    /// Returns the client that it calls the service with.
+    /// Returns the client of the platform's store.
     pub const fn client(&self) -> &PlatformClient {
         &self.client
     }
@@ -77,29 +78,29 @@
     ///
     /// # Errors
     ///
-    /// Returns an error where the service gives no answer or the head cannot be read.
+    /// Returns an error if the store does not answer or the head is malformed.
     pub async fn read_head(&self) -> Result<(ConfigHead, u64), PlatformError> {
         self.client
-            .get(HEAD)
+            .get(HEAD_KEY)
             .await?
             .map_or(Ok((ConfigHead::default(), 0)), |value| parse_head(&value))
     }
 
-    /// Waits for another head than that of revision `since`.
+    /// Waits until the head changes after revision `since`.
     ///
     /// # Errors
     ///
-    /// Returns an error where the service gives no answer or the head cannot be read.
+    /// Returns an error if the store does not answer or the head is malformed.
     pub async fn watch_head(
         &self,
         since: u64,
         wait: Duration,
     ) -> Result<Option<(ConfigHead, u64)>, PlatformError> {
-        match self.client.watch(HEAD, since, wait).await? {
+        match self.client.watch(HEAD_KEY, since, wait).await? {
             WatchOutcome::HistoryLost => self.read_head().await.map(Some),
             WatchOutcome::Changes(StoreChanges { events, .. }) => {
                 let written = events.into_iter().rev().find_map(|event| match event {
-                    StoreEvent::Written(value) if value.key == HEAD => Some(value),
+                    StoreEvent::Written(value) if value.key == HEAD_KEY => Some(value),
                     _ => None,
                 });
                 written.map(|value| parse_head(&value)).transpose()
@@ -107,11 +108,12 @@
         }
     }
 
-    /// Brings a configuration up to a head: by the entries if they reach back, else by snapshot.
+    /// Updates a configuration to the version of a head, from its entries if it holds all that are
+    /// missing, otherwise from the snapshot.
     ///
     /// # Errors
     ///
-    /// Returns an error where the service gives no answer or what is stored breaks a rule.
+    /// Returns an error if the store does not answer or the stored configuration is invalid.
     pub async fn catch_up(
         &self,
         config: &FleetConfig,
@@ -134,21 +136,21 @@
             let key = part_key(head.snapshot, part);
             let value = self.client.get(&key).await?;
             let value = value.ok_or_else(|| {
-                PlatformError::Malformed(STEP, key.clone(), "the part is missing".to_owned())
+                PlatformError::Malformed(STEP, key.clone(), "snapshot part is missing".to_owned())
             })?;
             bytes.extend_from_slice(&value.bytes);
         }
-        parse_value(STEP, SNAPSHOT, &bytes)
+        parse_value(STEP, SNAPSHOT_PREFIX, &bytes)
     }
 
-    /// Keeps a plan for confirmation.
+    /// Stores a plan until it is confirmed or `ttl` has passed.
     ///
     /// # Errors
     ///
-    /// Returns an error where the service gives no answer.
+    /// Returns an error if the store does not answer.
     pub async fn store_plan(&self, plan: &ConfigPlan, ttl: Duration) -> Result<(), PlatformError> {
         let lease = self.client.lease(ttl).await?;
-        let key = format!("{PLAN}{}", plan.id);
+        let key = format!("{PLAN_PREFIX}{}", plan.id);
         let value = to_bytes(plan);
         self.client
             .put(&key, value, PutCondition::Always, Some(lease.id))
@@ -156,13 +158,13 @@
             .map(drop)
     }
 
-    /// Reads a plan that was kept.
+    /// Reads a stored plan.
     ///
     /// # Errors
     ///
-    /// Returns an error where the service gives no answer or the plan cannot be read.
+    /// Returns an error if the store does not answer or the plan is malformed.
     pub async fn read_plan(&self, id: &str) -> Result<Option<ConfigPlan>, PlatformError> {
-        let key = format!("{PLAN}{id}");
+        let key = format!("{PLAN_PREFIX}{id}");
         let value = self.client.get(&key).await?;
         value
             .map(|value| parse_value("read plan", &key, &value.bytes))
@@ -171,12 +173,12 @@
 
     /// Commits a plan by one compare-and-swap of the head.
     ///
-    /// Safe to repeat: a plan that is in the log is not committed again, so that a lost reply is
-    /// settled by calling this again.
+    /// Commits are idempotent: a plan that is in the log is not committed again. After a lost
+    /// reply, call this function again to learn the outcome.
     ///
     /// # Errors
     ///
-    /// Returns an error where the service gives no answer; the commit may have taken effect then.
+    /// Returns an error if the store does not answer; the commit may have taken effect.
     pub async fn commit(
         &self,
         plan: &ConfigPlan,
@@ -184,8 +186,8 @@
         at_ms: u64,
     ) -> Result<CommitOutcome, PlatformError> {
         let (head, revision) = self.read_head().await?;
-        let done = head.entries.iter().find(|entry| entry.plan == plan.id.0);
-        match done {
+        let committed = head.entries.iter().find(|entry| entry.plan == plan.id.0);
+        match committed {
             Some(entry) => return Ok(CommitOutcome::AlreadyCommitted(entry.version)),
             None if head.version != plan.base => return Ok(CommitOutcome::Stale(head)),
             None => {}
@@ -204,14 +206,14 @@
         };
         match self
             .client
-            .put(HEAD, to_bytes(&next), condition, None)
+            .put(HEAD_KEY, to_bytes(&next), condition, None)
             .await?
         {
             PutOutcome::Done(_) => Ok(CommitOutcome::Committed(next.version)),
             PutOutcome::Conflict | PutOutcome::NoLease => {
                 let (head, _) = self.read_head().await?;
-                let done = head.entries.iter().find(|entry| entry.plan == plan.id.0);
-                Ok(match done {
+                let committed = head.entries.iter().find(|entry| entry.plan == plan.id.0);
+                Ok(match committed {
                     Some(entry) => CommitOutcome::AlreadyCommitted(entry.version),
                     None => CommitOutcome::Stale(head),
                 })
@@ -219,18 +221,18 @@
         }
     }
 
-    /// Adds an entry; writes a snapshot first where the head has grown long.
+    /// Appends an entry to a head, and writes a snapshot first if the head is too large.
     async fn next_head(
         &self,
         mut head: ConfigHead,
         entry: ConfigEntry,
     ) -> Result<ConfigHead, PlatformError> {
-        let long = head.entries.len() >= MOST_ENTRIES || to_bytes(&head).len() > PART_BYTES;
-        if long {
+        let is_large = head.entries.len() >= MAX_ENTRIES || to_bytes(&head).len() > PART_BYTES;
+        if is_large {
             let config = self.catch_up(&FleetConfig::default(), &head).await?;
             head.parts = self.write_snapshot(&config).await?;
             head.snapshot = config.version;
-            let surplus = head.entries.len().saturating_sub(KEPT_ENTRIES);
+            let surplus = head.entries.len().saturating_sub(RETAINED_ENTRIES);
             head.entries.drain(..surplus);
         }
         head.version = entry.version;
@@ -245,7 +247,7 @@
             let end = bytes.len().min((part + 1) * PART_BYTES);
             let value = bytes.slice(part * PART_BYTES..end);
             let key = part_key(config.version, part);
-            // Two committers write the same bytes: a version has one content.
+            // Concurrent writers store the same bytes, because the content of a version is fixed.
             self.client
                 .put(&key, value, PutCondition::Always, None)
                 .await?;
@@ -255,7 +257,7 @@
 }
 
 fn part_key(version: u64, part: usize) -> String {
-    format!("{SNAPSHOT}{version}/{part}")
+    format!("{SNAPSHOT_PREFIX}{version}/{part}")
 }
 
 fn to_bytes<T: Serialize>(value: &T) -> Bytes {
@@ -264,12 +266,12 @@
 
 fn parse_head(value: &StoredValue) -> Result<(ConfigHead, u64), PlatformError> {
     Ok((
-        parse_value("read head", HEAD, &value.bytes)?,
+        parse_value("read head", HEAD_KEY, &value.bytes)?,
         value.revision,
     ))
 }
 
-/// Applies entries strictly in order.
+/// Applies entries in order.
 fn replay(config: &FleetConfig, entries: &[ConfigEntry]) -> Result<FleetConfig, PlatformError> {
     entries.iter().try_fold(config.clone(), |config, entry| {
         config
--- a/dockgate-config/src/lib.rs
+++ b/dockgate-config/src/lib.rs
@@ -1,7 +1,7 @@
-//! The product's own configuration log, for fleets that are run by declarations.
+//! The configuration log, for fleets that are configured by declarations.
 //!
-//! [`ConfigStore`] decides what a commit is and what is in force; the platform's client only carries
-//! the keys. A gateway does not use it: its routes are the platform's.
+//! [`ConfigStore`] defines commits and the current version on top of the platform's key-value
+//! store. Gateways do not use it: they read their routes from the platform.
 //!
 //! ```
 //! use dockgate_config::ConfigHead;
--- a/dockgate-core/src/config/change.rs
+++ b/dockgate-core/src/config/change.rs
@@ -86,16 +86,16 @@
         PoolInUse(pool: String, endpoint: String) {
             display("pool {} still has endpoint {}", pool, endpoint)
         }
-        /// Two engine pools serve the same model.
-        DuplicateModel(model: String) {
+        /// A model is served by two engine pools.
+        ModelInUse(model: String) {
             display("model {} is served by two pools", model)
         }
-        /// Two workspaces have the same key.
-        DuplicateKey(workspace: String) {
+        /// A key belongs to two workspaces.
+        KeyInUse(workspace: String) {
             display("workspace {} has the same key as another workspace", workspace)
         }
-        /// Two endpoints have the same address.
-        DuplicateAddress(endpoint: String) {
+        /// An address belongs to two endpoints.
+        AddressInUse(endpoint: String) {
             display("endpoint {} has the same address as another endpoint", endpoint)
         }
         /// An entry is not the successor of the current version.
@@ -170,7 +170,7 @@
                 return Err(ChangeError::UnknownPool(name, pool));
             }
             if !addresses.insert(endpoint.address) {
-                return Err(ChangeError::DuplicateAddress(endpoint.name.clone()));
+                return Err(ChangeError::AddressInUse(endpoint.name.clone()));
             }
         }
         Ok(())
@@ -183,9 +183,7 @@
             .filter(|(_, pool)| pool.kind == PoolKind::Engine)
             .flat_map(|(_, pool)| &pool.models)
             .find(|model| !models.insert(*model))
-            .map_or(Ok(()), |model| {
-                Err(ChangeError::DuplicateModel(model.clone()))
-            })
+            .map_or(Ok(()), |model| Err(ChangeError::ModelInUse(model.clone())))
     }
 
     fn check_keys(&self) -> Result<(), ChangeError> {
@@ -193,7 +191,7 @@
         for (_, workspace) in self.workspaces.iter() {
             for hash in &workspace.key_hashes {
                 if !hashes.insert(hash.to_string()) {
-                    return Err(ChangeError::DuplicateKey(workspace.name.clone()));
+                    return Err(ChangeError::KeyInUse(workspace.name.clone()));
                 }
             }
         }
--- a/dockgate-core/src/config/declaration.rs
+++ b/dockgate-core/src/config/declaration.rs
@@ -29,10 +29,10 @@
 use crate::ini::{IniDocument, IniProblems, SectionReader};
 use std::net::SocketAddr;
 
-const ALLOWED_SECTIONS: &str = "[workspace NAME], [pool NAME], [endpoint NAME] and [kind NAME]";
-const ALLOWED_ADDRESS: &str =
+const SECTIONS: &str = "[workspace NAME], [pool NAME], [endpoint NAME] and [kind NAME]";
+const ADDRESS: &str =
     "an IP address and a port, such as 10.0.0.7:8000 (host names are not resolved)";
-const ALLOWED_WEIGHT: &str = "a number from 0 to 1000000";
+const WEIGHT: &str = "a number from 0 to 1000000";
 const DEFAULT_QUEUE_LIMIT: u32 = 256;
 const DEFAULT_OUTPUT_WEIGHT: f64 = 1.0;
 const DEFAULT_SLOTS: u32 = 16;
@@ -73,7 +73,7 @@
             ("kind", false) => declaration.kinds.push(read_kind(&mut section)),
             _ => {
                 let header = format!("[{} {}]", section.kind, section.name);
-                let message = format!("unknown section {header}; allowed: {ALLOWED_SECTIONS}");
+                let message = format!("unknown section {header}; allowed: {SECTIONS}");
                 document.report(section.line, message);
                 continue;
             }
@@ -128,9 +128,7 @@
 }
 
 fn take_weight(section: &mut SectionReader, key: &str, default: f64) -> f64 {
-    section.take_checked(key, default, ALLOWED_WEIGHT, |weight| {
-        (0.0..=1e6).contains(weight)
-    })
+    section.take_checked(key, default, WEIGHT, |weight| (0.0..=1e6).contains(weight))
 }
 
 fn read_pool(section: &mut SectionReader) -> Option<PoolSpec> {
@@ -164,8 +162,8 @@
 fn read_endpoint(section: &mut SectionReader) -> Option<EndpointSpec> {
     let pool = section.take_required("pool", "the name of a pool");
     let domain = section.take_required("domain", "the name of a failure domain");
-    let address: Option<SocketAddr> = section.take_required("address", ALLOWED_ADDRESS);
-    let domain_addresses = section.take_prefixed("address.", ALLOWED_ADDRESS);
+    let address: Option<SocketAddr> = section.take_required("address", ADDRESS);
+    let domain_addresses = section.take_prefixed("address.", ADDRESS);
     let slots = section.take_checked(
         "slots",
         DEFAULT_SLOTS,
--- a/dockgate-core/src/placement.rs
+++ b/dockgate-core/src/placement.rs
@@ -1,8 +1,8 @@
 //! Assignment of endpoints to scheduling boxes by rendezvous hashing over the live boxes.
 //!
 //! There is no leader election. Boxes with the same view of the fleet agree on the owners. With
-//! different views, two boxes may both own an endpoint for a while; scheduling is then less precise,
-//! but remains safe.
+//! different views, two boxes may both own an endpoint for a while; scheduling is then less
+//! precise, but remains safe.
 
 use crate::ids::{BoxKey, EndpointKey};
 use xxhash_rust::xxh3::xxh3_64;
--- a/dockgate-core/src/topology.rs
+++ b/dockgate-core/src/topology.rs
@@ -82,8 +82,8 @@
             .collect()
     }
 
-    /// Returns the schedulers of each pool, ordered by distance from the box `own_key`: first the box
-    /// itself, then those of its failure domain, then the others.
+    /// Returns the schedulers of each pool, ordered by distance from the box `own_key`: first the
+    /// box itself, then those of its failure domain, then the others.
     pub fn schedulers_by_distance(&self, own_key: BoxKey) -> HashMap<PoolKey, Vec<BoxKey>> {
         let own_domain = self.domains.get(&own_key);
         let distance = |key: &BoxKey| match key {
--- a/dockgate-proto/src/headers.rs
+++ b/dockgate-proto/src/headers.rs
@@ -1,4 +1,4 @@
-//! Names of the HTTP headers that dockgate reads and writes.
+//! Names of HTTP headers that dockgate reads and writes.
 
 /// The id of a request, on every response.
 pub const REQUEST_ID: &str = "dockgate-request-id";
@@ -6,15 +6,15 @@
 pub const KIND: &str = "dockgate-kind";
 /// The priority inside the workspace, 0 to 9.
 pub const PRIORITY: &str = "dockgate-priority";
-/// How long the caller is ready to wait for a slot, in milliseconds.
+/// The maximum time that the caller waits for a slot, in milliseconds.
 pub const DEADLINE_MS: &str = "dockgate-deadline-ms";
-/// The key under which a request that may not be repeated is claimed.
+/// The idempotency key of a request that must not be repeated.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
 /// The id of an attempt, sent to endpoints.
 pub const ATTEMPT_ID: &str = "dockgate-attempt-id";
-/// The workspace on whose behalf an endpoint is called, sent to endpoints.
+/// The workspace of a request, sent to endpoints.
 pub const WORKSPACE: &str = "dockgate-workspace";
-/// The name of the box that calls a peer.
+/// The name of the calling box, sent to peers.
 pub const PEER_BOX: &str = "dockgate-box";
-/// The incarnation of the daemon that calls a peer.
+/// The incarnation of the calling daemon, sent to peers.
 pub const PEER_INCARNATION: &str = "dockgate-incarnation";
--- a/dockgate-proto/src/lib.rs
+++ b/dockgate-proto/src/lib.rs
@@ -1,7 +1,7 @@
-//! Messages between dockgate's processes, and what callers see of it.
+//! Messages between dockgate's processes, and the formats that callers see.
 //!
-//! Peers exchange batches of [`PeerMessage`] by JSON-RPC; operators call the methods named in
-//! [`operator`]; callers get [`RefusalBody`] as the body of every refusal.
+//! Peers exchange batches of [`PeerMessage`] by JSON-RPC. Operators call the methods in
+//! [`operator`]. Callers get a [`RefusalBody`] as the body of every refusal.
 //!
 //! ```
 //! use dockgate_core::{GrantId, PoolKey, EndpointKey, WorkspaceKey};
--- a/dockgate-proto/src/operator.rs
+++ b/dockgate-proto/src/operator.rs
@@ -1,130 +1,130 @@
-//! What `dockgatectl` and a daemon's operator door say to each other.
+//! Messages between `dockgatectl` and the operator listener of a daemon.
 
 use dockgate_core::{ConfigChange, ConfigEntry, ConfigPlan, FleetConfig};
 use serde::{Deserialize, Serialize};
 
-/// Works out a plan: [`PlanRequest`] to [`PlanReply`].
+/// Creates a plan: [`PlanRequest`] to [`PlanReply`].
 pub const PLAN: &str = "plan";
 /// Commits a plan: [`ConfirmRequest`] to [`ConfirmReply`].
 pub const CONFIRM: &str = "confirm";
-/// Returns the configuration in force: no parameters to [`FleetConfig`].
+/// Returns the current configuration: no parameters to [`FleetConfig`].
 pub const SHOW: &str = "show";
 /// Returns the last changes: [`HistoryRequest`] to a list of [`ConfigEntry`].
 pub const HISTORY: &str = "history";
 /// Returns the state of the box: no parameters to [`StatusReply`].
 pub const STATUS: &str = "status";
 
-/// Codes of the errors that the operator door answers with.
+/// JSON-RPC error codes of the operator listener.
 pub mod codes {
-    /// The intent breaks a rule of the configuration.
+    /// The intent violates a rule of the configuration.
     pub const INVALID: i32 = 1001;
-    /// The plan's base version no longer stands.
+    /// The base version of the plan is no longer the current one.
     pub const STALE: i32 = 1002;
-    /// No such plan.
+    /// The plan does not exist.
     pub const UNKNOWN_PLAN: i32 = 1003;
-    /// The platform's service cannot be reached.
+    /// The platform's store is unreachable.
     pub const PLATFORM: i32 = 1004;
 }
 
-/// An intent.
+/// The changes that an operator requests.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PlanIntent {
-    /// Single changes.
+    /// Individual changes.
     Changes(Vec<ConfigChange>),
-    /// A whole declaration: the name of the file, for problems, and its text.
+    /// A whole declaration: the file name, used in errors, and the text.
     Declaration(String, String),
 }
 
-/// Asks for a plan.
+/// Requests a plan.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PlanRequest {
-    /// What the operator wants.
+    /// The requested changes.
     pub intent: PlanIntent,
 }
 
-/// A plan, kept for confirmation.
+/// A plan that is stored until it is confirmed.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PlanReply {
     /// The plan.
     pub plan: ConfigPlan,
-    /// For how many seconds it can be confirmed.
+    /// The time within which it can be confirmed, in seconds.
     pub valid_for_s: u64,
 }
 
-/// Asks for a plan to be committed.
+/// Requests that a plan is committed.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ConfirmRequest {
-    /// The plan's id.
+    /// The id of the plan.
     pub plan: String,
-    /// Who confirms.
+    /// The author of the change.
     pub author: String,
 }
 
-/// A committed plan.
+/// The result of committing a plan.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ConfirmReply {
-    /// The version that it made.
+    /// The version that the plan created.
     pub version: u64,
-    /// Whether it had been committed before.
+    /// Whether the plan had been committed before.
     pub already: bool,
 }
 
-/// What stands against a stale plan.
+/// The details of the error for a stale plan.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct StaleDetail {
     /// The version that the plan is based on.
     pub base: u64,
-    /// The version in force.
+    /// The current version.
     pub version: u64,
-    /// What changed since, as far as it is still logged.
+    /// The entries after the base version, if the log still holds all of them.
     pub since: Vec<ConfigEntry>,
 }
 
-/// Asks for the last changes.
+/// Requests the last changes.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct HistoryRequest {
-    /// How many at most.
+    /// The maximum number of entries.
     pub limit: usize,
 }
 
-/// One box as another sees it.
+/// The state of a peer, as seen by another box.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PeerStatus {
-    /// The box.
+    /// The name of the peer.
     pub name: String,
     /// Its failure domain.
     pub domain: String,
     /// Whether the link to it is open.
     pub linked: bool,
-    /// Whether it is leaving.
+    /// Whether it is about to stop.
     pub leaving: bool,
 }
 
 /// The state of a box.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct StatusReply {
-    /// The box.
+    /// The name of the box.
     pub name: String,
     /// Its failure domain.
     pub domain: String,
-    /// The version in force here.
+    /// The version of its configuration.
     pub config_version: u64,
-    /// Whether the platform's service answers.
+    /// Whether the platform's store is reachable.
     pub platform_reachable: bool,
-    /// Requests waiting here.
+    /// The number of requests that wait at this box.
     pub waiting: usize,
-    /// Requests running from here.
+    /// The number of running requests that entered at this box.
     pub running: usize,
-    /// Endpoints that this box schedules.
+    /// The number of endpoints that this box schedules.
     pub endpoints: usize,
-    /// Slots held on them.
+    /// The number of slots in use on these endpoints.
     pub held: usize,
-    /// Violations of invariants since the start.
+    /// The number of invariant violations since the start.
     pub invariant_violations: u64,
     /// The other boxes.
     pub peers: Vec<PeerStatus>,
 }
 
-/// Names the type for [`SHOW`], which has no reply type of its own.
+/// The reply to [`SHOW`].
 pub type ShowReply = FleetConfig;
--- a/dockgate-proto/src/refusal.rs
+++ b/dockgate-proto/src/refusal.rs
@@ -1,10 +1,10 @@
-//! What a caller is told when it gets no answer from an endpoint.
+//! The body of responses to callers whose request got no answer from an endpoint.
 
 use dockgate_core::Outcome;
 use http::StatusCode;
 use serde::{Deserialize, Serialize};
 
-/// How far a request had come.
+/// The processing step of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RequestStep {
@@ -14,32 +14,32 @@
     Queue,
     /// Connecting to the endpoint.
     Connect,
-    /// Sending to the endpoint.
+    /// Sending the request to the endpoint.
     Send,
-    /// Waiting for, or passing on, the answer.
+    /// Waiting for the answer, or forwarding it.
     Answer,
 }
 
 macro_rules! refusal_codes {
     ($($(#[$doc:meta])* $name:ident = $text:literal, $status:ident;)+) => {
-        /// Why a request got no answer: a stable code.
+        /// A stable code for the reason of a refusal.
         #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
         pub enum RefusalCode {
             $($(#[$doc])* #[serde(rename = $text)] $name,)+
         }
 
         impl RefusalCode {
-            /// Every code.
+            /// All codes.
             pub const ALL: &[Self] = &[$(Self::$name,)+];
 
-            /// Returns the code as callers see it.
+            /// Returns the code in the form that callers see.
             pub const fn as_str(self) -> &'static str {
                 match self {
                     $(Self::$name => $text,)+
                 }
             }
 
-            /// Returns the HTTP status that goes with it.
+            /// Returns the HTTP status of the response.
             pub const fn status(self) -> StatusCode {
                 match self {
                     $(Self::$name => StatusCode::$status,)+
@@ -50,33 +50,33 @@
 }
 
 refusal_codes! {
-    /// No workspace has this key.
+    /// No workspace has this API key.
     UnknownKey = "unknown_key", UNAUTHORIZED;
-    /// The request cannot be read, or a header of ours has a wrong value.
+    /// The request is malformed, or a `dockgate-` header has an invalid value.
     BadRequest = "bad_request", BAD_REQUEST;
     /// The body is larger than the limit.
     BodyTooLarge = "body_too_large", PAYLOAD_TOO_LARGE;
-    /// The body did not come in time.
+    /// The body did not arrive in time.
     BodyTimeout = "body_timeout", REQUEST_TIMEOUT;
-    /// No such path.
+    /// The path does not exist.
     UnknownPath = "unknown_path", NOT_FOUND;
     /// No pool serves this model.
     UnknownModel = "unknown_model", NOT_FOUND;
-    /// No such service.
+    /// The service does not exist.
     UnknownService = "unknown_service", NOT_FOUND;
-    /// No such kind of request.
+    /// The kind of request does not exist.
     UnknownKind = "unknown_kind", BAD_REQUEST;
-    /// The workspace's own queue is full.
+    /// The queue of the workspace is full.
     QueueFull = "queue_full", TOO_MANY_REQUESTS;
-    /// No slot came free before the deadline.
+    /// No slot became free before the deadline.
     DeadlinePassed = "deadline_passed", SERVICE_UNAVAILABLE;
     /// The box has no configuration yet.
     NotReady = "not_ready", SERVICE_UNAVAILABLE;
     /// The box is stopping.
     Stopping = "stopping", SERVICE_UNAVAILABLE;
-    /// The endpoint could not be reached or refused, and the retries are used up.
+    /// The endpoint was unreachable or refused the request, and no retries are left.
     EndpointUnavailable = "endpoint_unavailable", BAD_GATEWAY;
-    /// The endpoint was lost after the request had been sent.
+    /// The connection to the endpoint was lost after the request was sent.
     EndpointLost = "endpoint_lost", BAD_GATEWAY;
 }
 
@@ -85,15 +85,15 @@
 pub struct RefusalBody {
     /// The stable code.
     pub code: RefusalCode,
-    /// Whether the request ran.
+    /// Whether the request was executed.
     pub outcome: Outcome,
-    /// How far it had come.
+    /// The step at which the request failed.
     pub step: RequestStep,
-    /// The reason in words.
+    /// The reason in prose.
     pub message: String,
     /// The id of the request.
     pub request_id: String,
-    /// After how many seconds it is worth trying again.
+    /// The recommended delay before a retry, in seconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub retry_after_s: Option<u32>,
 }
