--- a/dockgate/src/dispatch/actor.rs
+++ b/dockgate/src/dispatch/actor.rs
@@ -52,7 +52,7 @@
         let local_box = LiveBox {
             key: BoxKey::from_name(&settings.name),
             domain: settings.domain.clone(),
-            schedules: true,
+            may_schedule: true,
         };
         let schedule = &settings.schedule;
         let rule = SchedulePolicy {
@@ -146,7 +146,7 @@
             self.scheduler.update_demand(to, demand, now);
             return;
         }
-        let message = PeerMessage::Seek(
+        let message = PeerMessage::SlotRequest(
             demand.pool,
             demand.workspace,
             demand.waiting,
@@ -186,7 +186,7 @@
             None => PeerMessage::Progress(id, cost),
             Some(SlotOutcome::Answered) => PeerMessage::Settle(id, cost),
             Some(SlotOutcome::Full) => PeerMessage::Refused(id),
-            Some(SlotOutcome::Backoff(rest_ms)) => PeerMessage::Resting(id, rest_ms),
+            Some(SlotOutcome::Backoff(rest_ms)) => PeerMessage::Backoff(id, rest_ms),
             Some(SlotOutcome::Lost) => PeerMessage::Lost(id, cost),
         };
         self.send(to, message);
@@ -237,7 +237,7 @@
     ) -> Vec<EntryAction> {
         let step = message.step();
         let is_known = match message {
-            PeerMessage::Seek(pool, workspace, waiting, grants_seen, age_ms) => {
+            PeerMessage::SlotRequest(pool, workspace, waiting, grants_seen, age_ms) => {
                 let demand = SlotDemand {
                     pool,
                     workspace,
@@ -269,7 +269,7 @@
                 let report = settle_report(id, 0, Some(SlotOutcome::Full));
                 self.scheduler.settle(from, report, now)
             }
-            PeerMessage::Resting(id, rest_ms) => {
+            PeerMessage::Backoff(id, rest_ms) => {
                 let report = settle_report(id, 0, Some(SlotOutcome::Backoff(rest_ms)));
                 self.scheduler.settle(from, report, now)
             }
@@ -291,7 +291,7 @@
                 self.pause(id);
                 true
             }
-            PeerMessage::Free(pool, free) => {
+            PeerMessage::FreeSlots(pool, free) => {
                 self.entry.set_free_slots(from, pool, free);
                 true
             }
@@ -362,7 +362,7 @@
         self.scheduler
             .set_scheduler_counts(self.topology.scheduler_counts());
         self.entry
-            .set_schedulers(self.topology.schedulers_from(self.local_box.key));
+            .set_schedulers(self.topology.schedulers_by_distance(self.local_box.key));
         let topology = &self.topology;
         let reassigned = self.entry.reassign(|endpoint| topology.owner(endpoint));
         for (owner, adopted) in reassigned {
--- a/dockgate/src/dispatch/handlers.rs
+++ b/dockgate/src/dispatch/handlers.rs
@@ -222,7 +222,7 @@
 });
 
 handle!(Leave, (), |actor, _message| {
-    actor.local_box.schedules = false;
+    actor.local_box.may_schedule = false;
     for key in actor.links.keys() {
         actor.links.send(key, PeerMessage::Leaving);
     }
--- a/dockgate/src/dispatch/peer_links.rs
+++ b/dockgate/src/dispatch/peer_links.rs
@@ -119,7 +119,7 @@
             PeerMessage::Settle(id, cost) => PeerMessage::Settle(id, cost),
             // By the next hello, the state of the endpoint is outdated.
             PeerMessage::Lost(id, cost) => PeerMessage::Settle(id, cost),
-            PeerMessage::Refused(id) | PeerMessage::Resting(id, _) => PeerMessage::Settle(id, 0),
+            PeerMessage::Refused(id) | PeerMessage::Backoff(id, _) => PeerMessage::Settle(id, 0),
             _ => return,
         };
         if link.undelivered_settles.len() < Self::MAX_SETTLES {
@@ -136,7 +136,7 @@
             .map(|link| LiveBox {
                 key: link.member.key,
                 domain: link.member.domain.clone(),
-                schedules: !link.member.leaving,
+                may_schedule: !link.member.leaving,
             });
         std::iter::once(local_box.clone()).chain(others).collect()
     }
@@ -159,7 +159,7 @@
             let same_availability = (*announced == 0) == (*free == 0);
             if !same_availability || *free > *announced * 2 || *free * 2 < *announced {
                 *announced = *free;
-                updates.push(PeerMessage::Free(*pool, *free));
+                updates.push(PeerMessage::FreeSlots(*pool, *free));
             }
         }
         updates
--- a/dockgate/src/gateway/call/send_attempts.rs
+++ b/dockgate/src/gateway/call/send_attempts.rs
@@ -343,8 +343,8 @@
         let bytes = read
             .inspect_err(|_| placement.guard.record(EndpointOutcome::Failed))?
             .to_bytes();
-        if !head.closes {
-            connection.keep(head.idle);
+        if !head.closes_connection {
+            connection.keep(head.idle_timeout);
         }
         let response = forward_answer(parts.status, &parts.headers, whole_body(bytes));
         if verdict == AnswerVerdict::Failed {
@@ -496,8 +496,8 @@
 async fn drain_body(body: Incoming, connection: PooledConnection, head: &AnswerHead) {
     const MAX_WAIT: Duration = Duration::from_millis(20);
     let read = tokio::time::timeout(MAX_WAIT, body.collect()).await;
-    if matches!(read, Ok(Ok(_))) && !head.closes {
-        connection.keep(head.idle);
+    if matches!(read, Ok(Ok(_))) && !head.closes_connection {
+        connection.keep(head.idle_timeout);
     }
 }
 
--- a/dockgate/src/gateway/event_stream.rs
+++ b/dockgate/src/gateway/event_stream.rs
@@ -168,8 +168,8 @@
             self.events,
             &self.attempts,
         );
-        if !source.head.closes {
-            source.connection.keep(source.head.idle);
+        if !source.head.closes_connection {
+            source.connection.keep(source.head.idle_timeout);
         }
         None
     }
--- a/dockgate/src/gateway/follow.rs
+++ b/dockgate/src/gateway/follow.rs
@@ -13,8 +13,8 @@
 use crate::clock::subscribe_resumes;
 use dockgate_core::gateway::{EndpointChange, StoreRevision};
 use dockgate_platform::{
-    ENDPOINTS, EndpointReading, PlatformError, ROUTES, StoreEvent, StoreListing, StoredValue,
-    WatchOutcome, decode_routes, read_endpoint, read_endpoint_event,
+    DecodedEndpoint, ENDPOINT_KEY_PREFIX, PlatformError, ROUTES_KEY, StoreEvent, StoreListing,
+    StoredValue, WatchOutcome, decode_endpoint_event, decode_endpoint_item, decode_routes,
 };
 use std::sync::Arc;
 use std::time::Duration;
@@ -161,12 +161,12 @@
 }
 
 fn apply_routes_value(state: &GatewayState, value: &StoredValue) {
-    if value.key != ROUTES {
+    if value.key != ROUTES_KEY {
         return;
     }
     match decode_routes(&value.bytes) {
         Ok(config) => state.apply_routes(config, "store"),
-        Err(error) => log_unreadable(ROUTES, &error),
+        Err(error) => log_unreadable(ROUTES_KEY, &error),
     }
 }
 
@@ -188,17 +188,17 @@
             .into_iter()
             .for_each(|value| apply_routes_value(&state, value));
     };
-    let contact = StoreContact::new(ROUTES, state.settings().drain);
+    let contact = StoreContact::new(ROUTES_KEY, state.settings().drain);
     follow(&state, contact, ROUTES_PAUSE, listed, changed).await;
 }
 
 /// Returns the change that a record stands for; logs and counts a record that is not usable.
-fn accept_reading(reading: EndpointReading) -> EndpointChange {
-    let EndpointReading { change, fault } = reading;
+fn accept_reading(reading: DecodedEndpoint) -> EndpointChange {
+    let DecodedEndpoint { change, fault } = reading;
     if let Some(fault) = fault {
         GATEWAY_METRICS.record_unusable_record(fault.as_str());
         log_gateway(&GatewayEvent::Unreadable {
-            what: &format!("{ENDPOINTS}{}", change.id()),
+            what: &format!("{ENDPOINT_KEY_PREFIX}{}", change.id()),
             problem: format!(
                 "{} at revision {}",
                 fault.as_str(),
@@ -212,16 +212,19 @@
 /// Follows the endpoints.
 pub(super) async fn follow_endpoints(state: Arc<GatewayState>) {
     let listed = |contact: &StoreContact, listing: StoreListing, era| {
-        let readings = listing.items.iter().map(|item| read_endpoint(item, era));
+        let readings = listing
+            .items
+            .iter()
+            .map(|item| decode_endpoint_item(item, era));
         let listed = readings.map(accept_reading).collect();
         let revision = StoreRevision::new(era, listing.revision);
         state.replace_endpoints(listed, revision, contact.kept_until_ms());
     };
     let changed = |contact: &StoreContact, events: Vec<StoreEvent>, era| {
-        let readings = events.iter().map(|event| read_endpoint_event(event, era));
+        let readings = events.iter().map(|event| decode_endpoint_event(event, era));
         let changes = readings.map(accept_reading).collect();
         state.apply_endpoints(changes, contact.kept_until_ms(), "store");
     };
-    let contact = StoreContact::new(ENDPOINTS, state.settings().drain);
+    let contact = StoreContact::new(ENDPOINT_KEY_PREFIX, state.settings().drain);
     follow(&state, contact, ENDPOINTS_PAUSE, listed, changed).await;
 }
--- a/dockgate/src/gateway/quarantine_rpc.rs
+++ b/dockgate/src/gateway/quarantine_rpc.rs
@@ -54,7 +54,7 @@
         .into_iter()
         .filter(|(_, quarantine)| quarantine.stage.is_active());
     let row = |(fingerprint, quarantine): (RequestFingerprint, Quarantine)| QuarantineRow {
-        print: fingerprint.to_string(),
+        fingerprint: fingerprint.to_string(),
         age_ms: (now as i64 - quarantine.at_ms).max(0) as u64,
         trials: quarantine.stage.trials,
         next_trial_ms: quarantine
--- a/dockgate/src/gateway/quarantine_store.rs
+++ b/dockgate/src/gateway/quarantine_store.rs
@@ -11,8 +11,8 @@
 use crate::clock::{now_ms, unix_ms};
 use dockgate_core::gateway::{Quarantine, QuarantineStage, RequestFingerprint};
 use dockgate_platform::{
-    ClockPair, PlatformClient, PlatformError, PutCondition, PutOutcome, QUARANTINE, StoreListing,
-    StoredValue, decode_quarantines, encode_quarantines,
+    ClockPair, PlatformClient, PlatformError, PutCondition, PutOutcome, QUARANTINE_KEY,
+    StoreListing, StoredValue, decode_quarantines, encode_quarantines,
 };
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -46,7 +46,7 @@
         }
         Err(error) => {
             log_gateway(&GatewayEvent::Unreadable {
-                what: QUARANTINE,
+                what: QUARANTINE_KEY,
                 problem: error.to_string(),
             });
             None
@@ -79,7 +79,7 @@
     listing: &StoreListing,
     is_writer: bool,
 ) {
-    let stored = listing.items.iter().find(|item| item.key == QUARANTINE);
+    let stored = listing.items.iter().find(|item| item.key == QUARANTINE_KEY);
     let stages = merge_stored(state, stored);
     let quarantines = || state.with(|view| view.suspects.quarantines(now_ms()));
     // An unreadable value is replaced once there are quarantines to write.
@@ -102,7 +102,7 @@
 /// Writes the quarantine to the store, unless another box does so meanwhile; the next probe shows
 /// the result.
 async fn write(state: &GatewayState, client: &PlatformClient) -> Result<(), PlatformError> {
-    let stored = client.get(QUARANTINE).await?;
+    let stored = client.get(QUARANTINE_KEY).await?;
     let stages = merge_stored(state, stored.as_ref()).unwrap_or_default();
     let quarantines = state.with(|view| view.suspects.quarantines(now_ms()));
     if stages == StoredStages::of(&quarantines) {
@@ -122,7 +122,7 @@
         None => PutCondition::Absent,
     };
     let value = encode_quarantines(quarantines, clock_pair());
-    client.put(QUARANTINE, value, condition, None).await
+    client.put(QUARANTINE_KEY, value, condition, None).await
 }
 
 /// Returns whether this box may send a quarantined request once, as a trial. The store grants a
@@ -147,7 +147,7 @@
     fingerprint: RequestFingerprint,
 ) -> Result<bool, PlatformError> {
     let client = state.store_client();
-    let stored = client.get(QUARANTINE).await?;
+    let stored = client.get(QUARANTINE_KEY).await?;
     if merge_stored(state, stored.as_ref()).is_none() {
         return Ok(false);
     }
--- a/dockgate/src/probed_wait.rs
+++ b/dockgate/src/probed_wait.rs
@@ -1,7 +1,7 @@
 //! Waits for responses of the platform's store to long polls, while probing the store.
 
 use dockgate_core::gateway::ProbeTiming;
-use dockgate_platform::{PlatformClient, PlatformError, QUARANTINES};
+use dockgate_platform::{PlatformClient, PlatformError, QUARANTINE_KEY_PREFIX};
 use std::future::Future;
 use std::time::Duration;
 
@@ -30,7 +30,7 @@
     loop {
         tokio::time::sleep(Duration::from_millis(timing.interval_ms)).await;
         let timeout = Duration::from_millis(timing.timeout_ms);
-        if let Err(error) = client.probe(QUARANTINES, timeout).await {
+        if let Err(error) = client.probe(QUARANTINE_KEY_PREFIX, timeout).await {
             return error;
         }
     }
