--- a/dockgate-proto/tests/recorded.rs
+++ b/dockgate-proto/tests/recorded.rs
@@ -1,9 +1,9 @@
-//! Messages as an earlier build wrote them: each is read, written again and compared byte for byte.
+//! Compatibility with recorded messages: each is decoded, encoded again and compared byte for byte.
 //!
-//! A line of a `.json` file is a message; where a tab stands in it, what is read stands before and what is written
-//! again behind. A line of `datagrams.hex` is the kind of a message and the bytes of its datagram. To add a message or
-//! to record a form that was changed on purpose, edit its line by hand: a test that fails prints what is written now.
-//! Nothing rewrites the files; `recorded_values.rs` prints those of datagrams.
+//! A line of a `.json` file is a message, or what is decoded and the expected encoding, separated
+//! by a tab. A line of `datagrams.hex` is the kind of a message and the bytes of its datagram. The
+//! files are edited by hand: to add a message or to record an intended change of the format, copy
+//! the encoding that the failed test prints. `recorded_values.rs` prints the lines of datagrams.
 
 use dockgate_core::{ConfigEntry, FleetConfig};
 use dockgate_proto::operator::{
@@ -19,49 +19,49 @@
 use serde::de::DeserializeOwned;
 use yare::parameterized;
 
-/// Reads a message and writes it again.
-fn rewritten<T: Serialize + DeserializeOwned>(line: &str) -> serde_json::Result<String> {
+/// Decodes a message and encodes it again.
+fn reencoded<T: Serialize + DeserializeOwned>(line: &str) -> serde_json::Result<String> {
     serde_json::to_string(&serde_json::from_str::<T>(line)?)
 }
 
 #[parameterized(
-    state_requests = { include_str!("recorded/state_request.json"), rewritten::<StateRequest> },
-    state_answers = { include_str!("recorded/state_answer.json"), rewritten::<StateAnswer> },
-    peer_messages = { include_str!("recorded/peer_message.json"), rewritten::<PeerMessage> },
-    batches = { include_str!("recorded/exchange_request.json"), rewritten::<ExchangeRequest> },
-    hello_requests = { include_str!("recorded/hello_request.json"), rewritten::<HelloRequest> },
-    hello_replies = { include_str!("recorded/hello_reply.json"), rewritten::<HelloReply> },
-    config_answers = { include_str!("recorded/config_answer.json"), rewritten::<ConfigAnswer> },
-    fleet_configs = { include_str!("recorded/fleet_config.json"), rewritten::<FleetConfig> },
-    plan_requests = { include_str!("recorded/plan_request.json"), rewritten::<PlanRequest> },
-    plan_replies = { include_str!("recorded/plan_reply.json"), rewritten::<PlanReply> },
-    confirm_requests = { include_str!("recorded/confirm_request.json"), rewritten::<ConfirmRequest> },
-    confirm_replies = { include_str!("recorded/confirm_reply.json"), rewritten::<ConfirmReply> },
-    stale_details = { include_str!("recorded/stale_detail.json"), rewritten::<StaleDetail> },
-    history_requests = { include_str!("recorded/history_request.json"), rewritten::<HistoryRequest> },
-    histories = { include_str!("recorded/history.json"), rewritten::<Vec<ConfigEntry>> },
-    status_replies = { include_str!("recorded/status_reply.json"), rewritten::<StatusReply> },
+    state_requests = { include_str!("recorded/state_request.json"), reencoded::<StateRequest> },
+    state_answers = { include_str!("recorded/state_answer.json"), reencoded::<StateAnswer> },
+    peer_messages = { include_str!("recorded/peer_message.json"), reencoded::<PeerMessage> },
+    batches = { include_str!("recorded/exchange_request.json"), reencoded::<ExchangeRequest> },
+    hello_requests = { include_str!("recorded/hello_request.json"), reencoded::<HelloRequest> },
+    hello_replies = { include_str!("recorded/hello_reply.json"), reencoded::<HelloReply> },
+    config_answers = { include_str!("recorded/config_answer.json"), reencoded::<ConfigAnswer> },
+    fleet_configs = { include_str!("recorded/fleet_config.json"), reencoded::<FleetConfig> },
+    plan_requests = { include_str!("recorded/plan_request.json"), reencoded::<PlanRequest> },
+    plan_replies = { include_str!("recorded/plan_reply.json"), reencoded::<PlanReply> },
+    confirm_requests = { include_str!("recorded/confirm_request.json"), reencoded::<ConfirmRequest> },
+    confirm_replies = { include_str!("recorded/confirm_reply.json"), reencoded::<ConfirmReply> },
+    stale_details = { include_str!("recorded/stale_detail.json"), reencoded::<StaleDetail> },
+    history_requests = { include_str!("recorded/history_request.json"), reencoded::<HistoryRequest> },
+    histories = { include_str!("recorded/history.json"), reencoded::<Vec<ConfigEntry>> },
+    status_replies = { include_str!("recorded/status_reply.json"), reencoded::<StatusReply> },
     quarantine_requests = {
-        include_str!("recorded/quarantine_request.json"), rewritten::<QuarantineRequest>
+        include_str!("recorded/quarantine_request.json"), reencoded::<QuarantineRequest>
     },
     quarantine_answers = {
-        include_str!("recorded/quarantine_answer.json"), rewritten::<QuarantineAnswer>
+        include_str!("recorded/quarantine_answer.json"), reencoded::<QuarantineAnswer>
     },
-    refusals = { include_str!("recorded/refusal_body.json"), rewritten::<RefusalBody> },
+    refusals = { include_str!("recorded/refusal_body.json"), reencoded::<RefusalBody> },
 )]
-fn recorded_messages_are_read_and_written_alike(
+fn messages_are_encoded_as_recorded(
     recorded: &str,
-    rewritten: fn(&str) -> serde_json::Result<String>,
+    reencoded: fn(&str) -> serde_json::Result<String>,
 ) {
     assert!(!recorded.is_empty());
     for line in recorded.lines() {
-        let (read, written) = line.split_once('\t').unwrap_or((line, line));
-        assert_eq!(rewritten(read).expect(read), written);
+        let (input, expected) = line.split_once('\t').unwrap_or((line, line));
+        assert_eq!(reencoded(input).expect(input), expected);
     }
 }
 
 #[test]
-fn recorded_datagrams_are_read_and_written_alike() {
+fn datagrams_are_encoded_as_recorded() {
     for line in include_str!("recorded/datagrams.hex").lines() {
         let (kind, hex) = line.split_once(' ').unwrap();
         let bytes = (0..hex.len()).step_by(2);
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn recorded_refusals_have_each_code_and_its_status() {
+fn refusals_are_recorded_for_each_code_with_its_status() {
     let recorded = include_str!("recorded/refusal_body.json");
     let statuses = RefusalCode::ALL.iter().map(|code| {
         let text = format!(r#"{{"code":"{}","#, code.as_str());
@@ -90,19 +90,16 @@
 }
 
 #[test]
-fn names_of_methods_and_error_codes_are_as_recorded() {
-    let between_boxes = [
+fn method_names_and_error_codes_are_unchanged() {
+    let box_methods = [
         methods::HELLO,
         methods::EXCHANGE,
         methods::CONFIG,
         methods::STATE,
         methods::QUARANTINE,
     ];
-    assert_eq!(
-        between_boxes,
-        ["hello", "x", "config", "state", "quarantine"]
-    );
-    let of_operators = [
+    assert_eq!(box_methods, ["hello", "x", "config", "state", "quarantine"]);
+    let operator_methods = [
         operator::PLAN,
         operator::CONFIRM,
         operator::SHOW,
@@ -110,7 +107,7 @@
         operator::STATUS,
     ];
     assert_eq!(
-        of_operators,
+        operator_methods,
         ["plan", "confirm", "show", "history", "status"]
     );
     let codes = [
--- a/dockgate-proto/tests/recorded_values.rs
+++ b/dockgate-proto/tests/recorded_values.rs
@@ -1,8 +1,9 @@
-//! Datagrams by value: what each field of a message holds in the recorded bytes.
+//! Compatibility of datagrams by value: what each field holds in the recorded bytes.
 //!
-//! Datagrams carry no names, so that reading and writing alone would not notice two fields that changed places. To
-//! record anew, run `cargo test -p dockgate-proto --test recorded_values -- --ignored --nocapture` and copy the lines
-//! that it prints into `recorded/datagrams.hex`; nothing writes that file by itself.
+//! Guards against fields that change places, which decoding and encoding alone would not show, as
+//! datagrams carry no names. To update the recorded file, run
+//! `cargo test -p dockgate-proto --test recorded_values -- --ignored --nocapture` and copy the
+//! lines that it prints into `recorded/datagrams.hex`.
 
 use dockgate_core::gateway::{
     AdmissionRequest, AdmissionVerdict, BoxHeartbeat, BoxReport, BoxStatus, BoxSummary,
@@ -214,7 +215,7 @@
     ]
 }
 
-/// Writes the datagram of each message as a line of the recorded file.
+/// Returns the lines of the recorded file for all messages.
 fn lines() -> String {
     let lines = messages().into_iter().map(|message| {
         let kind = message.kind();
@@ -231,12 +232,12 @@
 }
 
 #[test]
-fn datagrams_hold_each_field_where_it_is_recorded() {
+fn datagram_fields_are_encoded_as_recorded() {
     assert_eq!(lines(), include_str!("recorded/datagrams.hex"));
 }
 
 #[test]
-#[ignore = "prints the lines of datagrams.hex, to record them anew"]
+#[ignore = "prints the lines for datagrams.hex"]
 fn print_datagrams() {
     print!("{}", lines());
 }
--- a/dockgate/src/gateway/events/tests.rs
+++ b/dockgate/src/gateway/events/tests.rs
@@ -2,7 +2,7 @@
 use crate::gateway::settings::parse_settings;
 use yare::parameterized;
 
-/// Guards the field names that operators and `dockgatectl explain` rely on.
+/// Guards against renamed fields, which operators and `dockgatectl explain` rely on.
 #[parameterized(
     sent = {
         GatewayEvent::Sent {
@@ -91,14 +91,14 @@
         "away_ms event step"
     },
 )]
-fn each_line_has_its_fields(event: GatewayEvent<'_>, fields: &str) {
+fn events_have_the_expected_fields(event: GatewayEvent<'_>, fields: &str) {
     let value = serde_json::to_value(&event).unwrap();
     let names: Vec<&String> = value.as_object().unwrap().keys().collect();
     let expected: Vec<&str> = fields.split_whitespace().collect();
     assert_eq!(names, expected);
 }
 
-/// Returns one event of each kind, and two of those with something that may be missing.
+/// Returns an event of each kind, and two of those with optional fields.
 fn recorded_events(settings: &GatewaySettings) -> Vec<GatewayEvent<'_>> {
     vec![
         GatewayEvent::Started { settings },
@@ -319,10 +319,10 @@
     ]
 }
 
-/// Whoever reads logs goes by the names of events and fields. To record a line that was changed on purpose, edit
-/// `recorded.json` by hand; nothing rewrites it.
+/// Guards against renamed events and fields, which readers of logs rely on. To record an intended
+/// change, edit `recorded.json`.
 #[test]
-fn each_event_is_written_as_recorded() {
+fn events_are_serialized_as_recorded() {
     let text = "[box]\nname = a1\ndomain = a\n[listen]\ncallers = 10.0.0.1:80\nreadiness = 10.0.0.1:81\n\
                 state = 10.0.0.1:82\npeers = 10.0.0.1:83\nmetrics = 10.0.0.1:84\n[platform]\n\
                 store = 10.0.0.9:80\n[gateway]\nseeds = 10.0.0.2:82\n";
@@ -336,12 +336,12 @@
 }
 
 #[test]
-fn an_asked_engine_is_written_as_recorded() {
-    let asked = DeclinedEngine {
+fn declined_engines_are_serialized_as_recorded() {
+    let engine = DeclinedEngine {
         endpoint: "e".to_owned(),
         first_event_ms: 900,
         decided_by: "b".to_owned(),
     };
     let recorded = r#"{"endpoint":"e","first_event_ms":900,"decided_by":"b"}"#;
-    assert_eq!(serde_json::to_string(&asked).unwrap(), recorded);
+    assert_eq!(serde_json::to_string(&engine).unwrap(), recorded);
 }
--- a/dockgate/src/logging/tests.rs
+++ b/dockgate/src/logging/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use yare::parameterized;
 
-/// Whoever reads logs goes by the names of events and fields; lines are recorded by hand.
+/// Guards against renamed events and fields, which readers of logs rely on.
 #[parameterized(
     routed = {
         LogEvent::Routed {
@@ -51,12 +51,12 @@
         r#"{"event":"lifecycle","state":"s"}"#
     },
 )]
-fn each_event_is_written_as_recorded(event: LogEvent<'_>, recorded: &str) {
+fn events_are_serialized_as_recorded(event: LogEvent<'_>, recorded: &str) {
     assert_eq!(serde_json::to_string(&event).unwrap(), recorded);
 }
 
 #[test]
-fn lines_are_written_as_recorded() {
+fn lines_are_serialized_as_recorded() {
     let line = |message: Option<String>, event: Option<&str>| LogLine {
         at_ms: 1,
         level: "INFO",
