--- a/dockgatectl/src/args.rs
+++ b/dockgatectl/src/args.rs
@@ -1,10 +1,10 @@
-//! The command line.
+//! Command line arguments.
 
 use clap::{Args, Parser, Subcommand, ValueEnum};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Drives a dockgate fleet: states intents, reviews plans, confirms them.
+/// Operates a dockgate fleet: plans, reviews and confirms changes of its configuration.
 #[derive(Debug, Parser)]
 #[command(
     version,
@@ -35,16 +35,16 @@
     /// Seconds to wait for the daemon.
     #[arg(long, default_value_t = 30, global = true)]
     pub(crate) timeout_s: u64,
-    /// Name that stands in the history; the login name by default.
+    /// Author recorded in the history; the login name by default.
     #[arg(long, env = "DOCKGATE_AUTHOR", global = true)]
     author: Option<String>,
-    /// What to do.
+    /// Command to run.
     #[command(subcommand)]
     pub(crate) command: CtlCommand,
 }
 
 impl CtlArgs {
-    /// Returns the name that stands in the history.
+    /// Returns the author to be recorded in the history.
     pub(crate) fn author(&self) -> String {
         self.author
             .clone()
@@ -53,30 +53,30 @@
     }
 }
 
-/// What to do.
+/// Command to run.
 #[derive(Debug, Subcommand)]
 pub(crate) enum CtlCommand {
-    /// Tells one request's story from the logs of the boxes.
+    /// Shows the timeline of a request from the logs of the boxes.
     Explain {
-        /// The request's id.
+        /// Id of the request.
         id: String,
-        /// Log files of any boxes; standard input where none is named.
+        /// Log files of any boxes; standard input if none is given.
         logs: Vec<PathBuf>,
     },
-    /// Shows where requests were lost, and how late first events came against what was expected.
+    /// Shows where requests were lost, and how late first events were compared to the estimate.
     Losses {
-        /// Log files of any boxes; standard input where none is named.
+        /// Log files of any boxes; standard input if none is given.
         logs: Vec<PathBuf>,
     },
-    /// Shows the requests that a gateway sends to no endpoint, as several have ended under them.
+    /// Shows the requests in quarantine, which crashed several endpoints and are sent to none.
     ///
-    /// The address is that of any gateway's `[listen] state`; no token is asked for there.
+    /// `--operator` is the `[listen] state` address of any gateway; no token is needed.
     Quarantine {
-        /// Releases the request with this print, which stands in log lines.
+        /// Releases the request with this fingerprint, which log lines show as `print`.
         #[arg(long)]
         release: Option<String>,
     },
-    /// Works out what a declaration file would change, and keeps the plan for `confirm`.
+    /// Shows what a declaration file would change, and keeps the plan for `confirm`.
     Plan {
         /// The declaration file.
         #[arg(short, long)]
@@ -87,61 +87,61 @@
         /// The declaration file.
         #[arg(short, long)]
         file: PathBuf,
-        /// Commits without a further question.
+        /// Commits the change instead of only showing its plan.
         #[arg(long)]
         yes: bool,
     },
-    /// Commits a plan that has been reviewed.
+    /// Commits a reviewed plan.
     Confirm {
-        /// The plan's id.
+        /// Id of the plan.
         plan: String,
     },
     /// Shows the configuration in force.
     Show {
-        /// Only one part of it.
+        /// Part to show; all parts by default.
         subject: Option<ShowSubject>,
     },
     /// Shows the state of the daemon's box and its peers.
     Status,
     /// Shows the last changes, newest first.
     History {
-        /// How many at most.
+        /// Maximum number of changes.
         #[arg(long, default_value_t = 20)]
         limit: usize,
     },
     /// Adds, changes or retires a workspace.
     Workspace {
-        /// What to do with it.
+        /// Action to take.
         #[command(subcommand)]
         verb: WorkspaceVerb,
-        /// Commits without a further question.
+        /// Commits the change instead of only showing its plan.
         #[arg(long, global = true)]
         yes: bool,
     },
     /// Adds, changes or retires a pool.
     Pool {
-        /// What to do with it.
+        /// Action to take.
         #[command(subcommand)]
         verb: PoolVerb,
-        /// Commits without a further question.
+        /// Commits the change instead of only showing its plan.
         #[arg(long, global = true)]
         yes: bool,
     },
     /// Adds, changes or retires an endpoint.
     Endpoint {
-        /// What to do with it.
+        /// Action to take.
         #[command(subcommand)]
         verb: EndpointVerb,
-        /// Commits without a further question.
+        /// Commits the change instead of only showing its plan.
         #[arg(long, global = true)]
         yes: bool,
     },
     /// Adds, changes or retires a kind of request.
     Kind {
-        /// What to do with it.
+        /// Action to take.
         #[command(subcommand)]
         verb: KindVerb,
-        /// Commits without a further question.
+        /// Commits the change instead of only showing its plan.
         #[arg(long, global = true)]
         yes: bool,
     },
@@ -170,40 +170,40 @@
     Kinds,
 }
 
-/// What to do with a workspace.
+/// Action on a workspace.
 #[derive(Debug, Subcommand)]
 pub(crate) enum WorkspaceVerb {
     /// Adds one.
     Add(WorkspaceFlags),
-    /// Changes one; what is not named stays.
+    /// Changes one; fields that are not given stay.
     Set(WorkspaceFlags),
     /// Retires one.
-    Retire(NameFlag),
+    Retire(NameArg),
 }
 
-/// What to do with a pool.
+/// Action on a pool.
 #[derive(Debug, Subcommand)]
 pub(crate) enum PoolVerb {
     /// Adds one.
     Add(PoolFlags),
-    /// Changes one; what is not named stays.
+    /// Changes one; fields that are not given stay.
     Set(PoolFlags),
     /// Retires one.
-    Retire(NameFlag),
+    Retire(NameArg),
 }
 
-/// What to do with an endpoint.
+/// Action on an endpoint.
 #[derive(Debug, Subcommand)]
 pub(crate) enum EndpointVerb {
     /// Adds one.
     Add(EndpointFlags),
-    /// Changes one; what is not named stays.
+    /// Changes one; fields that are not given stay.
     Set(EndpointFlags),
-    /// Retires one: it gets no new work and finishes what it has.
-    Retire(NameFlag),
+    /// Retires one: it gets no new requests and finishes those it runs.
+    Retire(NameArg),
 }
 
-/// What to do with a kind of request.
+/// Action on a kind of request.
 #[derive(Debug, Subcommand)]
 pub(crate) enum KindVerb {
     /// Adds one.
@@ -211,12 +211,12 @@
     /// Changes one.
     Set(KindFlags),
     /// Retires one.
-    Retire(NameFlag),
+    Retire(NameArg),
 }
 
-/// The name of a thing.
+/// The name of an item.
 #[derive(Debug, Args)]
-pub(crate) struct NameFlag {
+pub(crate) struct NameArg {
     /// The name.
     pub(crate) name: String,
 }
@@ -235,7 +235,7 @@
     /// Hash of an API key, as `hash-key` prints; may be given several times.
     #[arg(long)]
     pub(crate) key: Vec<String>,
-    /// How many requests may wait at one box.
+    /// Maximum number of requests that wait at a box.
     #[arg(long)]
     pub(crate) queue_limit: Option<String>,
 }
@@ -245,22 +245,22 @@
 pub(crate) struct PoolFlags {
     /// The name.
     pub(crate) name: String,
-    /// What stands behind it: engine or service.
+    /// Type of its endpoints: engine or service.
     #[arg(long)]
     pub(crate) kind: Option<String>,
-    /// A model that it serves; may be given several times.
+    /// Model that it serves; may be given several times.
     #[arg(long)]
     pub(crate) model: Vec<String>,
     /// Whether its engines resume streams: yes or no.
     #[arg(long)]
     pub(crate) resumes: Option<String>,
-    /// Service units for a token of the prompt.
+    /// Service units per token of the prompt.
     #[arg(long)]
     pub(crate) input_weight: Option<String>,
-    /// Service units for a token of the answer.
+    /// Service units per token of the answer.
     #[arg(long)]
     pub(crate) output_weight: Option<String>,
-    /// Service units for a millisecond of slot time.
+    /// Service units per millisecond of slot time.
     #[arg(long)]
     pub(crate) slot_ms_weight: Option<String>,
 }
@@ -276,16 +276,16 @@
     /// Its failure domain.
     #[arg(long)]
     pub(crate) domain: Option<String>,
-    /// Its address, by IP number.
+    /// Its IP address and port.
     #[arg(long)]
     pub(crate) address: Option<String>,
-    /// Another address for one domain's boxes, as DOMAIN=ADDRESS; may be given several times.
+    /// Address for the boxes of one failure domain, as DOMAIN=ADDRESS; may be given several times.
     #[arg(long)]
     pub(crate) address_from: Vec<String>,
-    /// How many requests it runs at once.
+    /// Maximum number of concurrent requests.
     #[arg(long)]
     pub(crate) slots: Option<String>,
-    /// Whether its refusals mean that it has not started: yes or no.
+    /// Whether a refusal guarantees that the request was not run: yes or no.
     #[arg(long)]
     pub(crate) honest_refusal: Option<String>,
 }
@@ -295,7 +295,7 @@
 pub(crate) struct KindFlags {
     /// The name.
     pub(crate) name: String,
-    /// Whether a request of it may be sent to a second endpoint: yes or no.
+    /// Whether its requests may be retried at another endpoint: yes or no.
     #[arg(long)]
     pub(crate) repeatable: Option<String>,
 }
--- a/dockgatectl/src/change.rs
+++ b/dockgatectl/src/change.rs
@@ -1,4 +1,4 @@
-//! Turns single commands into changes, by the same rules as declaration files.
+//! Conversion of commands to configuration changes, by the rules of declaration files.
 
 use crate::args::{
     EndpointFlags, EndpointVerb, KindFlags, KindVerb, PoolFlags, PoolVerb, WorkspaceFlags,
@@ -8,10 +8,10 @@
 use dockgate_core::{ConfigChange, Declaration, FleetConfig, PoolKind, parse_declaration};
 use std::fmt::Write;
 
-/// The name that stands for the command line in problems.
+/// Source name of the command line in error messages.
 const SOURCE: &str = "command";
 
-/// One section of a declaration, written from flags.
+/// Section of a declaration, built from flags.
 struct SectionText(String);
 
 impl SectionText {
@@ -28,17 +28,17 @@
     }
 
     fn parse(self) -> Result<Declaration, CtlError> {
-        parse_declaration(SOURCE, &self.0).map_err(|error| CtlError::Intent(error.to_string()))
+        parse_declaration(SOURCE, &self.0).map_err(|error| CtlError::Invalid(error.to_string()))
     }
 }
 
-/// Checks that a thing exists for `set`, and does not for `add`.
-fn check_exists(subject: &str, name: &str, exists: bool, wanted: bool) -> Result<(), CtlError> {
-    match (exists, wanted) {
-        (true, false) => Err(CtlError::Intent(format!(
+/// Checks that an item exists for `set` and does not exist for `add`.
+fn check_exists(subject: &str, name: &str, exists: bool, expected: bool) -> Result<(), CtlError> {
+    match (exists, expected) {
+        (true, false) => Err(CtlError::Invalid(format!(
             "{subject} {name} exists already; change it with `{subject} set`"
         ))),
-        (false, true) => Err(CtlError::Intent(format!(
+        (false, true) => Err(CtlError::Invalid(format!(
             "there is no {subject} {name}; add it with `{subject} add`"
         ))),
         _ => Ok(()),
@@ -47,10 +47,10 @@
 
 fn take_first<T>(specs: Vec<T>) -> Result<T, CtlError> {
     let first = specs.into_iter().next();
-    first.ok_or_else(|| CtlError::Intent("nothing was declared".to_owned()))
+    first.ok_or_else(|| CtlError::Invalid("nothing was declared".to_owned()))
 }
 
-fn join(values: &[String], old: impl FnOnce() -> Vec<String>) -> Option<String> {
+fn join_or(values: &[String], old: impl FnOnce() -> Vec<String>) -> Option<String> {
     let values = match values.is_empty() {
         true => old(),
         false => values.to_vec(),
@@ -65,11 +65,11 @@
     }
 }
 
-/// Turns a workspace command into a change.
+/// Converts a workspace command to a configuration change.
 ///
 /// # Errors
 ///
-/// Returns what is wrong with the flags.
+/// Returns an error if the flags are invalid, or don't fit whether the item exists.
 pub(crate) fn workspace_change(
     config: &FleetConfig,
     verb: &WorkspaceVerb,
@@ -85,7 +85,7 @@
     let old = config.workspaces.named(name);
     check_exists("workspace", name, old.is_some(), exists)?;
     let or_old = |flag: &Option<String>, old: Option<String>| flag.clone().or(old);
-    let keys = join(&flags.key, || {
+    let keys = join_or(&flags.key, || {
         let hashes = old.map(|old| old.key_hashes.iter().map(ToString::to_string).collect());
         hashes.unwrap_or_default()
     });
@@ -104,11 +104,11 @@
     take_first(declaration.workspaces).map(ConfigChange::PutWorkspace)
 }
 
-/// Turns a pool command into a change.
+/// Converts a pool command to a configuration change.
 ///
 /// # Errors
 ///
-/// Returns what is wrong with the flags.
+/// Returns an error if the flags are invalid, or don't fit whether the item exists.
 pub(crate) fn pool_change(config: &FleetConfig, verb: &PoolVerb) -> Result<ConfigChange, CtlError> {
     let (flags, exists) = match verb {
         PoolVerb::Add(flags) => (flags, false),
@@ -128,7 +128,7 @@
         };
         kind.to_owned()
     }));
-    let models = join(&flags.model, || {
+    let models = join_or(&flags.model, || {
         old.map(|old| old.models.clone()).unwrap_or_default()
     });
     let resumes = flags.resumes.clone();
@@ -150,11 +150,11 @@
     take_first(declaration.pools).map(ConfigChange::PutPool)
 }
 
-/// Turns an endpoint command into a change.
+/// Converts an endpoint command to a configuration change.
 ///
 /// # Errors
 ///
-/// Returns what is wrong with the flags.
+/// Returns an error if the flags are invalid, or don't fit whether the item exists.
 pub(crate) fn endpoint_change(
     config: &FleetConfig,
     verb: &EndpointVerb,
@@ -186,7 +186,7 @@
     for (from, address) in endpoint_addresses(flags, old)? {
         section = section.set(&format!("address.{from}"), Some(&address));
     }
-    // The pool is looked up by the daemon; here it only has to be declared.
+    // Parsing requires a declaration of the pool; the daemon looks up the real one.
     let declared = config.pools.named(&pool_name).map(|pool| pool.kind);
     let kind = match declared {
         Some(PoolKind::Service) => "service",
@@ -198,7 +198,8 @@
     take_first(section.parse()?.endpoints).map(ConfigChange::PutEndpoint)
 }
 
-/// Returns the other addresses of an endpoint: those in the flags, else those it has.
+/// Returns the addresses of an endpoint per failure domain: those in the flags, or else the current
+/// ones.
 fn endpoint_addresses(
     flags: &EndpointFlags,
     old: Option<&dockgate_core::EndpointSpec>,
@@ -217,18 +218,18 @@
         .iter()
         .map(|pair| {
             let (domain, address) = pair.split_once('=').ok_or_else(|| {
-                CtlError::Intent(format!("--address-from {pair}: must be DOMAIN=ADDRESS"))
+                CtlError::Invalid(format!("--address-from {pair}: must be DOMAIN=ADDRESS"))
             })?;
             Ok((domain.to_owned(), address.to_owned()))
         })
         .collect()
 }
 
-/// Turns a kind command into a change.
+/// Converts a kind command to a configuration change.
 ///
 /// # Errors
 ///
-/// Returns what is wrong with the flags.
+/// Returns an error if the flags are invalid, or don't fit whether the item exists.
 pub(crate) fn kind_change(config: &FleetConfig, verb: &KindVerb) -> Result<ConfigChange, CtlError> {
     let (flags, exists) = match verb {
         KindVerb::Add(flags) => (flags, false),
--- a/dockgatectl/src/change/tests.rs
+++ b/dockgatectl/src/change/tests.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn set_keeps_what_is_not_named() {
+fn set_keeps_fields_that_are_not_given() {
     let empty = FleetConfig::default();
     let mut add = flags("w", Some("7"));
     add.priority = Some("3".to_owned());
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn bad_intents_are_told_apart() {
+fn invalid_flags_report_their_cause() {
     let empty = FleetConfig::default();
     let set = workspace_change(&empty, &WorkspaceVerb::Set(flags("w", None)));
     assert!(
--- a/dockgatectl/src/client.rs
+++ b/dockgatectl/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls to a daemon's operator door.
+//! Client of a daemon's operator listener.
 
 use crate::error::CtlError;
 use dockgate_core::{ConfigEntry, ConfigPlan, FleetConfig};
@@ -18,16 +18,21 @@
 use std::path::Path;
 use std::time::Duration;
 
-const MOST_BYTES: u32 = 64 << 20;
+/// Maximum size of a request or response body.
+const MAX_BODY_BYTES: u32 = 64 << 20;
 
-/// A client of one daemon's operator door.
+/// Client of the operator listener of a daemon.
 pub(crate) struct OperatorClient {
     client: HttpClient,
     address: SocketAddr,
 }
 
 impl OperatorClient {
-    /// Makes a client that proves itself with the token in a file.
+    /// Creates a client that authenticates with the token in a file.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the token cannot be read or is no valid header value.
     pub(crate) fn new(
         address: SocketAddr,
         token_file: &Path,
@@ -37,13 +42,13 @@
         let token = std::fs::read_to_string(token_file)
             .map_err(|cause| CtlError::File("read token", path, cause))?;
         let bearer = HeaderValue::from_str(&format!("Bearer {}", token.trim()))
-            .map_err(|_| CtlError::Intent("the operator token is not plain text".to_owned()))?;
+            .map_err(|_| CtlError::Invalid("the operator token is not plain text".to_owned()))?;
         let mut headers = HeaderMap::new();
         headers.insert("authorization", bearer);
         Self::with_headers(address, headers, timeout_s)
     }
 
-    /// Makes a client of a door at which no token is asked for.
+    /// Creates a client of a listener that needs no token.
     pub(crate) fn without_token(address: SocketAddr, timeout_s: u64) -> Result<Self, CtlError> {
         Self::with_headers(address, HeaderMap::new(), timeout_s)
     }
@@ -56,8 +61,8 @@
         let client = HttpClientBuilder::default()
             .set_headers(headers)
             .request_timeout(Duration::from_secs(timeout_s))
-            .max_request_size(MOST_BYTES)
-            .max_response_size(MOST_BYTES)
+            .max_request_size(MAX_BODY_BYTES)
+            .max_response_size(MAX_BODY_BYTES)
             .build(format!("http://{address}"));
         let client = client.map_err(|error| {
             CtlError::Unreachable("connect", address.to_string(), error.to_string())
@@ -77,7 +82,7 @@
         })
     }
 
-    /// Works out the plan of an intent.
+    /// Requests the plan of an intent.
     pub(crate) async fn plan(&self, intent: PlanIntent) -> Result<ConfigPlan, CtlError> {
         let request = PlanRequest { intent };
         let reply: PlanReply = self.call(operator::PLAN, rpc_params![request]).await?;
@@ -104,7 +109,7 @@
         self.call(operator::HISTORY, rpc_params![request]).await
     }
 
-    /// Returns the requests in quarantine, after one was released where that is wanted.
+    /// Releases the request with a fingerprint, if given, and returns the requests in quarantine.
     pub(crate) async fn quarantine(
         &self,
         release: Option<String>,
@@ -119,7 +124,7 @@
     }
 }
 
-/// Writes a refusal, with what changed since where the plan is stale.
+/// Formats a refusal; for a stale plan, with the changes since its base version.
 fn refusal_text(error: &jsonrpsee::types::ErrorObjectOwned) -> String {
     let detail = error.data().filter(|_| error.code() == codes::STALE);
     let detail =
--- a/dockgatectl/src/error.rs
+++ b/dockgatectl/src/error.rs
@@ -1,20 +1,20 @@
-//! Errors of the tool; each carries the step and the peer or file.
+//! Errors of the tool, with the failed step and the peer or file.
 
 use quick_error::quick_error;
 
 quick_error! {
-    /// Why a command failed.
+    /// Error of a command.
     #[derive(Debug)]
     pub enum CtlError {
         /// A file cannot be read.
         File(step: &'static str, path: String, cause: std::io::Error) {
             display("{} {}: {}", step, path, cause)
         }
-        /// The intent cannot be stated so.
-        Intent(message: String) {
+        /// The input is invalid.
+        Invalid(message: String) {
             display("{}", message)
         }
-        /// The daemon refused.
+        /// The daemon refused the call.
         Refused(code: i32, message: String) {
             display("{}", message)
         }
@@ -26,14 +26,14 @@
 }
 
 impl CtlError {
-    /// Returns the exit code, as the tool's help lists them.
+    /// Returns the exit code, as listed in the help text.
     pub(crate) fn exit_code(&self) -> u8 {
         use dockgate_proto::operator::codes;
         match self {
             Self::File(..) => 2,
             Self::Refused(codes::STALE | codes::UNKNOWN_PLAN, _) => 3,
             Self::Refused(codes::PLATFORM, _) | Self::Unreachable(..) => 4,
-            Self::Intent(_) | Self::Refused(..) => 1,
+            Self::Invalid(_) | Self::Refused(..) => 1,
         }
     }
 }
--- a/dockgatectl/src/explain.rs
+++ b/dockgatectl/src/explain.rs
@@ -1,15 +1,15 @@
-//! One request's story, put together from the logs of all boxes.
+//! Timeline of a request, assembled from the logs of all boxes.
 //!
-//! Besides the request's own lines, the
-//! story shows what each box concerned had last learned of routes, store and endpoints before it.
+//! Besides the lines of the request, it has the last known state of routes, store and endpoints at
+//! each box involved.
 
 use crate::error::CtlError;
-use crate::story_line::{StoryLine, read_lines};
+use crate::log_line::{LogLine, read_lines};
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::PathBuf;
 
-/// Events that tell what a box believed; the last one of each kind and subject is shown.
-const BELIEFS: [&str; 9] = [
+/// Events that show the state known to a box; the last one of each kind and endpoint is shown.
+const STATE_EVENTS: [&str; 9] = [
     "routes_in_force",
     "store_lost",
     "store_back",
@@ -21,58 +21,67 @@
     "stopping",
 ];
 
-/// Tells the story of a request from lines of logs; none where no line names it.
-fn explain(id: &str, lines: &[StoryLine]) -> Option<String> {
-    let mut own: Vec<&StoryLine> = lines
+/// Returns the timeline of a request, or `None` if no line names it.
+fn explain(id: &str, lines: &[LogLine]) -> Option<String> {
+    let mut request_lines: Vec<&LogLine> = lines
         .iter()
         .filter(|line| line.text("request") == id)
         .collect();
-    own.sort_by_key(|line| line.at_ms);
-    let first = own.first()?.at_ms;
-    let last = own.last()?.at_ms;
-    let boxes: BTreeSet<&str> = own.iter().map(|line| line.box_name.as_str()).collect();
-    let endpoints: BTreeSet<&str> = own.iter().flat_map(|line| line.endpoints()).collect();
-    let mut believed: BTreeMap<(&str, &str, &str), &StoryLine> = BTreeMap::new();
+    request_lines.sort_by_key(|line| line.at_ms);
+    let first = request_lines.first()?.at_ms;
+    let last = request_lines.last()?.at_ms;
+    let boxes: BTreeSet<&str> = request_lines
+        .iter()
+        .map(|line| line.box_name.as_str())
+        .collect();
+    let endpoints: BTreeSet<&str> = request_lines
+        .iter()
+        .flat_map(|line| line.endpoints())
+        .collect();
+    let mut state_lines: BTreeMap<(&str, &str, &str), &LogLine> = BTreeMap::new();
     for line in lines.iter().filter(|line| line.at_ms <= last) {
         let (box_name, kind) = (line.box_name.as_str(), line.kind());
-        let subject = line.text("endpoint");
-        let concerns = boxes.contains(box_name) && BELIEFS.contains(&kind);
-        if concerns && (subject.is_empty() || endpoints.contains(subject)) {
-            let known = believed.entry((box_name, kind, subject)).or_insert(line);
-            if known.at_ms <= line.at_ms {
-                *known = line;
+        let endpoint = line.text("endpoint");
+        let is_relevant = boxes.contains(box_name) && STATE_EVENTS.contains(&kind);
+        if is_relevant && (endpoint.is_empty() || endpoints.contains(endpoint)) {
+            let latest = state_lines
+                .entry((box_name, kind, endpoint))
+                .or_insert(line);
+            if latest.at_ms <= line.at_ms {
+                *latest = line;
             }
         }
     }
-    let mut believed: Vec<&StoryLine> = believed.into_values().collect();
-    believed.sort_by_key(|line| line.at_ms);
-    let mut story = format!("request {id}; times in milliseconds from its first line\n\nbefore:\n");
-    for line in &believed {
-        story.push_str(&line.render(first));
-        story.push('\n');
+    let mut state_lines: Vec<&LogLine> = state_lines.into_values().collect();
+    state_lines.sort_by_key(|line| line.at_ms);
+    let mut timeline =
+        format!("request {id}; times in milliseconds from its first line\n\nbefore:\n");
+    for line in &state_lines {
+        timeline.push_str(&line.render(first));
+        timeline.push('\n');
     }
-    story.push_str("\nthe request:\n");
-    for line in &own {
-        story.push_str(&line.render(first));
-        story.push('\n');
+    timeline.push_str("\nthe request:\n");
+    for line in &request_lines {
+        timeline.push_str(&line.render(first));
+        timeline.push('\n');
     }
-    Some(story)
+    Some(timeline)
 }
 
-/// Prints the story of a request.
+/// Prints the timeline of a request.
 ///
 /// # Errors
 ///
-/// Returns an error where a file cannot be read, or no line names the request.
-pub(crate) fn print_story(id: &str, files: &[PathBuf]) -> Result<(), CtlError> {
+/// Returns an error if a file cannot be read or no line names the request.
+pub(crate) fn print_timeline(id: &str, files: &[PathBuf]) -> Result<(), CtlError> {
     let lines = read_lines(files)?;
-    let story = explain(id, &lines).ok_or_else(|| {
-        CtlError::Intent(format!(
+    let timeline = explain(id, &lines).ok_or_else(|| {
+        CtlError::Invalid(format!(
             "{} lines with events, none of which names {id}",
             lines.len()
         ))
     })?;
-    print!("{story}");
+    print!("{timeline}");
     Ok(())
 }
 
--- a/dockgatectl/src/explain/tests.rs
+++ b/dockgatectl/src/explain/tests.rs
@@ -14,22 +14,22 @@
 {"at_ms":130,"level":"INFO","box":"a","event":{"event":"store_lost","step":"op/config"}}
 "#;
 
-fn lines(text: &str) -> Vec<StoryLine> {
-    text.lines().filter_map(StoryLine::parse).collect()
+fn lines(text: &str) -> Vec<LogLine> {
+    text.lines().filter_map(LogLine::parse).collect()
 }
 
 #[test]
-fn a_story_has_the_requests_lines_in_order_and_what_was_believed_before() {
-    let story = explain("r1", &lines(LOG)).unwrap();
-    let (before, request) = story.split_once("the request:").unwrap();
+fn timeline_has_the_request_lines_and_the_state_before() {
+    let timeline = explain("r1", &lines(LOG)).unwrap();
+    let (before, request) = timeline.split_once("the request:").unwrap();
     assert!(before.contains("version=4") && before.contains("endpoint=e1"));
     assert!(
         before.contains("endpoint=e5"),
-        "an engine that was asked is concerned"
+        "state of an engine that was asked is shown"
     );
     assert!(
         !before.contains("version=3"),
-        "another box is not concerned"
+        "state of an uninvolved box is not shown"
     );
     assert!(!before.contains("e7") && !before.contains("store_lost"));
     let (sent, refused) = (
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn the_order_of_lines_makes_no_difference() {
+fn timeline_does_not_depend_on_the_order_of_lines() {
     let mut shuffled: Vec<&str> = LOG.lines().collect();
     shuffled.reverse();
     assert_eq!(
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_request_that_no_line_names_has_no_story() {
+fn unknown_request_has_no_timeline() {
     assert_eq!(explain("r9", &lines(LOG)), None);
     assert_eq!(explain("r1", &lines("half a li")), None);
 }
--- a/dockgatectl/src/log_line.rs
+++ b/dockgatectl/src/log_line.rs
@@ -1,25 +1,25 @@
-//! One line of a box's log, as it is read for people.
+//! Parsed log lines of boxes.
 //!
-//! Logs may come from several files in any order, cut at their ends, and mixed with other text; a
-//! line counts if a JSON object with an event stands in it.
+//! Logs may come from several files in any order, be truncated and be mixed with other text; lines
+//! without a JSON object that has an event are skipped.
 
 use crate::error::CtlError;
 use serde_json::{Map, Value};
 use std::io::Read;
 use std::path::PathBuf;
 
-/// One line of a box's log.
+/// Line of a box's log that has an event.
 #[derive(Debug, Clone, PartialEq)]
-pub(crate) struct StoryLine {
-    /// When, in milliseconds of the box's time of day.
+pub(crate) struct LogLine {
+    /// Time of day at the box, in Unix milliseconds.
     pub(crate) at_ms: u64,
-    /// The box that wrote it.
+    /// Name of the box that wrote the line.
     pub(crate) box_name: String,
     event: Map<String, Value>,
 }
 
-impl StoryLine {
-    /// Reads a line; text before the object is passed over.
+impl LogLine {
+    /// Parses a line; text before the JSON object is skipped.
     pub(crate) fn parse(line: &str) -> Option<Self> {
         let start = line.find('{')?;
         let value: Value = serde_json::from_str(line[start..].trim_end()).ok()?;
@@ -31,7 +31,7 @@
         })
     }
 
-    /// Returns a field of the event that is a text; empty where it has none.
+    /// Returns a string field of the event, or an empty string if there is none.
     pub(crate) fn text(&self, name: &str) -> &str {
         self.event
             .get(name)
@@ -39,7 +39,7 @@
             .unwrap_or_default()
     }
 
-    /// Returns the endpoints that the line names: its own, and those that were asked.
+    /// Returns the endpoint of the event and those that were asked.
     pub(crate) fn endpoints(&self) -> Vec<&str> {
         let asked = self.event.get("asked").and_then(Value::as_array);
         let asked = asked
@@ -51,12 +51,12 @@
             .collect()
     }
 
-    /// Returns what happened.
+    /// Returns the name of the event.
     pub(crate) fn kind(&self) -> &str {
         self.text("event")
     }
 
-    /// Writes the line for people: time, box, event, and its fields in order.
+    /// Formats the line as text: time since `since_ms`, box, event and its fields.
     pub(crate) fn render(&self, since_ms: u64) -> String {
         let offset = self.at_ms as i64 - since_ms as i64;
         let fields = self.event.iter().filter(|(name, _)| *name != "event");
@@ -75,12 +75,12 @@
         )
     }
 
-    /// Returns a field of the event that is a whole number.
+    /// Returns an unsigned integer field of the event.
     pub(crate) fn number(&self, name: &str) -> Option<u64> {
         self.event.get(name)?.as_u64()
     }
 
-    /// Returns the shortest wait that the engines which were asked predicted, in milliseconds.
+    /// Returns the shortest wait predicted by the engines that were asked, in milliseconds.
     pub(crate) fn shortest_wait_ms(&self) -> Option<u64> {
         let asked = self.event.get("asked")?.as_array()?;
         let waits = asked
@@ -90,12 +90,12 @@
     }
 }
 
-/// Reads the lines with events from files, or from the standard input where there are none.
+/// Reads the lines with events from files, or from standard input if no file is given.
 ///
 /// # Errors
 ///
-/// Returns an error where a file cannot be read.
-pub(crate) fn read_lines(files: &[PathBuf]) -> Result<Vec<StoryLine>, CtlError> {
+/// Returns an error if a file cannot be read.
+pub(crate) fn read_lines(files: &[PathBuf]) -> Result<Vec<LogLine>, CtlError> {
     let mut text = String::new();
     if files.is_empty() {
         let read = std::io::stdin().read_to_string(&mut text);
@@ -104,9 +104,9 @@
     for file in files {
         let name = file.display().to_string();
         let bytes = std::fs::read(file).map_err(|cause| CtlError::File("read", name, cause))?;
-        // A log that was cut inside a character is still worth reading.
+        // A log may be truncated within a character.
         text.push_str(&String::from_utf8_lossy(&bytes));
         text.push('\n');
     }
-    Ok(text.lines().filter_map(StoryLine::parse).collect())
+    Ok(text.lines().filter_map(LogLine::parse).collect())
 }
--- a/dockgatectl/src/losses/tests.rs
+++ b/dockgatectl/src/losses/tests.rs
@@ -1,12 +1,12 @@
 use super::*;
 
-fn line(event: &str) -> StoryLine {
+fn line(event: &str) -> LogLine {
     let text = format!(r#"{{"at_ms":1,"box":"a","event":{{{event}}}}}"#);
-    StoryLine::parse(&text).unwrap()
+    LogLine::parse(&text).unwrap()
 }
 
 #[test]
-fn each_loss_stands_in_its_table() {
+fn losses_are_listed_in_their_table() {
     let lines = [
         line(
             r#""event":"refused","request":"r1","route":"x","reason":"beyond_share",
@@ -18,7 +18,7 @@
         line(r#""event":"answered","request":"r4","attempts":1,"first_ms":150"#),
         line(r#""event":"send_failed","request":"r5","problem":"timed out","took_ms":250"#),
     ];
-    let text = losses(&lines);
+    let text = loss_report(&lines);
     let row = |name: &str| {
         let row = text.lines().find(|row| row.starts_with(name)).unwrap();
         let figures = row[name.len()..].split_whitespace();
@@ -32,8 +32,8 @@
 }
 
 #[test]
-fn bands_have_no_gap() {
-    let bands = [0, 49, 50, 599, 600, 90_000].map(band);
+fn buckets_have_no_gap() {
+    let names = [0, 49, 50, 599, 600, 90_000].map(bucket_name);
     let ends = [
         "   0 to 50",
         "   0 to 50",
@@ -42,5 +42,5 @@
         " 600 to ",
         " 600 to ",
     ];
-    assert_eq!(bands, ends.map(|end| format!("expected after {end} ms")));
+    assert_eq!(names, ends.map(|end| format!("expected after {end} ms")));
 }
--- a/dockgatectl/src/main.rs
+++ b/dockgatectl/src/main.rs
@@ -8,9 +8,9 @@
 mod client;
 mod error;
 mod explain;
+mod log_line;
 mod losses;
 mod render;
-mod story_line;
 
 use args::{CtlArgs, CtlCommand};
 use clap::{CommandFactory, Parser};
@@ -46,7 +46,7 @@
             clap_complete::generate(*shell, &mut command, "dockgatectl", &mut std::io::stdout());
             return Ok(());
         }
-        CtlCommand::Explain { id, logs } => return explain::print_story(id, logs),
+        CtlCommand::Explain { id, logs } => return explain::print_timeline(id, logs),
         CtlCommand::Losses { logs } => return losses::print_losses(logs),
         CtlCommand::Quarantine { release } => {
             let client = OperatorClient::without_token(args.operator, args.timeout_s)?;
@@ -58,11 +58,11 @@
     let client = OperatorClient::new(args.operator, &args.token_file, args.timeout_s)?;
     match &args.command {
         CtlCommand::Plan { file } => {
-            let plan = client.plan(declaration(file)?).await?;
+            let plan = client.plan(read_declaration(file)?).await?;
             renderer.plan(&plan);
         }
         CtlCommand::Apply { file, yes } => {
-            change_fleet(args, &client, &renderer, declaration(file)?, *yes).await?;
+            change_fleet(args, &client, &renderer, read_declaration(file)?, *yes).await?;
         }
         CtlCommand::Confirm { plan } => {
             let reply = client.confirm(plan, &args.author()).await?;
@@ -73,19 +73,19 @@
         CtlCommand::History { limit } => renderer.history(&client.history(*limit).await?),
         CtlCommand::Workspace { verb, yes } => {
             let change = change::workspace_change(&client.show().await?, verb)?;
-            change_fleet(args, &client, &renderer, single(change), *yes).await?;
+            change_fleet(args, &client, &renderer, single_change(change), *yes).await?;
         }
         CtlCommand::Pool { verb, yes } => {
             let change = change::pool_change(&client.show().await?, verb)?;
-            change_fleet(args, &client, &renderer, single(change), *yes).await?;
+            change_fleet(args, &client, &renderer, single_change(change), *yes).await?;
         }
         CtlCommand::Endpoint { verb, yes } => {
             let change = change::endpoint_change(&client.show().await?, verb)?;
-            change_fleet(args, &client, &renderer, single(change), *yes).await?;
+            change_fleet(args, &client, &renderer, single_change(change), *yes).await?;
         }
         CtlCommand::Kind { verb, yes } => {
             let change = change::kind_change(&client.show().await?, verb)?;
-            change_fleet(args, &client, &renderer, single(change), *yes).await?;
+            change_fleet(args, &client, &renderer, single_change(change), *yes).await?;
         }
         CtlCommand::HashKey { .. }
         | CtlCommand::Completions { .. }
@@ -96,18 +96,18 @@
     Ok(())
 }
 
-fn single(change: dockgate_core::ConfigChange) -> PlanIntent {
+fn single_change(change: dockgate_core::ConfigChange) -> PlanIntent {
     PlanIntent::Changes(vec![change])
 }
 
-fn declaration(file: &Path) -> Result<PlanIntent, CtlError> {
+fn read_declaration(file: &Path) -> Result<PlanIntent, CtlError> {
     let name = file.display().to_string();
     let text = std::fs::read_to_string(file)
         .map_err(|cause| CtlError::File("read", name.clone(), cause))?;
     Ok(PlanIntent::Declaration(name, text))
 }
 
-/// Plans an intent and shows it; commits it only where the operator has said yes.
+/// Plans an intent and commits the plan if `yes` is set; otherwise only shows it.
 async fn change_fleet(
     args: &CtlArgs,
     client: &OperatorClient,
--- a/dockgatectl/src/render.rs
+++ b/dockgatectl/src/render.rs
@@ -1,4 +1,4 @@
-//! Output: tables for people, JSON for programs.
+//! Output as tables or JSON.
 
 use crate::args::ShowSubject;
 use comfy_table::Table;
@@ -13,7 +13,7 @@
     json: bool,
 }
 
-/// A plan that was committed in the same command.
+/// Plan and its commit in the same command.
 #[derive(Serialize)]
 struct CommittedPlan<'a> {
     plan: &'a ConfigPlan,
@@ -31,18 +31,18 @@
 }
 
 impl Renderer {
-    /// Makes a renderer.
+    /// Creates a renderer that prints JSON if `json` is set, or else tables.
     pub(crate) const fn new(json: bool) -> Self {
         Self { json }
     }
 
-    fn print(&self, value: &impl Serialize, people: impl FnOnce()) {
+    fn print(&self, value: &impl Serialize, print_tables: impl FnOnce()) {
         match self.json {
             true => println!(
                 "{}",
                 serde_json::to_string_pretty(value).unwrap_or_default()
             ),
-            false => people(),
+            false => print_tables(),
         }
     }
 
@@ -64,7 +64,7 @@
         });
     }
 
-    /// Shows a plan to be reviewed.
+    /// Shows a plan for review.
     pub(crate) fn plan(&self, plan: &ConfigPlan) {
         self.print(plan, || {
             print_plan(plan);
@@ -76,8 +76,8 @@
 
     /// Shows a plan and its commit.
     pub(crate) fn plan_confirmed(&self, plan: &ConfigPlan, confirmed: &ConfirmReply) {
-        let both = CommittedPlan { plan, confirmed };
-        self.print(&both, || {
+        let committed = CommittedPlan { plan, confirmed };
+        self.print(&committed, || {
             print_plan(plan);
             print_confirmed(confirmed);
         });
@@ -92,17 +92,17 @@
     pub(crate) fn show(&self, config: &FleetConfig, subject: Option<ShowSubject>) {
         self.print(config, || {
             println!("version {}", config.version);
-            let wanted = |part| subject.is_none_or(|subject| subject == part);
-            if wanted(ShowSubject::Workspaces) {
+            let is_shown = |part| subject.is_none_or(|subject| subject == part);
+            if is_shown(ShowSubject::Workspaces) {
                 print_workspaces(config);
             }
-            if wanted(ShowSubject::Pools) {
+            if is_shown(ShowSubject::Pools) {
                 print_pools(config);
             }
-            if wanted(ShowSubject::Endpoints) {
+            if is_shown(ShowSubject::Endpoints) {
                 print_endpoints(config);
             }
-            if wanted(ShowSubject::Kinds) {
+            if is_shown(ShowSubject::Kinds) {
                 print_kinds(config);
             }
         });
@@ -139,7 +139,7 @@
         });
     }
 
-    /// Shows changes, newest first.
+    /// Shows the history of changes in the given order.
     pub(crate) fn history(&self, entries: &[ConfigEntry]) {
         self.print(&entries, || {
             let mut rows = table(&["version", "author", "plan", "changes"]);
