--- a/xtask/src/docs.rs
+++ b/xtask/src/docs.rs
@@ -1,18 +1,18 @@
-//! Checks that the files, metrics and settings that the docs name exist.
+//! Checks that files, metrics, settings and flags named in the docs exist.
 
 use std::collections::BTreeSet;
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// Folders that hold no source of ours.
+/// Folders without sources of the workspace.
 const SKIPPED: [&str; 2] = ["target", ".git"];
-/// Words in backticks that begin so name a metric.
-const METRIC: &str = "dockgate_";
-/// Endings of words in backticks that name a setting of time or a count.
-const SETTINGS: [&str; 3] = ["_ms", "_bytes", "_file"];
+/// Prefix of words in backticks that name a metric.
+const METRIC_PREFIX: &str = "dockgate_";
+/// Suffixes of words in backticks that name a setting.
+const SETTING_SUFFIXES: [&str; 3] = ["_ms", "_bytes", "_file"];
 
-/// Collects the files of the tree with one of the endings.
-fn files(folder: &Path, endings: &[&str], found: &mut Vec<PathBuf>) {
+/// Adds the files below a folder whose names have one of the suffixes.
+fn collect_files(folder: &Path, suffixes: &[&str], found: &mut Vec<PathBuf>) {
     let Ok(entries) = fs::read_dir(folder) else {
         return;
     };
@@ -21,15 +21,15 @@
         let name = entry.file_name().to_string_lossy().into_owned();
         match path.is_dir() {
             true if SKIPPED.contains(&name.as_str()) => {}
-            true => files(&path, endings, found),
-            false if endings.iter().any(|ending| name.ends_with(ending)) => found.push(path),
+            true => collect_files(&path, suffixes, found),
+            false if suffixes.iter().any(|suffix| name.ends_with(suffix)) => found.push(path),
             false => {}
         }
     }
 }
 
-/// Returns the words that stand in backticks.
-fn quoted(text: &str) -> impl Iterator<Item = &str> {
+/// Returns the words in backticks.
+fn code_words(text: &str) -> impl Iterator<Item = &str> {
     text.split('`')
         .skip(1)
         .step_by(2)
@@ -37,18 +37,18 @@
 }
 
 /// Returns the targets of links to files.
-fn linked(text: &str) -> impl Iterator<Item = &str> {
+fn link_targets(text: &str) -> impl Iterator<Item = &str> {
     text.split("](")
         .skip(1)
         .filter_map(|rest| rest.split([')', '#']).next())
         .filter(|target| !target.is_empty() && !target.contains("://"))
 }
 
-/// Checks every page; prints what is named and does not exist, and returns whether all exists.
+/// Checks every page and prints missing names; returns whether all exist.
 pub(crate) fn check_docs() -> bool {
     let (mut pages, mut sources) = (Vec::new(), Vec::new());
-    files(Path::new("."), &[".md"], &mut pages);
-    files(Path::new("."), &[".rs", ".ini"], &mut sources);
+    collect_files(Path::new("."), &[".md"], &mut pages);
+    collect_files(Path::new("."), &[".rs", ".ini"], &mut sources);
     let code: String = sources
         .iter()
         .filter_map(|path| fs::read_to_string(path).ok())
@@ -56,14 +56,14 @@
     let mut missing = BTreeSet::new();
     for page in &pages {
         let text = fs::read_to_string(page).unwrap_or_default();
-        let mut report = |what: &str| missing.insert(format!("{}: {what}", page.display()));
+        let mut report = |name: &str| missing.insert(format!("{}: {name}", page.display()));
         let folder = page.parent().unwrap_or(Path::new("."));
-        for target in linked(&text).filter(|target| !folder.join(target).exists()) {
+        for target in link_targets(&text).filter(|target| !folder.join(target).exists()) {
             report(target);
         }
-        for word in quoted(&text) {
-            let is_metric = word.starts_with(METRIC);
-            let is_setting = SETTINGS.iter().any(|ending| word.ends_with(ending));
+        for word in code_words(&text) {
+            let is_metric = word.starts_with(METRIC_PREFIX);
+            let is_setting = SETTING_SUFFIXES.iter().any(|suffix| word.ends_with(suffix));
             let is_flag = word.starts_with("--");
             let is_file = word.contains('/') && word.ends_with(".rs");
             let exists = match word {
--- a/xtask/src/known_red.rs
+++ b/xtask/src/known_red.rs
@@ -1,20 +1,20 @@
-//! Tests that are known to fail for a real fault: CI passes over just these, and prints them.
+//! Tests that are known to fail for a real fault: CI skips exactly these and prints them.
 //!
-//! `KNOWN-RED.txt` names one a line: the test's full name, the command with its seed, what was seen, and the issue,
-//! parted by ` | `.
+//! A line of `KNOWN-RED.txt` has four fields, separated by ` | `: full name of the test, command
+//! with its seed, observed failure, and issue.
 
 use std::io::ErrorKind;
 
 const FILE: &str = "KNOWN-RED.txt";
-/// How many there may be: more would make a list of it that nobody mends.
-const MOST: usize = 8;
+/// Maximum number of entries, so that the list stays an exception.
+const MAX_ENTRIES: usize = 8;
 
-/// Reads the names of the tests that are passed over, and prints their lines.
+/// Reads the names of the tests to skip and prints their entries.
 ///
 /// # Errors
 ///
-/// Returns what is wrong with the file.
-pub(crate) fn known_red() -> Result<Vec<String>, String> {
+/// Returns an error if the file cannot be read, or is invalid.
+pub(crate) fn read_known_red() -> Result<Vec<String>, String> {
     let text = match std::fs::read_to_string(FILE) {
         Ok(text) => text,
         Err(error) if error.kind() == ErrorKind::NotFound => return Ok(Vec::new()),
@@ -29,8 +29,11 @@
 
 fn parse(text: &str) -> Result<Vec<String>, String> {
     let lines: Vec<&str> = text.lines().filter(|line| !line.is_empty()).collect();
-    if lines.len() > MOST {
-        return Err(format!("{FILE}: {} lines, {MOST} at most", lines.len()));
+    if lines.len() > MAX_ENTRIES {
+        return Err(format!(
+            "{FILE}: {} lines, {MAX_ENTRIES} at most",
+            lines.len()
+        ));
     }
     let names = lines.iter().map(|line| {
         let parts: Vec<&str> = line.split(" | ").collect();
--- a/xtask/src/known_red/tests.rs
+++ b/xtask/src/known_red/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn each_line_names_a_test_its_command_what_was_seen_and_its_issue() {
+fn entries_need_all_four_fields() {
     let names =
         parse("a::b | cargo test a::b | late | issue 7\nc | cargo test c | lost | issue 8\n");
     assert_eq!(names, Ok(vec!["a::b".to_owned(), "c".to_owned()]));
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn a_list_that_nobody_mends_is_an_error() {
+fn too_many_entries_are_an_error() {
     let line = "a | b | c | d\n";
     assert!(parse(&line.repeat(8)).is_ok());
     assert!(parse(&line.repeat(9)).is_err());
--- a/xtask/src/main.rs
+++ b/xtask/src/main.rs
@@ -1,4 +1,4 @@
-//! Chores that CI and developers run: `cargo xtask ci`.
+//! Development tasks, run by CI and developers with `cargo xtask`.
 
 mod docs;
 mod known_red;
@@ -6,23 +6,23 @@
 
 use clap::{Parser, Subcommand};
 use docs::check_docs;
-use known_red::known_red;
+use known_red::read_known_red;
 use outer_names::missing_names;
 use std::path::Path;
 use std::process::{Command, ExitCode};
 use std::time::Instant;
 
-/// Chores of the dockgate workspace.
+/// Development tasks of the dockgate workspace.
 #[derive(Debug, Parser)]
 struct XtaskArgs {
-    /// What to do.
+    /// Task to run.
     #[command(subcommand)]
     chore: XtaskChore,
 }
 
 #[derive(Debug, Clone, Copy, Subcommand)]
 enum XtaskChore {
-    /// Runs everything that must pass before a change lands.
+    /// Runs all checks that must pass before a change is merged.
     Ci,
     /// Checks the formatting.
     Fmt,
@@ -34,20 +34,20 @@
     Test,
     /// Runs a short fleet with a fixed seed.
     Fleet,
-    /// Repeats the randomised tests with ever new seeds, for a night.
+    /// Repeats the randomised tests with increasing seeds.
     Soak {
-        /// The first seed; each round takes the next.
+        /// Seed of the first round; each further round uses the next one.
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// For how many seconds.
+        /// Duration in seconds.
         #[arg(long, default_value_t = 28_800)]
         seconds: u64,
     },
-    /// Checks that what the docs name exists.
+    /// Checks that names in the docs and listed outer names exist.
     CheckDocs,
 }
 
-/// One command to be run.
+/// Command to run.
 struct ChoreStep {
     program: &'static str,
     args: &'static [&'static str],
@@ -110,7 +110,7 @@
     }
 }
 
-/// Prints the names that leave a process and no longer stand in the sources; returns whether all do.
+/// Prints outer names that are missing in the sources; returns whether all exist.
 fn check_outer_names() -> bool {
     let missing = missing_names(Path::new("."));
     for name in &missing {
@@ -119,13 +119,14 @@
     missing.is_empty()
 }
 
-/// Repeats the randomised tests; stops at the first failure and names its seed.
-fn soak(first: u64, seconds: u64) -> bool {
+/// Repeats the randomised tests until the time is over; stops at the first failure and prints its
+/// seed.
+fn soak(first_seed: u64, seconds: u64) -> bool {
     const CASES: &str = "2000";
     let started = Instant::now();
-    for seed in first.. {
+    for seed in first_seed.. {
         if started.elapsed().as_secs() >= seconds {
-            eprintln!("xtask: {} rounds passed", seed - first);
+            eprintln!("xtask: {} rounds passed", seed - first_seed);
             return true;
         }
         let status = Command::new("cargo")
@@ -148,35 +149,35 @@
     true
 }
 
-/// Runs the tests but those that are known to fail; returns whether they passed.
+/// Runs the tests without those that are known to fail; returns whether they passed.
 fn run_tests(step: &ChoreStep) -> bool {
-    let names = match known_red() {
+    let names = match read_known_red() {
         Ok(names) => names,
         Err(problem) => {
             eprintln!("xtask: {problem}");
             return false;
         }
     };
-    // Without `--exact`, a name passes over every test that contains it.
+    // Without `--exact`, a name would skip every test whose name contains it.
     let skipped = names
         .into_iter()
         .flat_map(|name| ["--skip".to_owned(), name]);
     let harness = ["--", "--exact"].map(str::to_owned);
-    run_with(step, harness.into_iter().chain(skipped))
+    run_with_args(step, harness.into_iter().chain(skipped))
 }
 
 /// Runs a step; returns whether it succeeded.
 fn run(step: &ChoreStep) -> bool {
     match step.args {
         ["test", ..] => run_tests(step),
-        _ => run_with(step, std::iter::empty()),
+        _ => run_with_args(step, std::iter::empty()),
     }
 }
 
-fn run_with(step: &ChoreStep, more: impl Iterator<Item = String>) -> bool {
+fn run_with_args(step: &ChoreStep, extra_args: impl Iterator<Item = String>) -> bool {
     eprintln!("xtask: {} {}", step.program, step.args.join(" "));
     let mut command = Command::new(step.program);
-    command.args(step.args).args(more);
+    command.args(step.args).args(extra_args);
     if !step.rustdoc_flags.is_empty() {
         command.env("RUSTDOCFLAGS", step.rustdoc_flags);
     }
--- a/xtask/src/outer_names.rs
+++ b/xtask/src/outer_names.rs
@@ -1,16 +1,16 @@
-//! Checks that the names which leave a process still stand in the sources.
+//! Checks that the names which leave a process still exist in the sources.
 //!
-//! `docs/operators/outer-names.txt` lists them, one a line under `[kind: folders]`. A renamed field of a message, a
-//! metric or a setting would pass the compiler and break whoever reads it.
+//! `docs/operators/outer-names.txt` lists them, one a line below `[kind: folders]`. Guards against
+//! renamed message fields, metrics and settings, which compile but break their readers.
 
 use std::fs;
 use std::path::Path;
 
 const FILE: &str = "docs/operators/outer-names.txt";
-/// Endings of files whose names are read: sources, settings and the deploy file.
-const SOURCES: [&str; 3] = ["rs", "ini", "toml"];
+/// Extensions of files to search: sources, settings and the deploy file.
+const SOURCE_EXTENSIONS: [&str; 3] = ["rs", "ini", "toml"];
 
-/// Names of one kind, and the folders in which they stand.
+/// Names of one kind and the folders that use them.
 struct NameGroup<'a> {
     kind: &'a str,
     folders: Vec<&'a str>,
@@ -38,7 +38,7 @@
     groups
 }
 
-/// Adds the code of a folder, without comments and tests.
+/// Appends the code of a folder, without comments and tests.
 fn read_code(folder: &Path, code: &mut String) {
     let Ok(entries) = fs::read_dir(folder) else {
         return;
@@ -46,8 +46,8 @@
     for entry in entries.flatten() {
         let path = entry.path();
         let stem = path.file_stem().unwrap_or_default().to_string_lossy();
-        let ending = path.extension().unwrap_or_default().to_string_lossy();
-        let is_source = SOURCES.contains(&ending.as_ref());
+        let extension = path.extension().unwrap_or_default().to_string_lossy();
+        let is_source = SOURCE_EXTENSIONS.contains(&extension.as_ref());
         match path.is_dir() {
             _ if stem == "benches" || stem.ends_with("tests") => {}
             true => read_code(&path, code),
@@ -64,8 +64,9 @@
     }
 }
 
-/// Returns the forms in which a name stands in code: itself, a field of a flag, a variant of an event.
-fn forms(name: &str) -> [String; 3] {
+/// Returns the spellings of a name in code: the name itself, a field of a flag, a variant of an
+/// event.
+fn spellings(name: &str) -> [String; 3] {
     let field = name.trim_start_matches("--").replace('-', "_");
     let variant = field.split('_').map(|word| {
         let (first, rest) = word.split_at(word.len().min(1));
@@ -75,17 +76,17 @@
     [name.to_owned(), field, variant]
 }
 
-/// Tells whether a name stands in code as a whole word.
+/// Returns whether code contains a name as a whole word.
 fn has_word(code: &str, name: &str) -> bool {
-    let is_part = |letter: char| letter.is_alphanumeric() || letter == '_';
+    let is_word_char = |character: char| character.is_alphanumeric() || character == '_';
     code.match_indices(name).any(|(at, _)| {
         let before = code[..at].chars().next_back();
         let after = code[at + name.len()..].chars().next();
-        !before.is_some_and(is_part) && !after.is_some_and(is_part)
+        !before.is_some_and(is_word_char) && !after.is_some_and(is_word_char)
     })
 }
 
-/// Returns the names of the list that no longer stand in the sources of their kind.
+/// Returns the listed names that are missing in the sources of their kind.
 pub(crate) fn missing_names(root: &Path) -> Vec<String> {
     let text = fs::read_to_string(root.join(FILE)).unwrap_or_default();
     let groups = parse(&text);
@@ -98,11 +99,13 @@
         for folder in &group.folders {
             read_code(&root.join(folder), &mut code);
         }
-        let gone = group.names.into_iter().filter(|name| {
-            let stands = forms(name).iter().any(|form| has_word(&code, form));
-            !stands
+        let absent = group.names.into_iter().filter(|name| {
+            let is_found = spellings(name)
+                .iter()
+                .any(|spelling| has_word(&code, spelling));
+            !is_found
         });
-        missing.extend(gone.map(|name| format!("{}: {name}", group.kind)));
+        missing.extend(absent.map(|name| format!("{}: {name}", group.kind)));
     }
     missing
 }
--- a/xtask/src/outer_names/tests.rs
+++ b/xtask/src/outer_names/tests.rs
@@ -1,13 +1,13 @@
 use super::*;
 
 #[test]
-fn listed_names_stand_in_their_sources() {
+fn listed_names_exist_in_their_sources() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("..");
     assert_eq!(missing_names(&root), Vec::<String>::new());
 }
 
 #[test]
-fn renamed_names_are_reported() {
+fn missing_names_are_reported() {
     let folder = std::env::temp_dir().join(format!("outer-names-{}", std::process::id()));
     let sources = folder.join("core");
     fs::create_dir_all(folder.join("docs/operators")).unwrap();
