--- a/dockgate-bench/tests/endpoint_notices.rs
+++ b/dockgate-bench/tests/endpoint_notices.rs
@@ -13,7 +13,7 @@
 /// Number of consecutive rounds of requests at each box.
 const ROUNDS: usize = 8;
 /// Number of concurrent requests of a round.
-const CONCURRENT: usize = 8;
+const CONCURRENT_REQUESTS: usize = 8;
 /// Time an endpoint takes for a response or an event of a stream.
 const RESPONSE_TIME: Duration = Duration::from_millis(10);
 const BACKOFF: Duration = Duration::from_secs(3);
@@ -90,7 +90,7 @@
 ) -> Vec<Vec<CallerResponse>> {
     let mut rounds = Vec::new();
     for round in first..first + ROUNDS {
-        let responses = (0..CONCURRENT).map(|number| {
+        let responses = (0..CONCURRENT_REQUESTS).map(|number| {
             let id = format!("r{at}{round:02}{number}");
             send_with_retries(fleet, at, path, id)
         });
--- a/dockgate-bench/tests/request_quarantine.rs
+++ b/dockgate-bench/tests/request_quarantine.rs
@@ -138,7 +138,7 @@
 /// Sends the request to three boxes in turn and checks that it is quarantined after few crashes.
 async fn check_crashes_are_limited(path: &str, service: &str) {
     const SENDS: usize = 24;
-    /// Three crashes prove the cause; as many again may occur until all boxes know them.
+    /// A quarantine needs three crashes; as many more may occur until all boxes know of it.
     const MAX_RUNS: usize = 6;
     let mut fleet = CrashingFleet::start(3, service).await;
     let mut responses = Vec::new();
@@ -213,8 +213,8 @@
         (quarantined.trials, quarantined.next_trial_ms.is_some()),
         (0, true)
     );
-    let bad = gateways[0].quarantine(Some("07".to_owned())).await;
-    assert!(bad.is_err_and(|problem| problem.contains("is not a request fingerprint")));
+    let invalid = gateways[0].quarantine(Some("07".to_owned())).await;
+    assert!(invalid.is_err_and(|problem| problem.contains("is not a request fingerprint")));
     let remaining = gateways[0]
         .quarantine(Some(quarantined.print.clone()))
         .await;
--- a/dockgate-bench/tests/store_rollback.rs
+++ b/dockgate-bench/tests/store_rollback.rs
@@ -1,7 +1,6 @@
 //! The store is restored from an older copy, so that its last changes are lost and its era rises.
 //!
-//! Guards against taking what the store says after that for older than what is known, as it assigns
-//! revisions again.
+//! Guards against ignoring later changes as outdated, as the store assigns revisions again.
 
 use dockgate_bench::gateway_fleet::{GatewayFleet, KEYS, route_config, start_fleet, wait_until};
 use dockgate_bench::standin::caller::{call, request};
--- a/dockgatectl/src/change.rs
+++ b/dockgatectl/src/change.rs
@@ -205,11 +205,11 @@
     old: Option<&dockgate_core::EndpointSpec>,
 ) -> Result<Vec<(String, String)>, CtlError> {
     if flags.address_from.is_empty() {
-        let known = old
+        let current = old
             .map(|old| old.domain_addresses.iter())
             .into_iter()
             .flatten();
-        return Ok(known
+        return Ok(current
             .map(|(domain, address)| (domain.clone(), address.to_string()))
             .collect());
     }
