--- a/dockgate-bench/src/caller.rs
+++ b/dockgate-bench/src/caller.rs
@@ -1,14 +1,14 @@
 //! Callers: they send, check every byte of the answers, and count.
 
-mod check;
-mod client;
-mod stats;
+mod answer_checker;
+mod caller_client;
+mod caller_stats;
 
-pub use check::{AnswerCheck, CheckVerdict};
-pub use client::{BoxView, CallerClient};
-pub use stats::{CallOutcome, CallerStats, OutstandingCall};
+pub use answer_checker::{AnswerChecker, AnswerVerdict};
+pub use caller_client::{BoxView, CallerClient};
+pub use caller_stats::{CallOutcome, CallerStats, OutstandingCall};
 
-use crate::scenario::{Arrival, BenchScenario, EntryChoice, WorkspaceLoad};
+use crate::scenario::{ArrivalProcess, BenchScenario, EntryBoxes, WorkspaceLoad};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::sync::Arc;
@@ -17,7 +17,7 @@
 use tokio_util::sync::CancellationToken;
 
 /// How long a refused caller waits before it comes again.
-const BACK_OFF: Duration = Duration::from_millis(100);
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Drives every workspace's callers until the token is cancelled.
 pub fn start_callers(
@@ -33,16 +33,16 @@
             .wrapping_mul(1_000_003)
             .wrapping_add(index as u64 * 10_007);
         match load.arrival {
-            Arrival::Closed(callers) => {
+            ArrivalProcess::Closed(callers) => {
                 for caller in 0..callers {
-                    let random = StdRng::seed_from_u64(seed + caller as u64);
-                    let task = closed_caller(load.clone(), client.clone(), random, stop.clone());
+                    let rng = StdRng::seed_from_u64(seed + caller as u64);
+                    let task = run_closed_loop(load.clone(), client.clone(), rng, stop.clone());
                     tasks.push(tokio::spawn(task));
                 }
             }
-            Arrival::Open(rate) => {
-                let random = StdRng::seed_from_u64(seed);
-                let task = open_callers(load, rate, client.clone(), random, stop.clone());
+            ArrivalProcess::Open(rate) => {
+                let rng = StdRng::seed_from_u64(seed);
+                let task = run_open_loop(load, rate, client.clone(), rng, stop.clone());
                 tasks.push(tokio::spawn(task));
             }
         }
@@ -51,38 +51,38 @@
 }
 
 /// Sends one request after the other.
-async fn closed_caller(
+async fn run_closed_loop(
     load: Arc<WorkspaceLoad>,
     client: Arc<CallerClient>,
-    mut random: StdRng,
+    mut rng: StdRng,
     stop: CancellationToken,
 ) {
     while !stop.is_cancelled() {
-        let call = draw_call(&load, &client, &mut random);
+        let call = draw_call(&load, &client, &mut rng);
         if client.call(&load, call).await != CallOutcome::Ok {
-            tokio::time::sleep(BACK_OFF).await;
+            tokio::time::sleep(RETRY_DELAY).await;
         }
     }
 }
 
 /// Sends requests at random times, whatever becomes of the earlier ones.
-async fn open_callers(
+async fn run_open_loop(
     load: Arc<WorkspaceLoad>,
     rate: f64,
     client: Arc<CallerClient>,
-    mut random: StdRng,
+    mut rng: StdRng,
     stop: CancellationToken,
 ) {
     let mut due = tokio::time::Instant::now();
     let calls = tokio_util::task::TaskTracker::new();
     loop {
-        let unit: f64 = random.random_range(f64::EPSILON..1.0);
-        due += Duration::from_secs_f64(-unit.ln() / rate);
+        let uniform: f64 = rng.random_range(f64::EPSILON..1.0);
+        due += Duration::from_secs_f64(-uniform.ln() / rate);
         tokio::select! {
             () = tokio::time::sleep_until(due) => {}
             () = stop.cancelled() => break,
         }
-        let call = draw_call(&load, &client, &mut random);
+        let call = draw_call(&load, &client, &mut rng);
         let (load, client) = (load.clone(), client.clone());
         calls.spawn(async move { client.call(&load, call).await });
     }
@@ -92,7 +92,7 @@
 
 /// A request to be sent.
 #[derive(Debug, Clone)]
-pub struct DrawnCall {
+pub struct CallSpec {
     /// The box at which it enters.
     pub entry: usize,
     /// Tokens of the answer, or milliseconds of a plain service.
@@ -101,22 +101,22 @@
     pub nonce: String,
 }
 
-fn draw_call(load: &WorkspaceLoad, client: &CallerClient, random: &mut StdRng) -> DrawnCall {
+fn draw_call(load: &WorkspaceLoad, client: &CallerClient, rng: &mut StdRng) -> CallSpec {
     static NEXT: AtomicU64 = AtomicU64::new(0);
     let number = NEXT.fetch_add(1, Ordering::Relaxed);
-    DrawnCall {
-        entry: draw_entry(&load.entries, client, random),
-        size: load.sizes.draw(random),
+    CallSpec {
+        entry: choose_entry(&load.entries, client, rng),
+        size: load.sizes.draw(rng),
         nonce: format!("n{number:x}"),
     }
 }
 
 /// Picks a ready box as the balancer would; any box where none is ready.
-fn draw_entry(choice: &EntryChoice, client: &CallerClient, random: &mut StdRng) -> usize {
+fn choose_entry(choice: &EntryBoxes, client: &CallerClient, rng: &mut StdRng) -> usize {
     let boxes = client.boxes();
     let chosen = |view: &BoxView| match choice {
-        EntryChoice::All => true,
-        EntryChoice::Named(names) => names.contains(&view.name),
+        EntryBoxes::All => true,
+        EntryBoxes::Named(names) => names.contains(&view.name),
     };
     let ready = |wanted: &dyn Fn(&BoxView) -> bool| -> Vec<usize> {
         let indexed = boxes.iter().enumerate();
@@ -128,7 +128,7 @@
         candidates = ready(&|_| true);
     }
     match candidates.is_empty() {
-        true => random.random_range(0..boxes.len()),
-        false => candidates[random.random_range(0..candidates.len())],
+        true => rng.random_range(0..boxes.len()),
+        false => candidates[rng.random_range(0..candidates.len())],
     }
 }
--- a/dockgate-bench/src/caller/check.rs
+++ b/dockgate-bench/src/caller/answer_checker.rs
@@ -5,9 +5,9 @@
 
 /// What an answer turned out to be.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum CheckVerdict {
+pub enum AnswerVerdict {
     /// Whole and right.
-    Whole,
+    Complete,
     /// Right as far as it goes, but it ends too early.
     Truncated,
     /// Not the answer to this request.
@@ -31,22 +31,22 @@
 
 /// Follows a streamed answer.
 #[derive(Debug)]
-pub struct AnswerCheck {
+pub struct AnswerChecker {
     nonce: String,
-    expected: usize,
-    next: usize,
+    expected_tokens: usize,
+    next_token: usize,
     line: Vec<u8>,
     done: bool,
     wrong: bool,
 }
 
-impl AnswerCheck {
+impl AnswerChecker {
     /// Expects so many tokens of the answer to this nonce.
-    pub const fn new(nonce: String, expected: usize) -> Self {
+    pub const fn new(nonce: String, expected_tokens: usize) -> Self {
         Self {
             nonce,
-            expected,
-            next: 0,
+            expected_tokens,
+            next_token: 0,
             line: Vec::new(),
             done: false,
             wrong: false,
@@ -55,62 +55,65 @@
 
     /// Takes in the next bytes; returns how many tokens they completed.
     pub fn feed(&mut self, bytes: &[u8]) -> usize {
-        let before = self.next;
+        let before = self.next_token;
         for byte in bytes {
             match byte {
-                b'\n' => self.end_line(),
+                b'\n' => self.process_line(),
                 byte => self.line.push(*byte),
             }
         }
-        self.next - before
+        self.next_token - before
     }
 
-    fn end_line(&mut self) {
+    fn process_line(&mut self) {
         let line = std::mem::take(&mut self.line);
         match line.strip_prefix(b"data: ") {
             Some(b"[DONE]") => self.done = true,
             Some(data) => match serde_json::from_slice::<StreamEvent>(data) {
-                Ok(event) => self.read_event(event),
+                Ok(event) => self.check_event(event),
                 Err(_) => self.wrong = true,
             },
             None => {}
         }
     }
 
-    fn read_event(&mut self, event: StreamEvent) {
+    fn check_event(&mut self, event: StreamEvent) {
         for content in event
             .choices
             .into_iter()
             .filter_map(|choice| choice.delta.content)
         {
-            self.wrong |= content != answer_token(&self.nonce, self.next);
-            self.next += 1;
+            self.wrong |= content != answer_token(&self.nonce, self.next_token);
+            self.next_token += 1;
         }
     }
 
     /// Judges the answer at its end.
-    pub const fn verdict(&self) -> CheckVerdict {
-        match (self.wrong || self.next > self.expected, self.done) {
-            (true, _) => CheckVerdict::Wrong,
-            (false, true) if self.next == self.expected => CheckVerdict::Whole,
-            _ => CheckVerdict::Truncated,
+    pub const fn verdict(&self) -> AnswerVerdict {
+        match (
+            self.wrong || self.next_token > self.expected_tokens,
+            self.done,
+        ) {
+            (true, _) => AnswerVerdict::Wrong,
+            (false, true) if self.next_token == self.expected_tokens => AnswerVerdict::Complete,
+            _ => AnswerVerdict::Truncated,
         }
     }
 }
 
 /// Judges an answer that came whole.
-pub fn check_whole(body: &[u8], nonce: &str, expected: usize) -> CheckVerdict {
+pub fn check_complete_answer(body: &[u8], nonce: &str, expected_tokens: usize) -> AnswerVerdict {
     let value: serde_json::Value = serde_json::from_slice(body).unwrap_or_default();
     let text = value["choices"][0]["message"]["content"]
         .as_str()
         .unwrap_or_default();
-    let right: String = (0..expected)
+    let expected_text: String = (0..expected_tokens)
         .map(|index| answer_token(nonce, index))
         .collect();
     match text {
-        text if text == right => CheckVerdict::Whole,
-        text if right.starts_with(text) => CheckVerdict::Truncated,
-        _ => CheckVerdict::Wrong,
+        text if text == expected_text => AnswerVerdict::Complete,
+        text if expected_text.starts_with(text) => AnswerVerdict::Truncated,
+        _ => AnswerVerdict::Wrong,
     }
 }
 
--- a/dockgate-bench/src/caller/client.rs
+++ b/dockgate-bench/src/caller/caller_client.rs
@@ -1,8 +1,8 @@
 //! The callers' HTTP client.
 
-use super::DrawnCall;
-use super::check::{AnswerCheck, CheckVerdict, check_whole};
-use super::stats::{CallOutcome, CallerStats, OutstandingCall};
+use super::CallSpec;
+use super::answer_checker::{AnswerChecker, AnswerVerdict, check_complete_answer};
+use super::caller_stats::{CallOutcome, CallerStats, OutstandingCall};
 use crate::fleet::workspace_key;
 use crate::scenario::WorkspaceLoad;
 use bytes::Bytes;
@@ -26,17 +26,17 @@
     /// Its name.
     pub name: String,
     /// Where callers are served.
-    pub callers: SocketAddr,
+    pub caller_address: SocketAddr,
     ready: AtomicBool,
     stopping: AtomicBool,
 }
 
 impl BoxView {
     /// Makes the view of a box that is ready.
-    pub const fn new(name: String, callers: SocketAddr) -> Self {
+    pub const fn new(name: String, caller_address: SocketAddr) -> Self {
         Self {
             name,
-            callers,
+            caller_address,
             ready: AtomicBool::new(true),
             stopping: AtomicBool::new(false),
         }
@@ -64,12 +64,12 @@
     boxes: Vec<BoxView>,
     /// What was seen.
     pub stats: Arc<CallerStats>,
-    engines: BTreeMap<String, bool>,
+    engine_pools: BTreeMap<String, bool>,
 }
 
 impl CallerClient {
-    /// Makes a client of these boxes; `engines` tells for each pool whether it is of engines.
-    pub fn new(boxes: Vec<BoxView>, engines: BTreeMap<String, bool>) -> Self {
+    /// Makes a client of these boxes; `engine_pools` tells for each pool whether it is of engine_pools.
+    pub fn new(boxes: Vec<BoxView>, engine_pools: BTreeMap<String, bool>) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
         let client = Client::builder(TokioExecutor::new())
@@ -79,7 +79,7 @@
             client,
             boxes,
             stats: Arc::default(),
-            engines,
+            engine_pools,
         }
     }
 
@@ -89,21 +89,22 @@
     }
 
     /// Sends one request and follows it to its end.
-    pub async fn call(&self, load: &WorkspaceLoad, call: DrawnCall) -> CallOutcome {
+    pub async fn call(&self, load: &WorkspaceLoad, call: CallSpec) -> CallOutcome {
         let view = &self.boxes[call.entry];
         let outstanding = OutstandingCall {
             pool: load.pool.clone(),
             workspace: load.workspace.clone(),
             nonce: call.nonce.clone(),
-            since: Instant::now(),
+            sent_at: Instant::now(),
         };
-        self.stats.sent(outstanding, load.kind.is_some());
-        let outcome = match self.engines.get(&load.pool) {
+        self.stats.record_sent(outstanding, load.kind.is_some());
+        let outcome = match self.engine_pools.get(&load.pool) {
             Some(false) => self.call_service(load, &call, view).await,
             _ => self.call_engine(load, &call, view).await,
         };
         let stopping = view.stopping.load(Ordering::Acquire);
-        self.stats.ended(&load.pool, &call.nonce, outcome, stopping);
+        self.stats
+            .record_outcome(&load.pool, &call.nonce, outcome, stopping);
         outcome
     }
 
@@ -111,7 +112,7 @@
         let key = format!("Bearer {}", workspace_key(&load.workspace));
         let mut request = Request::builder()
             .method("POST")
-            .uri(format!("http://{}{path}", view.callers))
+            .uri(format!("http://{}{path}", view.caller_address))
             .header(header::AUTHORIZATION, key);
         if let Some(kind) = &load.kind {
             request = request.header(headers::KIND, kind);
@@ -125,7 +126,7 @@
     async fn call_engine(
         &self,
         load: &WorkspaceLoad,
-        call: &DrawnCall,
+        call: &CallSpec,
         view: &BoxView,
     ) -> CallOutcome {
         let filler = "lorem ipsum ".repeat(load.prompt / 12 + 1);
@@ -143,10 +144,10 @@
         let started = Instant::now();
         match self.client.request(request).await {
             Ok(response) if !response.status().is_success() => read_refusal(response).await,
-            Ok(response) if load.stream => self.follow(response, call, started).await,
+            Ok(response) if load.stream => self.read_stream(response, call, started).await,
             Ok(response) => match response.into_body().collect().await {
                 Ok(body) => {
-                    let verdict = check_whole(&body.to_bytes(), &call.nonce, call.size);
+                    let verdict = check_complete_answer(&body.to_bytes(), &call.nonce, call.size);
                     outcome_of(verdict)
                 }
                 Err(_) => CallOutcome::Cut,
@@ -156,36 +157,38 @@
     }
 
     /// Follows a stream, token by token.
-    async fn follow(
+    async fn read_stream(
         &self,
         response: Response<Incoming>,
-        call: &DrawnCall,
+        call: &CallSpec,
         started: Instant,
     ) -> CallOutcome {
-        let mut check = AnswerCheck::new(call.nonce.clone(), call.size);
+        let mut checker = AnswerChecker::new(call.nonce.clone(), call.size);
         let mut body = response.into_body();
-        let mut last = None;
+        let mut last_token = None;
         while let Some(frame) = body.frame().await {
             let Ok(frame) = frame else {
                 return CallOutcome::Cut;
             };
-            let tokens = frame.data_ref().map_or(0, |bytes| check.feed(bytes));
+            let tokens = frame.data_ref().map_or(0, |bytes| checker.feed(bytes));
             if tokens > 0 {
                 let now = Instant::now();
-                match last {
-                    None => self.stats.first_token(now - started),
-                    Some(last) => self.stats.between((now - last) / tokens as u32),
+                match last_token {
+                    None => self.stats.record_first_token(now - started),
+                    Some(last_token) => self
+                        .stats
+                        .record_token_gap((now - last_token) / tokens as u32),
                 }
-                last = Some(now);
+                last_token = Some(now);
             }
         }
-        outcome_of(check.verdict())
+        outcome_of(checker.verdict())
     }
 
     async fn call_service(
         &self,
         load: &WorkspaceLoad,
-        call: &DrawnCall,
+        call: &CallSpec,
         view: &BoxView,
     ) -> CallOutcome {
         let path = format!("/services/{}/wait/{}", load.pool, call.size);
@@ -205,8 +208,9 @@
                 let body = response.into_body().collect().await;
                 match body.map(http_body_util::Collected::to_bytes) {
                     Ok(body) if body == expected => {
-                        let own = echoed.is_some_and(|echoed| echoed == call.nonce.as_str());
-                        if own {
+                        let nonce_matches =
+                            echoed.is_some_and(|echoed| echoed == call.nonce.as_str());
+                        if nonce_matches {
                             CallOutcome::Ok
                         } else {
                             CallOutcome::Wrong
@@ -221,25 +225,25 @@
     }
 
     /// Calls a service stand-in directly and through a box, one after the other.
-    pub async fn probe(&self, load: &WorkspaceLoad, entry: usize, direct: SocketAddr) {
+    pub async fn probe(&self, load: &WorkspaceLoad, entry: usize, endpoint_address: SocketAddr) {
         let view = &self.boxes[entry];
-        let bare = Request::builder()
+        let direct_request = Request::builder()
             .method("POST")
-            .uri(format!("http://{direct}/wait/0"))
+            .uri(format!("http://{endpoint_address}/wait/0"))
             .body(Full::default());
         let path = format!("/services/{}/wait/0", load.pool);
-        let routed = self.request(load, view, &path).body(Full::default());
-        let (Ok(bare), Ok(routed)) = (bare, routed) else {
+        let routed_request = self.request(load, view, &path).body(Full::default());
+        let (Ok(direct_request), Ok(routed_request)) = (direct_request, routed_request) else {
             return;
         };
-        let direct = self.timed(bare).await;
-        let routed = self.timed(routed).await;
+        let direct = self.time_request(direct_request).await;
+        let routed = self.time_request(routed_request).await;
         if let (Some(direct), Some(routed)) = (direct, routed) {
-            self.stats.probed(direct, routed);
+            self.stats.record_probe(direct, routed);
         }
     }
 
-    async fn timed(&self, request: Request<Full<Bytes>>) -> Option<std::time::Duration> {
+    async fn time_request(&self, request: Request<Full<Bytes>>) -> Option<std::time::Duration> {
         let started = Instant::now();
         let response = self.client.request(request).await.ok()?;
         let success = response.status().is_success();
@@ -248,11 +252,11 @@
     }
 }
 
-const fn outcome_of(verdict: CheckVerdict) -> CallOutcome {
+const fn outcome_of(verdict: AnswerVerdict) -> CallOutcome {
     match verdict {
-        CheckVerdict::Whole => CallOutcome::Ok,
-        CheckVerdict::Truncated => CallOutcome::Truncated,
-        CheckVerdict::Wrong => CallOutcome::Wrong,
+        AnswerVerdict::Complete => CallOutcome::Ok,
+        AnswerVerdict::Truncated => CallOutcome::Truncated,
+        AnswerVerdict::Wrong => CallOutcome::Wrong,
     }
 }
 
--- a/dockgate-bench/src/caller/stats.rs
+++ b/dockgate-bench/src/caller/caller_stats.rs
@@ -34,7 +34,7 @@
     /// What tells it from every other.
     pub nonce: String,
     /// When it was sent.
-    pub since: Instant,
+    pub sent_at: Instant,
 }
 
 /// Counts and times over all callers.
@@ -48,19 +48,19 @@
     outcomes: HashMap<CallOutcome, u64>,
     cut_by_stop: u64,
     first_token: Histogram<u64>,
-    between: Histogram<u64>,
+    token_gap: Histogram<u64>,
     direct: Histogram<u64>,
     routed: Histogram<u64>,
     outstanding: HashMap<String, OutstandingCall>,
     not_run: Vec<(String, String)>,
-    once: Vec<(String, String)>,
+    non_repeatable: Vec<(String, String)>,
 }
 
 /// The longest time that is told apart, in microseconds.
-const MOST_US: u64 = 600_000_000;
+const MAX_TIME_US: u64 = 600_000_000;
 
-fn histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, MOST_US, 3).expect("constant bounds are valid")
+fn new_histogram() -> Histogram<u64> {
+    Histogram::new_with_bounds(1, MAX_TIME_US, 3).expect("constant bounds are valid")
 }
 
 fn record(histogram: &mut Histogram<u64>, time: Duration) {
@@ -73,13 +73,13 @@
             state: Mutex::new(StatsState {
                 outcomes: HashMap::new(),
                 cut_by_stop: 0,
-                first_token: histogram(),
-                between: histogram(),
-                direct: histogram(),
-                routed: histogram(),
+                first_token: new_histogram(),
+                token_gap: new_histogram(),
+                direct: new_histogram(),
+                routed: new_histogram(),
                 outstanding: HashMap::new(),
                 not_run: Vec::new(),
-                once: Vec::new(),
+                non_repeatable: Vec::new(),
             }),
         }
     }
@@ -91,16 +91,18 @@
     }
 
     /// Notes that a request is sent; `once` where it may not be repeated.
-    pub fn sent(&self, call: OutstandingCall, once: bool) {
+    pub fn record_sent(&self, call: OutstandingCall, non_repeatable: bool) {
         let mut state = self.state();
-        if once {
-            state.once.push((call.pool.clone(), call.nonce.clone()));
+        if non_repeatable {
+            state
+                .non_repeatable
+                .push((call.pool.clone(), call.nonce.clone()));
         }
         state.outstanding.insert(call.nonce.clone(), call);
     }
 
     /// Notes what became of a request; `stopping` where its box was stopping in order.
-    pub fn ended(&self, pool: &str, nonce: &str, outcome: CallOutcome, stopping: bool) {
+    pub fn record_outcome(&self, pool: &str, nonce: &str, outcome: CallOutcome, stopping: bool) {
         let mut state = self.state();
         state.outstanding.remove(nonce);
         *state.outcomes.entry(outcome).or_default() += 1;
@@ -113,17 +115,17 @@
     }
 
     /// Notes the time to the first token.
-    pub fn first_token(&self, time: Duration) {
+    pub fn record_first_token(&self, time: Duration) {
         record(&mut self.state().first_token, time);
     }
 
     /// Notes the time between two tokens.
-    pub fn between(&self, time: Duration) {
-        record(&mut self.state().between, time);
+    pub fn record_token_gap(&self, time: Duration) {
+        record(&mut self.state().token_gap, time);
     }
 
     /// Notes a probe: the time of a direct call, and of a routed one.
-    pub fn probed(&self, direct: Duration, routed: Duration) {
+    pub fn record_probe(&self, direct: Duration, routed: Duration) {
         let mut state = self.state();
         record(&mut state.direct, direct);
         record(&mut state.routed, routed);
@@ -134,7 +136,7 @@
         let mut state = self.state();
         state.outcomes.clear();
         state.first_token.reset();
-        state.between.reset();
+        state.token_gap.reset();
         state.direct.reset();
         state.routed.reset();
     }
@@ -165,8 +167,8 @@
     }
 
     /// Returns pool and nonce of every request that may not be repeated.
-    pub fn once(&self) -> Vec<(String, String)> {
-        self.state().once.clone()
+    pub fn non_repeatable(&self) -> Vec<(String, String)> {
+        self.state().non_repeatable.clone()
     }
 
     /// Returns a quantile of the time to the first token, in milliseconds.
@@ -175,19 +177,19 @@
     }
 
     /// Returns a quantile of the time between tokens, in milliseconds.
-    pub fn between_ms(&self, quantile: f64) -> f64 {
-        self.state().between.value_at_quantile(quantile) as f64 / 1_000.0
+    pub fn token_gap_ms(&self, quantile: f64) -> f64 {
+        self.state().token_gap.value_at_quantile(quantile) as f64 / 1_000.0
     }
 
     /// Returns a quantile of the routed probes less that of the direct ones, in microseconds.
-    pub fn added_us(&self, quantile: f64) -> f64 {
+    pub fn added_latency_us(&self, quantile: f64) -> f64 {
         let state = self.state();
         let routed = state.routed.value_at_quantile(quantile) as f64;
         routed - state.direct.value_at_quantile(quantile) as f64
     }
 
     /// Returns how many probes there were.
-    pub fn probes(&self) -> u64 {
+    pub fn probe_count(&self) -> u64 {
         self.state().routed.len()
     }
 }
--- a/dockgate-bench/src/demo.rs
+++ b/dockgate-bench/src/demo.rs
@@ -6,7 +6,7 @@
 use std::path::Path;
 
 /// The fleet of the demonstration.
-const SCENARIO: &str = "\
+const DEMO_SCENARIO: &str = "\
 [fleet]
 domains = hall-a, hall-b
 boxes_per_domain = 1
@@ -37,7 +37,7 @@
 ///
 /// Returns what could not be started.
 pub async fn run_demo() -> Result<(), BenchError> {
-    let scenario = BenchScenario::parse("demo", "demo.ini", SCENARIO)?;
+    let scenario = BenchScenario::parse("demo", "demo.ini", DEMO_SCENARIO)?;
     let mut fleet = BenchFleet::start(scenario, &BenchArm::fair()).await?;
     let (first, last) = (&fleet.daemons[0], &fleet.daemons[fleet.daemons.len() - 1]);
     let key = workspace_key("accessibility");
@@ -49,16 +49,16 @@
         "  curl -N http://{}/v1/chat/completions -H 'Authorization: Bearer {key}' \\\n    \
          -d '{{\"model\":\"small\",\"stream\":true,\"max_tokens\":20,\
          \"messages\":[{{\"role\":\"user\",\"content\":\"hello n1\"}}]}}'\n",
-        first.callers()
+        first.caller_address()
     );
     println!(
         "  curl http://{}/services/status/build/7 -H 'Authorization: Bearer {key}'\n",
-        last.callers()
+        last.caller_address()
     );
     let program = program_path("dockgatectl");
     println!(
         "  {program} --operator {} --token-file {} status\n",
-        first.operators(),
+        first.operator_address(),
         fleet.path().join("operator.token").display()
     );
     println!(
@@ -66,13 +66,13 @@
         first.log_path().display()
     );
     println!("Ctrl-C ends it.");
-    wait_for_end().await;
+    wait_for_shutdown().await;
     fleet.stop().await;
     Ok(())
 }
 
 /// Waits for Ctrl-C or SIGTERM, so that the daemons are stopped either way.
-async fn wait_for_end() {
+async fn wait_for_shutdown() {
     use tokio::signal::unix::{SignalKind, signal};
     // Without a signal handler there is nothing to wait for.
     let Ok(mut terminate) = signal(SignalKind::terminate()) else {
@@ -85,8 +85,8 @@
 }
 
 fn program_path(name: &str) -> String {
-    let here = std::env::current_exe().unwrap_or_default();
-    let folder = here.parent().unwrap_or(Path::new(""));
+    let current_exe = std::env::current_exe().unwrap_or_default();
+    let folder = current_exe.parent().unwrap_or(Path::new(""));
     let path = folder.join(name);
     let current = std::env::current_dir().unwrap_or_default();
     let short = path.strip_prefix(&current).unwrap_or(&path);
--- a/dockgate-bench/src/fault.rs
+++ b/dockgate-bench/src/fault_injector.rs
@@ -11,32 +11,32 @@
 use tokio::time::Instant;
 
 /// How much longer every call to a slow platform takes.
-const SLOW: Duration = Duration::from_millis(500);
+const PLATFORM_DELAY: Duration = Duration::from_millis(500);
 /// How long a retired endpoint may still get new work.
-const LEAVE_GRACE: Duration = Duration::from_secs(3);
+const RETIRE_GRACE: Duration = Duration::from_secs(3);
 
 /// A fault that is to come, or is there.
-struct ActiveFault {
+struct ScheduledFault {
     plan: FaultPlan,
     begun: bool,
     ended: bool,
-    undo: Option<ConfigChange>,
+    revert: Option<ConfigChange>,
 }
 
 /// Brings the faults of a scenario on a fleet at their times.
-pub struct FaultDriver {
-    faults: Vec<ActiveFault>,
+pub struct FaultInjector {
+    faults: Vec<ScheduledFault>,
     started: Instant,
 }
 
-impl FaultDriver {
+impl FaultInjector {
     /// Makes a driver whose times count from now.
     pub fn new(plans: &[FaultPlan]) -> Self {
-        let faults = plans.iter().map(|plan| ActiveFault {
+        let faults = plans.iter().map(|plan| ScheduledFault {
             plan: plan.clone(),
             begun: false,
             ended: false,
-            undo: None,
+            revert: None,
         });
         Self {
             faults: faults.collect(),
@@ -49,24 +49,24 @@
     /// # Errors
     ///
     /// Returns an error where a daemon cannot be started anew or refuses a change.
-    pub async fn drive(
+    pub async fn apply_due(
         &mut self,
         fleet: &mut BenchFleet,
         client: &CallerClient,
     ) -> Result<(), BenchError> {
         let elapsed = self.started.elapsed();
         for fault in &mut self.faults {
-            let FaultPlan { at, lasts, .. } = fault.plan;
+            let FaultPlan { at, duration, .. } = fault.plan;
             if !fault.begun && elapsed >= at {
                 fault.begun = true;
                 log::info!("fault begins: {:?} {}", fault.plan.kind, fault.plan.target);
-                fault.undo = begin(&fault.plan, fleet, client).await?;
+                fault.revert = begin_fault(&fault.plan, fleet, client).await?;
             }
-            let due = fault.begun && !fault.ended && elapsed >= at + lasts;
-            if due && may_end(&fault.plan, fleet) {
+            let is_due = fault.begun && !fault.ended && elapsed >= at + duration;
+            if is_due && can_end(&fault.plan, fleet) {
                 fault.ended = true;
                 log::info!("fault ends: {:?} {}", fault.plan.kind, fault.plan.target);
-                end(&fault.plan, fault.undo.take(), fleet, client).await?;
+                end_fault(&fault.plan, fault.revert.take(), fleet, client).await?;
             }
         }
         Ok(())
@@ -74,16 +74,16 @@
 }
 
 /// Tells whether a fault can be taken away: a box that stops in order is waited for.
-fn may_end(plan: &FaultPlan, fleet: &mut BenchFleet) -> bool {
+fn can_end(plan: &FaultPlan, fleet: &mut BenchFleet) -> bool {
     let mut daemons = fleet.daemons.iter_mut();
     let daemon = daemons.find(|daemon| daemon.name() == plan.target);
     match (plan.kind, daemon) {
-        (FaultKind::Stop, Some(daemon)) => daemon.has_ended(),
+        (FaultKind::Stop, Some(daemon)) => daemon.has_exited(),
         _ => true,
     }
 }
 
-async fn begin(
+async fn begin_fault(
     plan: &FaultPlan,
     fleet: &mut BenchFleet,
     client: &CallerClient,
@@ -100,7 +100,7 @@
             }
         }
         FaultKind::Stop => {
-            set_stopping(client, target, true);
+            set_box_stopping(client, target, true);
             fleet.platform.set_box_state(target, BoxState::Leaving);
             if let Some(daemon) = fleet.daemon(target) {
                 daemon.terminate();
@@ -115,7 +115,7 @@
         FaultKind::CutPlatform => set_platform_cut(fleet, target, true),
         FaultKind::PlatformOutage => fleet.platform.set_out(true),
         FaultKind::LostReplies => fleet.platform.set_loses_replies(true),
-        FaultKind::PlatformSlow => fleet.platform.set_slow(SLOW),
+        FaultKind::PlatformSlow => fleet.platform.set_slow(PLATFORM_DELAY),
         FaultKind::EngineDeath => {
             if let Some(endpoint) = fleet
                 .endpoints
@@ -126,34 +126,34 @@
             }
         }
         FaultKind::Retire => {
-            let undo = fleet.retire(target).await?;
+            let revert = fleet.retire_endpoint(target).await?;
             if let Some(endpoint) = fleet
                 .endpoints
                 .iter()
                 .find(|endpoint| endpoint.name == target)
             {
-                endpoint.standin.set_leaving(Some(LEAVE_GRACE));
-                count_slots(fleet, endpoint, -1);
+                endpoint.standin.set_leaving(Some(RETIRE_GRACE));
+                adjust_slots(fleet, endpoint, -1);
             }
-            return Ok(undo);
+            return Ok(revert);
         }
     }
     Ok(None)
 }
 
-async fn end(
+async fn end_fault(
     plan: &FaultPlan,
-    undo: Option<ConfigChange>,
+    revert: Option<ConfigChange>,
     fleet: &mut BenchFleet,
     client: &CallerClient,
 ) -> Result<(), BenchError> {
     let target = plan.target.as_str();
     match plan.kind {
-        FaultKind::Kill => restart(fleet, target)?,
+        FaultKind::Kill => restart_daemon(fleet, target)?,
         FaultKind::Stop => {
-            set_stopping(client, target, false);
+            set_box_stopping(client, target, false);
             fleet.platform.set_box_state(target, BoxState::Live);
-            restart(fleet, target)?;
+            restart_daemon(fleet, target)?;
         }
         FaultKind::Pause => {
             if let Some(daemon) = fleet.daemon(target) {
@@ -173,10 +173,12 @@
                 .find(|endpoint| endpoint.name == target)
             {
                 endpoint.standin.set_leaving(None);
-                count_slots(fleet, endpoint, 1);
+                adjust_slots(fleet, endpoint, 1);
             }
-            if let Some(change) = undo {
-                fleet.change(0, PlanIntent::Changes(vec![change])).await?;
+            if let Some(change) = revert {
+                fleet
+                    .apply_intent(0, PlanIntent::Changes(vec![change]))
+                    .await?;
             }
         }
     }
@@ -184,27 +186,27 @@
 }
 
 /// Takes an endpoint's slots out of what could be used, or puts them back.
-fn count_slots(fleet: &BenchFleet, endpoint: &BenchEndpoint, sign: isize) {
+fn adjust_slots(fleet: &BenchFleet, endpoint: &BenchEndpoint, sign: isize) {
     if let Some(tally) = fleet.tallies.get(&endpoint.pool) {
         tally.add_slots(sign * endpoint.slots as isize);
     }
 }
 
-fn restart(fleet: &mut BenchFleet, name: &str) -> Result<(), BenchError> {
+fn restart_daemon(fleet: &mut BenchFleet, name: &str) -> Result<(), BenchError> {
     let mut daemons = fleet.daemons.iter_mut();
     daemons
         .find(|daemon| daemon.name() == name)
         .map_or(Ok(()), crate::fleet::DaemonProcess::restart)
 }
 
-fn set_stopping(client: &CallerClient, name: &str, stopping: bool) {
+fn set_box_stopping(client: &CallerClient, name: &str, stopping: bool) {
     for view in client.boxes().iter().filter(|view| view.name == name) {
         view.set_stopping(stopping);
     }
 }
 
 fn set_platform_cut(fleet: &BenchFleet, domain: &str, cut: bool) {
-    if let Some(relay) = fleet.platform_links.get(domain) {
+    if let Some(relay) = fleet.platform_relays.get(domain) {
         relay.set_cut(cut);
     }
 }
--- a/dockgate-bench/src/fleet.rs
+++ b/dockgate-bench/src/fleet.rs
@@ -1,12 +1,12 @@
 //! A fleet on loopback: stand-ins in this process, daemons as processes of their own.
 
 mod config;
-mod daemon;
+mod daemon_process;
 
-pub(crate) use config::change_at;
+pub(crate) use config::apply_intent_at;
 pub use config::workspace_key;
-pub use daemon::{DaemonProcess, is_ready};
-pub(crate) use daemon::{daemon_program, fetch, metric_at};
+pub use daemon_process::{DaemonProcess, is_ready};
+pub(crate) use daemon_process::{daemon_program, fetch_metric, http_get};
 
 use crate::error::BenchError;
 use crate::relay::{ByteCount, LinkRelay};
@@ -14,7 +14,7 @@
 use crate::standin::{
     BoxEntry, EngineRule, EngineStandIn, PlatformStandIn, RunTally, ServiceRule, ServiceStandIn,
 };
-use daemon::{DaemonPlan, secrets};
+use daemon_process::{DaemonSettings, write_secrets};
 use dockgate_platform::BoxState;
 use std::collections::{BTreeMap, HashMap};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -78,9 +78,9 @@
     /// The daemons.
     pub daemons: Vec<DaemonProcess>,
     /// Relays between boxes, by the domain they come from and the box they go to.
-    pub links: HashMap<(String, String), LinkRelay>,
+    pub peer_relays: HashMap<(String, String), LinkRelay>,
     /// Relays to the platform, by domain.
-    pub platform_links: HashMap<String, LinkRelay>,
+    pub platform_relays: HashMap<String, LinkRelay>,
     /// Bytes between boxes.
     pub peer_bytes: ByteCount,
     /// Bytes between boxes and the platform.
@@ -90,15 +90,15 @@
 }
 
 /// Ports of a box, the same on each box's own loopback address.
-const CALLERS: u16 = 7_001;
-const PEERS: u16 = 7_002;
-const OPERATORS: u16 = 7_003;
-const METRICS: u16 = 7_004;
+const CALLER_PORT: u16 = 7_001;
+const PEER_PORT: u16 = 7_002;
+const OPERATOR_PORT: u16 = 7_003;
+const METRICS_PORT: u16 = 7_004;
 /// How long a fleet may take to get ready.
-const READY: Duration = Duration::from_secs(20);
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Returns a loopback network of this run's own, so that runs beside each other do not meet.
-fn run_network() -> u8 {
+fn next_loopback_network() -> u8 {
     static NEXT: AtomicU8 = AtomicU8::new(0);
     let offset = NEXT.fetch_add(1, Ordering::Relaxed);
     let base = (std::process::id() % 200) as u8;
@@ -120,14 +120,14 @@
             endpoints: Vec::new(),
             tallies: BTreeMap::new(),
             daemons: Vec::new(),
-            links: HashMap::new(),
-            platform_links: HashMap::new(),
+            peer_relays: HashMap::new(),
+            platform_relays: HashMap::new(),
             peer_bytes: ByteCount::default(),
             platform_bytes: ByteCount::default(),
             folder,
         };
         fleet.start_endpoints().await?;
-        fleet.start_platform_links().await?;
+        fleet.start_platform_relays().await?;
         fleet.start_daemons(arm).await?;
         fleet.wait_until_listening().await?;
         fleet.configure().await?;
@@ -187,43 +187,45 @@
         })
     }
 
-    async fn start_platform_links(&mut self) -> Result<(), BenchError> {
+    async fn start_platform_relays(&mut self) -> Result<(), BenchError> {
         for domain in self.scenario.fleet.domains.clone() {
             let count = self.platform_bytes.clone();
             let relay = LinkRelay::start(self.platform.address, Duration::ZERO, count).await?;
-            self.platform_links.insert(domain, relay);
+            self.platform_relays.insert(domain, relay);
         }
         Ok(())
     }
 
     async fn start_daemons(&mut self, arm: &BenchArm) -> Result<(), BenchError> {
-        secrets(self.folder.path())?;
-        let network = run_network();
+        write_secrets(self.folder.path())?;
+        let network = next_loopback_network();
         let mut entries = Vec::new();
-        let mut plans = Vec::new();
+        let mut all_settings = Vec::new();
         for (index, (name, domain)) in self.scenario.boxes().into_iter().enumerate() {
             let number = index as u16 + 1;
             let ip = Ipv4Addr::new(127, network, (number >> 8) as u8, number as u8);
-            let at = |port| SocketAddr::new(IpAddr::V4(ip), port);
-            let entry = self.link_box(&name, &domain, at(PEERS)).await?;
+            let box_address = |port| SocketAddr::new(IpAddr::V4(ip), port);
+            let entry = self
+                .start_peer_relays(&name, &domain, box_address(PEER_PORT))
+                .await?;
             entries.push(entry);
             let mut schedule = self.scenario.fleet.schedule.clone();
             schedule.push(("order".to_owned(), arm.order.clone()));
             schedule.extend(arm.schedule.iter().cloned());
-            let plan = DaemonPlan {
-                callers: at(CALLERS),
-                peers: at(PEERS),
-                operators: at(OPERATORS),
-                metrics: at(METRICS),
-                platform: self.platform_links[&domain].address,
+            let settings = DaemonSettings {
+                callers: box_address(CALLER_PORT),
+                peers: box_address(PEER_PORT),
+                operators: box_address(OPERATOR_PORT),
+                metrics: box_address(METRICS_PORT),
+                platform: self.platform_relays[&domain].address,
                 name,
                 domain,
                 schedule,
             };
-            plans.push(plan);
+            all_settings.push(settings);
         }
-        for plan in plans {
-            let process = DaemonProcess::start(plan, &entries, self.folder.path())?;
+        for settings in all_settings {
+            let process = DaemonProcess::start(settings, &entries, self.folder.path())?;
             self.daemons.push(process);
         }
         self.platform.set_boxes(&entries);
@@ -231,7 +233,7 @@
     }
 
     /// Puts relays in front of a box's peer door, one for each domain.
-    async fn link_box(
+    async fn start_peer_relays(
         &mut self,
         name: &str,
         domain: &str,
@@ -245,7 +247,7 @@
             };
             let relay = LinkRelay::start(address, delay, self.peer_bytes.clone()).await?;
             peer_addresses.insert(from.clone(), relay.address);
-            self.links.insert((from, name.to_owned()), relay);
+            self.peer_relays.insert((from, name.to_owned()), relay);
         }
         Ok(BoxEntry {
             name: name.to_owned(),
@@ -257,7 +259,7 @@
 
     async fn wait_until_listening(&self) -> Result<(), BenchError> {
         for daemon in &self.daemons {
-            daemon.wait_for("livez", READY).await?;
+            daemon.wait_for_ok("livez", READY_TIMEOUT).await?;
         }
         Ok(())
     }
@@ -265,8 +267,10 @@
     /// Waits until every box is ready and has a link to every other.
     pub(crate) async fn wait_until_ready(&self) -> Result<(), BenchError> {
         for daemon in &self.daemons {
-            daemon.wait_for("readyz", READY).await?;
-            daemon.wait_for_links(self.daemons.len() - 1, READY).await?;
+            daemon.wait_for_ok("readyz", READY_TIMEOUT).await?;
+            daemon
+                .wait_for_links(self.daemons.len() - 1, READY_TIMEOUT)
+                .await?;
         }
         Ok(())
     }
@@ -278,13 +282,13 @@
 
     /// Cuts or heals everything between a domain and the others.
     pub fn set_domain_cut(&self, domain: &str, cut: bool) {
-        let home: HashMap<&str, &str> = self
+        let box_domains: HashMap<&str, &str> = self
             .daemons
             .iter()
             .map(|daemon| (daemon.name(), daemon.domain()))
             .collect();
-        for ((from, to), relay) in &self.links {
-            let to = home.get(to.as_str()).copied().unwrap_or_default();
+        for ((from, to), relay) in &self.peer_relays {
+            let to = box_domains.get(to.as_str()).copied().unwrap_or_default();
             if (from == domain) != (to == domain) {
                 relay.set_cut(cut);
             }
@@ -303,11 +307,11 @@
         for daemon in &self.daemons {
             daemon.terminate();
         }
-        let stopped = self
+        let exits = self
             .daemons
             .iter_mut()
             .map(|daemon| daemon.wait_or_kill(Duration::from_secs(5)));
-        futures::future::join_all(stopped).await;
+        futures::future::join_all(exits).await;
     }
 
     /// Returns the folder in which settings and logs stand.
--- a/dockgate-bench/src/fleet/config.rs
+++ b/dockgate-bench/src/fleet/config.rs
@@ -1,7 +1,7 @@
 //! Configures a fleet as operators do: a declaration, a plan, a confirmation.
 
 use super::BenchFleet;
-use super::daemon::{OPERATOR_TOKEN, operator_client};
+use super::daemon_process::{OPERATOR_TOKEN, operator_client};
 use crate::error::BenchError;
 use dockgate_core::{ConfigChange, FleetConfig, KeyHash};
 use dockgate_proto::operator::{
@@ -20,13 +20,13 @@
 }
 
 /// Plans and confirms an intent at an operator door.
-pub(crate) async fn change_at(
-    operators: SocketAddr,
+pub(crate) async fn apply_intent_at(
+    operator_address: SocketAddr,
     intent: PlanIntent,
 ) -> Result<ConfirmReply, BenchError> {
-    let client = operator_client(operators, OPERATOR_TOKEN)?;
+    let client = operator_client(operator_address, OPERATOR_TOKEN)?;
     let failed = |error: jsonrpsee::core::ClientError| {
-        BenchError::Daemon("configure", operators.to_string(), error.to_string())
+        BenchError::Daemon("configure", operator_address.to_string(), error.to_string())
     };
     let request = PlanRequest { intent };
     let reply: PlanReply = client
@@ -70,20 +70,20 @@
                 let _ = writeln!(text, "address.{from} = {}", relay.address);
             }
         }
-        let loads: BTreeMap<&str, _> = self
+        let limits: BTreeMap<&str, _> = self
             .scenario
             .workspaces
             .iter()
             .map(|load| (load.workspace.as_str(), (load.share, load.queue_limit)))
             .collect();
-        for (workspace, (share, limit)) in loads {
+        for (workspace, (share, queue_limit)) in limits {
             let hash = KeyHash::of(&workspace_key(workspace));
             let _ = writeln!(
                 text,
-                "[workspace {workspace}]\nshare = {share}\nqueue_limit = {limit}\nkey = {hash}"
+                "[workspace {workspace}]\nshare = {share}\nqueue_limit = {queue_limit}\nkey = {hash}"
             );
         }
-        for kind in &self.scenario.once_kinds {
+        for kind in &self.scenario.non_repeatable_kinds {
             let _ = writeln!(text, "[kind {kind}]\nrepeatable = no");
         }
         text
@@ -93,7 +93,7 @@
     pub(super) async fn configure(&self) -> Result<(), BenchError> {
         let text = self.declaration();
         let intent = PlanIntent::Declaration("bench".to_owned(), text);
-        self.change(0, intent).await.map(drop)
+        self.apply_intent(0, intent).await.map(drop)
     }
 
     /// Plans and confirms an intent at one daemon.
@@ -101,12 +101,12 @@
     /// # Errors
     ///
     /// Returns what the daemon refused.
-    pub async fn change(
+    pub async fn apply_intent(
         &self,
         daemon: usize,
         intent: PlanIntent,
     ) -> Result<ConfirmReply, BenchError> {
-        change_at(self.daemons[daemon].operators(), intent).await
+        apply_intent_at(self.daemons[daemon].operator_address(), intent).await
     }
 
     /// Retires an endpoint, and returns the change that adds it again.
@@ -114,11 +114,12 @@
     /// # Errors
     ///
     /// Returns what the daemon refused.
-    pub async fn retire(&self, name: &str) -> Result<Option<ConfigChange>, BenchError> {
-        let config = self.shown(0).await?;
+    pub async fn retire_endpoint(&self, name: &str) -> Result<Option<ConfigChange>, BenchError> {
+        let config = self.config_in_force(0).await?;
         let spec = config.endpoints.named(name).cloned();
         let change = ConfigChange::RetireEndpoint(name.to_owned());
-        self.change(0, PlanIntent::Changes(vec![change])).await?;
+        self.apply_intent(0, PlanIntent::Changes(vec![change]))
+            .await?;
         Ok(spec.map(ConfigChange::PutEndpoint))
     }
 
@@ -127,11 +128,11 @@
     /// # Errors
     ///
     /// Returns an error where it does not answer.
-    pub async fn shown(&self, daemon: usize) -> Result<FleetConfig, BenchError> {
+    pub async fn config_in_force(&self, daemon: usize) -> Result<FleetConfig, BenchError> {
         let daemon = &self.daemons[daemon];
-        let client = operator_client(daemon.operators(), OPERATOR_TOKEN)?;
-        let shown = client.request(operator::SHOW, ArrayParams::new()).await;
-        shown.map_err(|error| {
+        let client = operator_client(daemon.operator_address(), OPERATOR_TOKEN)?;
+        let config = client.request(operator::SHOW, ArrayParams::new()).await;
+        config.map_err(|error| {
             BenchError::Daemon("show", daemon.name().to_owned(), error.to_string())
         })
     }
--- a/dockgate-bench/src/fleet/daemon.rs
+++ b/dockgate-bench/src/fleet/daemon_process.rs
@@ -18,13 +18,13 @@
 /// The operator token of bench fleets.
 pub(super) const OPERATOR_TOKEN: &str = "bench-operator-token";
 const FLEET_SECRET: &str = "bench-fleet-secret-0";
-const OPERATOR_FILE: &str = "operator.token";
-const FLEET_FILE: &str = "fleet.secret";
-const POLL: Duration = Duration::from_millis(20);
+const OPERATOR_TOKEN_FILE: &str = "operator.token";
+const FLEET_SECRET_FILE: &str = "fleet.secret";
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// What a daemon is started with.
 #[derive(Debug, Clone)]
-pub(super) struct DaemonPlan {
+pub(super) struct DaemonSettings {
     pub(super) name: String,
     pub(super) domain: String,
     pub(super) callers: SocketAddr,
@@ -37,14 +37,17 @@
 
 /// A daemon; killed when it is dropped.
 pub struct DaemonProcess {
-    plan: DaemonPlan,
-    settings: PathBuf,
+    settings: DaemonSettings,
+    settings_path: PathBuf,
     child: Option<Child>,
 }
 
 /// Writes the secrets that every daemon reads.
-pub(super) fn secrets(folder: &Path) -> Result<(), BenchError> {
-    for (file, secret) in [(FLEET_FILE, FLEET_SECRET), (OPERATOR_FILE, OPERATOR_TOKEN)] {
+pub(super) fn write_secrets(folder: &Path) -> Result<(), BenchError> {
+    for (file, secret) in [
+        (FLEET_SECRET_FILE, FLEET_SECRET),
+        (OPERATOR_TOKEN_FILE, OPERATOR_TOKEN),
+    ] {
         write_file(&folder.join(file), secret)?;
     }
     Ok(())
@@ -73,9 +76,9 @@
 
 /// Returns the program of the daemon: beside the bench tool, or one folder up from a test.
 pub(crate) fn daemon_program() -> Result<PathBuf, BenchError> {
-    let here = std::env::current_exe()
+    let current_exe = std::env::current_exe()
         .map_err(|cause| BenchError::Io("find", "this program".to_owned(), cause))?;
-    let found = here
+    let found = current_exe
         .ancestors()
         .skip(1)
         .take(2)
@@ -90,15 +93,15 @@
 impl DaemonProcess {
     /// Starts a daemon with settings and a log file in `folder`.
     pub(super) fn start(
-        plan: DaemonPlan,
+        settings: DaemonSettings,
         boxes: &[BoxEntry],
         folder: &Path,
     ) -> Result<Self, BenchError> {
-        let settings = folder.join(format!("{}.ini", plan.name));
-        write_file(&settings, &plan.settings(boxes, folder))?;
+        let settings_path = folder.join(format!("{}.ini", settings.name));
+        write_file(&settings_path, &settings.to_ini(boxes, folder))?;
         let mut daemon = Self {
-            plan,
             settings,
+            settings_path,
             child: None,
         };
         daemon.restart()?;
@@ -112,13 +115,13 @@
     /// Returns an error where it cannot be started.
     pub fn restart(&mut self) -> Result<(), BenchError> {
         let log = self.log_path();
-        let failed = |cause| BenchError::Io("start", self.plan.name.clone(), cause);
+        let failed = |cause| BenchError::Io("start", self.settings.name.clone(), cause);
         let file = File::options().create(true).append(true).open(&log);
         let file = file.map_err(failed)?;
         let errors = file.try_clone().map_err(failed)?;
         let child = Command::new(daemon_program()?)
             .arg("--settings")
-            .arg(&self.settings)
+            .arg(&self.settings_path)
             .stdin(Stdio::null())
             .stdout(file)
             .stderr(errors)
@@ -130,27 +133,27 @@
 
     /// Returns the box's name.
     pub fn name(&self) -> &str {
-        &self.plan.name
+        &self.settings.name
     }
 
     /// Returns the box's failure domain.
     pub fn domain(&self) -> &str {
-        &self.plan.domain
+        &self.settings.domain
     }
 
     /// Returns where callers are served.
-    pub const fn callers(&self) -> SocketAddr {
-        self.plan.callers
+    pub const fn caller_address(&self) -> SocketAddr {
+        self.settings.callers
     }
 
     /// Returns where operators are served.
-    pub const fn operators(&self) -> SocketAddr {
-        self.plan.operators
+    pub const fn operator_address(&self) -> SocketAddr {
+        self.settings.operators
     }
 
     /// Returns where the log stands.
     pub fn log_path(&self) -> PathBuf {
-        self.settings.with_extension("log")
+        self.settings_path.with_extension("log")
     }
 
     /// Returns the process id, while it runs.
@@ -189,9 +192,9 @@
     }
 
     /// Tells whether the daemon has ended by itself.
-    pub fn has_ended(&mut self) -> bool {
-        let ended = self.child.as_mut().map(Child::try_wait);
-        match ended {
+    pub fn has_exited(&mut self) -> bool {
+        let exit_status = self.child.as_mut().map(Child::try_wait);
+        match exit_status {
             Some(Ok(Some(_))) => {
                 self.child = None;
                 true
@@ -202,13 +205,13 @@
     }
 
     /// Waits until the daemon has ended; returns whether it ended by itself.
-    pub async fn wait_or_kill(&mut self, patience: Duration) -> bool {
-        let deadline = Instant::now() + patience;
+    pub async fn wait_or_kill(&mut self, timeout: Duration) -> bool {
+        let deadline = Instant::now() + timeout;
         while Instant::now() < deadline {
-            if self.has_ended() {
+            if self.has_exited() {
                 return true;
             }
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         self.kill();
         false
@@ -218,93 +221,93 @@
     ///
     /// # Errors
     ///
-    /// Returns an error where it does not within `patience`.
-    pub async fn wait_for(&self, path: &str, patience: Duration) -> Result<(), BenchError> {
-        let ready = async |daemon: &Self| answers_ok(daemon.plan.callers, path).await;
-        self.wait_until(path, patience, ready).await
+    /// Returns an error where it does not within `timeout`.
+    pub async fn wait_for_ok(&self, path: &str, timeout: Duration) -> Result<(), BenchError> {
+        let ready = async |daemon: &Self| returns_ok(daemon.settings.callers, path).await;
+        self.wait_until(path, timeout, ready).await
     }
 
     /// Waits until the daemon has so many open links.
     pub(super) async fn wait_for_links(
         &self,
         links: usize,
-        patience: Duration,
+        timeout: Duration,
     ) -> Result<(), BenchError> {
         let linked =
             async |daemon: &Self| daemon.metric("dockgate_open_links").await == Some(links as f64);
-        self.wait_until("links", patience, linked).await
+        self.wait_until("links", timeout, linked).await
     }
 
     async fn wait_until(
         &self,
         what: &str,
-        patience: Duration,
-        holds: impl AsyncFn(&Self) -> bool,
+        timeout: Duration,
+        condition: impl AsyncFn(&Self) -> bool,
     ) -> Result<(), BenchError> {
-        let deadline = Instant::now() + patience;
+        let deadline = Instant::now() + timeout;
         while Instant::now() < deadline {
-            if holds(self).await {
+            if condition(self).await {
                 return Ok(());
             }
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
-        let cause = format!("{what} did not come in {patience:?}");
+        let cause = format!("{what} did not come in {timeout:?}");
         Err(BenchError::Daemon(
             "wait for",
-            self.plan.name.clone(),
+            self.settings.name.clone(),
             cause,
         ))
     }
 
-    fn proc_text(&self, file: &str) -> String {
+    fn read_proc_file(&self, file: &str) -> String {
         let path = self.pid().map(|pid| format!("/proc/{pid}/{file}"));
         path.and_then(|path| std::fs::read_to_string(path).ok())
             .unwrap_or_default()
     }
 
     /// Returns the processor time that the process has used, in seconds; zero where it is not told.
-    pub fn processor_seconds(&self) -> f64 {
+    pub fn cpu_seconds(&self) -> f64 {
         /// Clock ticks a second in that file, on every Linux that we know.
-        const TICKS: f64 = 100.0;
-        let text = self.proc_text("stat");
+        const TICKS_PER_SECOND: f64 = 100.0;
+        let text = self.read_proc_file("stat");
         // The fields after the name, which ends with the last parenthesis, begin with the state.
         let fields = text.rsplit(')').next().unwrap_or_default();
         let times = fields.split_whitespace().skip(11).take(2);
         times
             .filter_map(|ticks| ticks.parse::<f64>().ok())
             .sum::<f64>()
-            / TICKS
+            / TICKS_PER_SECOND
     }
 
     /// Returns the resident memory of the process, in megabytes; zero where it is not told.
     pub fn memory_mb(&self) -> f64 {
-        let text = self.proc_text("status");
+        let text = self.read_proc_file("status");
         let line = text.lines().find(|line| line.starts_with("VmRSS:"));
         let kilobytes = line.and_then(|line| line.split_whitespace().nth(1)?.parse::<f64>().ok());
         kilobytes.unwrap_or(0.0) / 1_024.0
     }
 
     /// Returns where metrics are served.
-    pub(crate) const fn metrics(&self) -> SocketAddr {
-        self.plan.metrics
+    pub(crate) const fn metrics_address(&self) -> SocketAddr {
+        self.settings.metrics
     }
 
     /// Returns the sum of a metric over its labels.
     pub async fn metric(&self, name: &str) -> Option<f64> {
-        metric_at(self.plan.metrics, name).await
+        fetch_metric(self.settings.metrics, name).await
     }
 }
 
 /// Returns the sum of a metric over its labels, as a metrics address tells it.
-pub(crate) async fn metric_at(address: SocketAddr, name: &str) -> Option<f64> {
-    let text = fetch(address, "metrics").await?;
+pub(crate) async fn fetch_metric(address: SocketAddr, name: &str) -> Option<f64> {
+    let text = http_get(address, "metrics").await?;
     let mut found = None;
     for line in text.lines() {
         let Some((key, value)) = line.rsplit_once(' ') else {
             continue;
         };
-        let plain = key.split('{').next().unwrap_or(key);
-        if let (true, Ok(value)) = (plain == name, value.parse::<f64>()) {
+        let metric_name = key.split('{').next().unwrap_or(key);
+        if let (true, Ok(value)) = (metric_name == name, value.parse::<f64>()) {
             found = Some(found.unwrap_or(0.0) + value);
         }
     }
@@ -317,8 +320,8 @@
     }
 }
 
-impl DaemonPlan {
-    fn settings(&self, boxes: &[BoxEntry], folder: &Path) -> String {
+impl DaemonSettings {
+    fn to_ini(&self, boxes: &[BoxEntry], folder: &Path) -> String {
         let mut text = format!(
             "[box]\nname = {}\ndomain = {}\n\n[listen]\ncallers = {}\npeers = {}\n\
              operators = {}\nmetrics = {}\n\n[platform]\naddress = {}\n\n\
@@ -331,19 +334,19 @@
             self.operators,
             self.metrics,
             self.platform,
-            folder.join(FLEET_FILE).display(),
-            folder.join(OPERATOR_FILE).display(),
+            folder.join(FLEET_SECRET_FILE).display(),
+            folder.join(OPERATOR_TOKEN_FILE).display(),
         );
         for (key, value) in &self.schedule {
             // Writing to a string does not fail.
             let _ = writeln!(text, "{key} = {value}");
         }
-        for seed in boxes.iter().filter(|seed| seed.name != self.name) {
-            if let Some(address) = seed.peer_addresses.get(&self.domain) {
+        for peer in boxes.iter().filter(|peer| peer.name != self.name) {
+            if let Some(address) = peer.peer_addresses.get(&self.domain) {
                 let _ = writeln!(
                     text,
                     "[seed {}]\ndomain = {}\naddress = {address}",
-                    seed.name, seed.domain
+                    peer.name, peer.domain
                 );
             }
         }
@@ -351,27 +354,27 @@
     }
 }
 
-async fn answers_ok(address: SocketAddr, path: &str) -> bool {
-    let answer = fetch(address, path).await;
-    answer.is_some_and(|answer| answer.starts_with("HTTP/1.1 200"))
+async fn returns_ok(address: SocketAddr, path: &str) -> bool {
+    let response = http_get(address, path).await;
+    response.is_some_and(|response| response.starts_with("HTTP/1.1 200"))
 }
 
 /// Tells whether a box says that it is ready.
-pub async fn is_ready(callers: SocketAddr) -> bool {
-    answers_ok(callers, "readyz").await
+pub async fn is_ready(caller_address: SocketAddr) -> bool {
+    returns_ok(caller_address, "readyz").await
 }
 
 /// Fetches a path; the answer with its head as text.
-pub(crate) async fn fetch(address: SocketAddr, path: &str) -> Option<String> {
-    let fetched = async {
+pub(crate) async fn http_get(address: SocketAddr, path: &str) -> Option<String> {
+    let exchange = async {
         let mut stream = TcpStream::connect(address).await.ok()?;
         let request = format!("GET /{path} HTTP/1.1\r\nhost: bench\r\nconnection: close\r\n\r\n");
         stream.write_all(request.as_bytes()).await.ok()?;
-        let mut answer = String::new();
-        stream.read_to_string(&mut answer).await.ok()?;
-        Some(answer)
+        let mut response = String::new();
+        stream.read_to_string(&mut response).await.ok()?;
+        Some(response)
     };
-    tokio::time::timeout(Duration::from_secs(2), fetched)
+    tokio::time::timeout(Duration::from_secs(2), exchange)
         .await
         .ok()
         .flatten()
--- a/dockgate-bench/src/gateway_fleet.rs
+++ b/dockgate-bench/src/gateway_fleet.rs
@@ -1,7 +1,7 @@
 //! Gateways as real processes on loopback, with stand-ins of the platform and of endpoints.
 
 use crate::error::BenchError;
-use crate::fleet::{daemon_program, fetch};
+use crate::fleet::{daemon_program, http_get};
 use crate::standin::{PeerStandIn, PlatformStandIn, RoutedStandIn, StoreDoor};
 use dockgate_proto::{QuarantineAnswer, QuarantineRequest, StateAnswer, methods};
 use jsonrpsee::core::client::ClientT;
@@ -209,7 +209,7 @@
 
     /// Tells whether it says that it is ready.
     pub async fn is_ready(&self) -> bool {
-        let answer = fetch(self.at(READINESS), "-/readyz").await;
+        let answer = http_get(self.at(READINESS), "-/readyz").await;
         answer.is_some_and(|answer| answer.starts_with("HTTP/1.1 200"))
     }
 
@@ -228,7 +228,9 @@
 
     /// Returns what it counts.
     pub async fn metrics(&self) -> String {
-        fetch(self.at(METRICS), "metrics").await.unwrap_or_default()
+        http_get(self.at(METRICS), "metrics")
+            .await
+            .unwrap_or_default()
     }
 }
 
--- a/dockgate-bench/src/lib.rs
+++ b/dockgate-bench/src/lib.rs
@@ -7,7 +7,7 @@
 pub mod caller;
 pub mod demo;
 pub mod error;
-pub mod fault;
+pub mod fault_injector;
 pub mod fleet;
 pub mod gap;
 pub mod gateway_fleet;
--- a/dockgate-bench/src/main.rs
+++ b/dockgate-bench/src/main.rs
@@ -6,7 +6,7 @@
 use dockgate_bench::gateway_soak::{SoakFaults, SoakOptions, run_soak};
 use dockgate_bench::mixed_fleet::{MixedOptions, MixedReport, run_mixed};
 use dockgate_bench::report::BenchReport;
-use dockgate_bench::run::{RunOptions, WARM_UP, run_scenario};
+use dockgate_bench::run::{DEFAULT_WARM_UP, RunOptions, run_scenario};
 use dockgate_bench::scenario::BenchScenario;
 use dockgate_bench::slopes::{SlopeReport, run_slopes};
 use serde::Serialize;
@@ -17,9 +17,9 @@
 use tokio::signal::unix::{SignalKind, signal};
 
 /// Exit code of a soak that a signal ended before its last seed.
-const EXIT_ENDED: u8 = 4;
+const EXIT_SIGNALLED: u8 = 4;
 /// Exit code of a run in which a promise was broken.
-const EXIT_BROKEN: u8 = 3;
+const EXIT_VIOLATION: u8 = 3;
 
 /// Loads a dockgate fleet on loopback and measures it.
 #[derive(Debug, Parser)]
@@ -143,22 +143,22 @@
         } => {
             let seeds = seed..seed + seeds;
             tokio::select! {
-                code = soak(seeds, Duration::from_secs(seconds), faults) => code,
-                signal = end_signal() => {
+                code = run_soak_seeds(seeds, Duration::from_secs(seconds), faults) => code,
+                signal = shutdown_signal() => {
                     // What it has started ends with it.
                     println!("ended from outside by {}", signal?);
-                    Ok(ExitCode::from(EXIT_ENDED))
+                    Ok(ExitCode::from(EXIT_SIGNALLED))
                 }
             }
         }
         BenchCommand::Mixed { other, seed } => {
             let options = MixedOptions { other, seed };
             tokio::select! {
-                reports = run_mixed(&options) => Ok(print_mixed(&reports?, seed)),
-                signal = end_signal() => {
+                reports = run_mixed(&options) => Ok(print_mixed_reports(&reports?, seed)),
+                signal = shutdown_signal() => {
                     // What it has started ends with it.
                     println!("ended from outside by {}", signal?);
-                    Ok(ExitCode::from(EXIT_ENDED))
+                    Ok(ExitCode::from(EXIT_SIGNALLED))
                 }
             }
         }
@@ -181,7 +181,7 @@
             let options = RunOptions {
                 seed,
                 seconds,
-                warm_up: WARM_UP,
+                warm_up: DEFAULT_WARM_UP,
                 keep_logs,
             };
             let measured = run_scenario(&scenario, &options).await?;
@@ -189,20 +189,20 @@
             if let Some(path) = report {
                 write_report(&path, &measured)?;
             }
-            Ok(verdict(&measured))
+            Ok(exit_code(&measured))
         }
     }
 }
 
-/// Runs one seed after the other; says of each what was seen.
+/// Runs one seed after the other; says of each what was soak_report.
 /// Waits for a signal that asks this process to end, such as that of a shell which ends itself, and names it.
-async fn end_signal() -> Result<&'static str, BenchError> {
-    let listen = |kind, name: &str| {
+async fn shutdown_signal() -> Result<&'static str, BenchError> {
+    let register = |kind, name: &str| {
         signal(kind).map_err(|cause| BenchError::Io("listen for", name.to_owned(), cause))
     };
-    let mut hangup = listen(SignalKind::hangup(), "SIGHUP")?;
-    let mut terminate = listen(SignalKind::terminate(), "SIGTERM")?;
-    let mut interrupt = listen(SignalKind::interrupt(), "SIGINT")?;
+    let mut hangup = register(SignalKind::hangup(), "SIGHUP")?;
+    let mut terminate = register(SignalKind::terminate(), "SIGTERM")?;
+    let mut interrupt = register(SignalKind::interrupt(), "SIGINT")?;
     Ok(tokio::select! {
         _ = hangup.recv() => "SIGHUP",
         _ = terminate.recv() => "SIGTERM",
@@ -210,14 +210,14 @@
     })
 }
 
-async fn soak(
+async fn run_soak_seeds(
     seeds: Range<u64>,
     lasts: Duration,
     faults: SoakFaults,
 ) -> Result<ExitCode, BenchError> {
     let mut code = ExitCode::SUCCESS;
     for seed in seeds {
-        let seen = run_soak(SoakOptions {
+        let soak_report = run_soak(SoakOptions {
             seed,
             lasts,
             faults,
@@ -225,26 +225,30 @@
         .await?;
         println!(
             "seed {seed}: {} faults, {} calls, {} answered, {} refused, {} left, {} promises broken",
-            seen.faults.len(),
-            seen.calls,
-            seen.answered,
-            seen.refused,
-            seen.left,
-            seen.broken.len(),
+            soak_report.faults.len(),
+            soak_report.calls,
+            soak_report.answered,
+            soak_report.refused,
+            soak_report.left,
+            soak_report.broken.len(),
         );
-        if !seen.broken.is_empty() {
-            seen.faults.iter().for_each(|fault| println!("  {fault}"));
-            seen.broken
+        if !soak_report.broken.is_empty() {
+            soak_report
+                .faults
+                .iter()
+                .for_each(|fault| println!("  {fault}"));
+            soak_report
+                .broken
                 .iter()
                 .for_each(|what| println!("  broken: {what}"));
-            code = ExitCode::from(EXIT_BROKEN);
+            code = ExitCode::from(EXIT_VIOLATION);
         }
     }
     Ok(code)
 }
 
 /// Prints what came of each fleet; fails where something was broken.
-fn print_mixed(reports: &[MixedReport], seed: u64) -> ExitCode {
+fn print_mixed_reports(reports: &[MixedReport], seed: u64) -> ExitCode {
     println!("seed {seed}    calls  answered  unknown key  killed  broken  warnings");
     for report in reports {
         println!(
@@ -266,7 +270,7 @@
     }
     match reports.iter().all(|report| report.broken.is_empty()) {
         true => ExitCode::SUCCESS,
-        false => ExitCode::from(EXIT_BROKEN),
+        false => ExitCode::from(EXIT_VIOLATION),
     }
 }
 
@@ -277,20 +281,20 @@
 }
 
 /// Fails where any arm broke a promise.
-fn verdict(report: &BenchReport) -> ExitCode {
+fn exit_code(report: &BenchReport) -> ExitCode {
     let arms = std::iter::once(&report.main).chain(&report.baselines);
-    let mut broken = false;
+    let mut has_violation = false;
     for arm in arms {
-        for (name, count) in arm.broken_promises().iter().filter(|(_, count)| *count > 0) {
+        for (name, count) in arm.violations().iter().filter(|(_, count)| *count > 0) {
             eprintln!(
                 "dockgate-bench: arm {}: {name} is {count}, and must be 0",
                 arm.arm
             );
-            broken = true;
+            has_violation = true;
         }
     }
-    match broken {
-        true => ExitCode::from(EXIT_BROKEN),
+    match has_violation {
+        true => ExitCode::from(EXIT_VIOLATION),
         false => ExitCode::SUCCESS,
     }
 }
--- a/dockgate-bench/src/report.rs
+++ b/dockgate-bench/src/report.rs
@@ -155,7 +155,7 @@
 
 impl ArmReport {
     /// Returns the counts that must be zero, with their names.
-    pub const fn broken_promises(&self) -> [(&'static str, u64); 8] {
+    pub const fn violations(&self) -> [(&'static str, u64); 8] {
         [
             ("wrong_answers", self.wrong_answers),
             ("truncated_answers", self.truncated_answers),
--- a/dockgate-bench/src/run.rs
+++ b/dockgate-bench/src/run.rs
@@ -1,35 +1,35 @@
 //! Runs a scenario: starts the fleet, drives callers and faults, measures.
 
-mod churn;
-mod measure;
-mod sampler;
+mod config_churn;
+mod control_totals;
+mod run_sampler;
 
 use crate::caller::{BoxView, CallerClient, start_callers};
 use crate::error::BenchError;
-use crate::fault::FaultDriver;
+use crate::fault_injector::FaultInjector;
 use crate::fleet::{BenchFleet, EndpointStandIn};
 use crate::report::{ArmReport, BenchReport};
-use crate::scenario::{Arrival, BenchArm, BenchScenario, EntryChoice, WorkspaceLoad};
-use churn::{ChurnStats, OperatorChurn};
-use measure::{ControlTotals, close_books};
-use sampler::RunSampler;
+use crate::scenario::{ArrivalProcess, BenchArm, BenchScenario, EntryBoxes, WorkspaceLoad};
+use config_churn::{ConfigChurn, PropagationTimes};
+use control_totals::{ControlTotals, fill_final_counts};
+use run_sampler::RunSampler;
 use std::path::PathBuf;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio_util::sync::CancellationToken;
 
 /// How long callers run before anything is measured, where nothing else is said.
-pub const WARM_UP: Duration = Duration::from_secs(4);
+pub const DEFAULT_WARM_UP: Duration = Duration::from_secs(4);
 /// How long the idle fleet's control traffic is measured.
-const IDLE: Duration = Duration::from_secs(2);
+const IDLE_PERIOD: Duration = Duration::from_secs(2);
 /// How often the fleet is sampled.
-const SAMPLE: Duration = Duration::from_millis(50);
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(50);
 /// How often the balancer asks whether a box is ready.
-const BALANCER: Duration = Duration::from_millis(100);
+const READINESS_INTERVAL: Duration = Duration::from_millis(100);
 /// How often added latency is probed.
-const PROBE: Duration = Duration::from_millis(20);
+const PROBE_INTERVAL: Duration = Duration::from_millis(20);
 /// How long requests in flight may take at the end.
-const DRAIN: Duration = Duration::from_secs(10);
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(10);
 /// The workspace on whose behalf probes run.
 const PROBE_WORKSPACE: &str = "probe";
 
@@ -88,65 +88,65 @@
     fleet.scenario.workspaces = loads;
 
     let idle = ControlTotals::read(&fleet).await;
-    tokio::time::sleep(IDLE).await;
+    tokio::time::sleep(IDLE_PERIOD).await;
     let idle = ControlTotals::read(&fleet).await.since(&idle);
 
-    let client = Arc::new(CallerClient::new(views(&fleet), engines(&fleet)));
+    let client = Arc::new(CallerClient::new(box_views(&fleet), engine_pools(&fleet)));
     let stop = CancellationToken::new();
     let callers = start_callers(&fleet.scenario, &client, options.seed, &stop);
-    let helpers = CancellationToken::new();
-    tokio::spawn(watch_boxes(client.clone(), helpers.clone()));
+    let stop_background = CancellationToken::new();
+    tokio::spawn(poll_readiness(client.clone(), stop_background.clone()));
     if let Some(load) = probe {
-        tokio::spawn(probe_calls(
+        tokio::spawn(probe_boxes(
             load,
             client.clone(),
             direct_targets(&fleet),
-            helpers.clone(),
+            stop_background.clone(),
         ));
     }
-    let churn = ChurnStats::default();
+    let propagation = PropagationTimes::default();
     if fleet.scenario.fleet.changes_per_second > 0.0 {
-        let churner = OperatorChurn::new(&fleet, churn.clone());
-        tokio::spawn(churner.run(helpers.clone()));
+        let config_churn = ConfigChurn::new(&fleet, propagation.clone());
+        tokio::spawn(config_churn.run(stop_background.clone()));
     }
     tokio::time::sleep(options.warm_up).await;
     client.stats.reset();
 
     let before = ControlTotals::read(&fleet).await;
     let mut sampler = RunSampler::new(&fleet.scenario, &fleet.tallies, fleet.peer_bytes.clone());
-    let mut faults = FaultDriver::new(&fleet.scenario.faults);
+    let mut fault_injector = FaultInjector::new(&fleet.scenario.faults);
     let started = tokio::time::Instant::now();
-    let mut ticks = tokio::time::interval(SAMPLE);
+    let mut ticks = tokio::time::interval(SAMPLE_INTERVAL);
     while started.elapsed().as_secs_f64() < options.seconds {
         ticks.tick().await;
-        faults.drive(&mut fleet, &client).await?;
+        fault_injector.apply_due(&mut fleet, &client).await?;
         sampler.sample(&client.stats);
-        sampler.watch_versions(&fleet).await;
+        sampler.poll_config_versions(&fleet).await;
     }
     let control = ControlTotals::read(&fleet).await.since(&before);
     let mut report = sampler.report(&client.stats, options.seconds);
     stop.cancel();
-    let _ = tokio::time::timeout(DRAIN, futures::future::join_all(callers)).await;
-    helpers.cancel();
+    let _ = tokio::time::timeout(DRAIN_TIMEOUT, futures::future::join_all(callers)).await;
+    stop_background.cancel();
     report.arm = arm.name.clone();
-    report.config_in_force_ms = churn.percentiles();
-    control.fill(&mut report, &fleet, options.seconds);
+    report.config_in_force_ms = propagation.percentiles();
+    control.write_to(&mut report, &fleet, options.seconds);
     report.idle_control_bytes_per_node_second =
-        idle.bytes as f64 / fleet.daemons.len() as f64 / IDLE.as_secs_f64();
-    close_books(&mut report, &fleet, &client.stats).await;
-    keep_logs(&fleet, arm, options);
+        idle.bytes as f64 / fleet.daemons.len() as f64 / IDLE_PERIOD.as_secs_f64();
+    fill_final_counts(&mut report, &fleet, &client.stats).await;
+    copy_logs(&fleet, arm, options);
     fleet.stop().await;
     Ok(report)
 }
 
-fn views(fleet: &BenchFleet) -> Vec<BoxView> {
+fn box_views(fleet: &BenchFleet) -> Vec<BoxView> {
     let daemons = fleet.daemons.iter();
     daemons
-        .map(|daemon| BoxView::new(daemon.name().to_owned(), daemon.callers()))
+        .map(|daemon| BoxView::new(daemon.name().to_owned(), daemon.caller_address()))
         .collect()
 }
 
-fn engines(fleet: &BenchFleet) -> std::collections::BTreeMap<String, bool> {
+fn engine_pools(fleet: &BenchFleet) -> std::collections::BTreeMap<String, bool> {
     let pools = fleet.scenario.pools.iter();
     pools.map(|pool| (pool.name.clone(), pool.engine)).collect()
 }
@@ -158,12 +158,12 @@
         workspace: PROBE_WORKSPACE.to_owned(),
         share: 1,
         pool: pool.name.clone(),
-        arrival: Arrival::Closed(1),
+        arrival: ArrivalProcess::Closed(1),
         sizes: "0*1".parse().ok()?,
         prompt: 0,
         stream: false,
         kind: None,
-        entries: EntryChoice::All,
+        entries: EntryBoxes::All,
         deadline_ms: 0,
         queue_limit: 100,
     })
@@ -188,13 +188,13 @@
 }
 
 /// Probes every box in turn, against a stand-in of its own domain.
-async fn probe_calls(
+async fn probe_boxes(
     load: WorkspaceLoad,
     client: Arc<CallerClient>,
     targets: Vec<Option<std::net::SocketAddr>>,
     stop: CancellationToken,
 ) {
-    let mut ticks = tokio::time::interval(PROBE);
+    let mut ticks = tokio::time::interval(PROBE_INTERVAL);
     for entry in (0..targets.len()).cycle() {
         ticks.tick().await;
         if stop.is_cancelled() {
@@ -207,17 +207,17 @@
 }
 
 /// Asks every box whether it is ready, as the balancer does.
-async fn watch_boxes(client: Arc<CallerClient>, stop: CancellationToken) {
+async fn poll_readiness(client: Arc<CallerClient>, stop: CancellationToken) {
     while !stop.is_cancelled() {
         for view in client.boxes() {
-            let ready = crate::fleet::is_ready(view.callers).await;
+            let ready = crate::fleet::is_ready(view.caller_address).await;
             view.set_ready(ready);
         }
-        tokio::time::sleep(BALANCER).await;
+        tokio::time::sleep(READINESS_INTERVAL).await;
     }
 }
 
-fn keep_logs(fleet: &BenchFleet, arm: &BenchArm, options: &RunOptions) {
+fn copy_logs(fleet: &BenchFleet, arm: &BenchArm, options: &RunOptions) {
     let Some(folder) = &options.keep_logs else {
         return;
     };
--- a/dockgate-bench/src/run/churn.rs
+++ b/dockgate-bench/src/run/config_churn.rs
@@ -1,6 +1,6 @@
 //! An operator who changes the configuration again and again, and times until it is in force.
 
-use crate::fleet::{BenchFleet, DaemonProcess, change_at, metric_at};
+use crate::fleet::{BenchFleet, DaemonProcess, apply_intent_at, fetch_metric};
 use crate::report::TimePercentiles;
 use dockgate_core::{ConfigChange, KindSpec};
 use dockgate_proto::operator::PlanIntent;
@@ -11,15 +11,15 @@
 use tokio_util::sync::CancellationToken;
 
 /// How often the boxes are asked which version is in force.
-const POLL: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// How long a change may take before it is given up.
-const PATIENCE: Duration = Duration::from_secs(10);
+const PROPAGATION_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Times until changes were in force everywhere.
 #[derive(Debug, Clone)]
-pub(super) struct ChurnStats(Arc<Mutex<Histogram<u64>>>);
+pub(super) struct PropagationTimes(Arc<Mutex<Histogram<u64>>>);
 
-impl Default for ChurnStats {
+impl Default for PropagationTimes {
     fn default() -> Self {
         let longest_us = 60_000_000;
         let times = Histogram::new_with_bounds(1, longest_us, 3);
@@ -29,7 +29,7 @@
     }
 }
 
-impl ChurnStats {
+impl PropagationTimes {
     fn record(&self, time: Duration) {
         let mut times = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         times.saturating_record(time.as_micros() as u64);
@@ -38,37 +38,37 @@
     /// Returns the percentiles, in milliseconds.
     pub(super) fn percentiles(&self) -> TimePercentiles {
         let times = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        let at = |quantile| times.value_at_quantile(quantile) as f64 / 1_000.0;
+        let value_at = |quantile| times.value_at_quantile(quantile) as f64 / 1_000.0;
         TimePercentiles {
-            p50: at(0.5),
-            p95: at(0.95),
-            p99: at(0.99),
+            p50: value_at(0.5),
+            p95: value_at(0.95),
+            p99: value_at(0.99),
         }
     }
 }
 
 /// The operator.
-pub(super) struct OperatorChurn {
-    operators: Vec<SocketAddr>,
-    metrics: Vec<SocketAddr>,
-    every: Duration,
-    stats: ChurnStats,
+pub(super) struct ConfigChurn {
+    operator_addresses: Vec<SocketAddr>,
+    metrics_addresses: Vec<SocketAddr>,
+    interval: Duration,
+    propagation: PropagationTimes,
 }
 
-impl OperatorChurn {
-    pub(super) fn new(fleet: &BenchFleet, stats: ChurnStats) -> Self {
+impl ConfigChurn {
+    pub(super) fn new(fleet: &BenchFleet, propagation: PropagationTimes) -> Self {
         let daemons = || fleet.daemons.iter();
         Self {
-            operators: daemons().map(DaemonProcess::operators).collect(),
-            metrics: daemons().map(DaemonProcess::metrics).collect(),
-            every: Duration::from_secs_f64(1.0 / fleet.scenario.fleet.changes_per_second),
-            stats,
+            operator_addresses: daemons().map(DaemonProcess::operator_address).collect(),
+            metrics_addresses: daemons().map(DaemonProcess::metrics_address).collect(),
+            interval: Duration::from_secs_f64(1.0 / fleet.scenario.fleet.changes_per_second),
+            propagation,
         }
     }
 
     /// Changes one thing after the other until the token is cancelled.
     pub(super) async fn run(self, stop: CancellationToken) {
-        let mut ticks = tokio::time::interval(self.every);
+        let mut ticks = tokio::time::interval(self.interval);
         for number in 0.. {
             ticks.tick().await;
             if stop.is_cancelled() {
@@ -79,21 +79,21 @@
                 repeatable: number % 2 == 0,
             };
             let intent = PlanIntent::Changes(vec![ConfigChange::PutKind(spec)]);
-            let door = self.operators[number % self.operators.len()];
-            match change_at(door, intent).await {
-                Ok(reply) => self.time_in_force(reply.version).await,
+            let operator_address = self.operator_addresses[number % self.operator_addresses.len()];
+            match apply_intent_at(operator_address, intent).await {
+                Ok(reply) => self.record_propagation(reply.version).await,
                 Err(error) => log::warn!("churn: {error}"),
             }
         }
     }
 
-    async fn time_in_force(&self, version: u64) {
+    async fn record_propagation(&self, version: u64) {
         let started = Instant::now();
-        while started.elapsed() < PATIENCE {
+        while started.elapsed() < PROPAGATION_TIMEOUT {
             let versions = self
-                .metrics
+                .metrics_addresses
                 .iter()
-                .map(|address| metric_at(*address, "dockgate_config_version"));
+                .map(|address| fetch_metric(*address, "dockgate_config_version"));
             let versions = futures::future::join_all(versions).await;
             let lagging = versions
                 .iter()
@@ -101,8 +101,8 @@
             if !lagging {
                 break;
             }
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
-        self.stats.record(started.elapsed());
+        self.propagation.record(started.elapsed());
     }
 }
--- a/dockgate-bench/src/run/measure.rs
+++ b/dockgate-bench/src/run/control_totals.rs
@@ -11,8 +11,8 @@
     pub(super) peer_bytes: u64,
     pub(super) bytes: u64,
     calls: PlatformCalls,
-    busy_us: f64,
-    processor_s: f64,
+    control_busy_us: f64,
+    cpu_s: f64,
     pauses: f64,
 }
 
@@ -24,13 +24,9 @@
             peer_bytes,
             bytes: peer_bytes + fleet.platform_bytes.total(),
             calls: fleet.platform.calls(),
-            busy_us: sum_metric(fleet, "dockgate_control_busy_microseconds_total").await,
+            control_busy_us: sum_metric(fleet, "dockgate_control_busy_microseconds_total").await,
             pauses: sum_metric(fleet, "dockgate_pauses_total").await,
-            processor_s: fleet
-                .daemons
-                .iter()
-                .map(DaemonProcess::processor_seconds)
-                .sum(),
+            cpu_s: fleet.daemons.iter().map(DaemonProcess::cpu_seconds).sum(),
         }
     }
 
@@ -43,14 +39,14 @@
                 reads: self.calls.reads - earlier.calls.reads,
                 writes: self.calls.writes - earlier.calls.writes,
             },
-            busy_us: self.busy_us - earlier.busy_us,
+            control_busy_us: self.control_busy_us - earlier.control_busy_us,
             pauses: self.pauses - earlier.pauses,
-            processor_s: self.processor_s - earlier.processor_s,
+            cpu_s: self.cpu_s - earlier.cpu_s,
         }
     }
 
     /// Fills a report in.
-    pub(super) fn fill(&self, report: &mut ArmReport, fleet: &BenchFleet, seconds: f64) {
+    pub(super) fn write_to(&self, report: &mut ArmReport, fleet: &BenchFleet, seconds: f64) {
         let boxes = fleet.daemons.len() as f64;
         let requests = report.requests.max(1) as f64;
         report.control_bytes_per_request = self.peer_bytes as f64 / requests;
@@ -58,13 +54,13 @@
         report.platform_reads_per_second = self.calls.reads as f64 / seconds;
         report.platform_writes_per_second = self.calls.writes as f64 / seconds;
         // A box that was started anew counts from zero; its total is then too low, never negative.
-        let busy_s = self.busy_us.max(0.0) / 1e6;
+        let busy_s = self.control_busy_us.max(0.0) / 1e6;
         report.control_core_fraction = busy_s / boxes / seconds;
         report.pauses_per_second = self.pauses.max(0.0) / seconds;
-        report.process_core_fraction = self.processor_s.max(0.0) / boxes / seconds;
+        report.process_core_fraction = self.cpu_s.max(0.0) / boxes / seconds;
         let memory: f64 = fleet.daemons.iter().map(DaemonProcess::memory_mb).sum();
         report.memory_mb = memory / boxes;
-        report.fairness_bound_units = bound_units(fleet);
+        report.fairness_bound_units = fairness_bound(fleet);
     }
 }
 
@@ -76,8 +72,8 @@
 
 /// Returns the stated bound: every slot may hold an answer of the largest size, and a report
 /// period's service may be unknown, to the favour of one workspace.
-fn bound_units(fleet: &BenchFleet) -> f64 {
-    const REPORT_S: f64 = 1.0;
+fn fairness_bound(fleet: &BenchFleet) -> f64 {
+    const REPORT_INTERVAL_S: f64 = 1.0;
     let pools = fleet.scenario.pools.iter().filter(|pool| pool.engine);
     pools
         .map(|pool| {
@@ -85,28 +81,36 @@
             let loads = fleet.scenario.workspaces.iter();
             let sizes = loads.filter(|load| load.pool == pool.name);
             let largest = sizes.map(|load| load.sizes.largest()).max().unwrap_or(0);
-            slots * (largest as f64 + pool.tokens_per_second * REPORT_S)
+            slots * (largest as f64 + pool.tokens_per_second * REPORT_INTERVAL_S)
         })
         .fold(0.0, f64::max)
 }
 
 /// Checks at the end of a run what must never have happened.
-pub(super) async fn close_books(report: &mut ArmReport, fleet: &BenchFleet, stats: &CallerStats) {
-    let runs = |pool: &str, nonce: &str| {
+pub(super) async fn fill_final_counts(
+    report: &mut ArmReport,
+    fleet: &BenchFleet,
+    stats: &CallerStats,
+) {
+    let runs_of = |pool: &str, nonce: &str| {
         let tally = fleet.tallies.get(pool);
         tally.map_or(0, |tally| tally.runs_of(nonce))
     };
     let not_run = stats.not_run();
-    let ran = not_run.iter().filter(|(pool, nonce)| runs(pool, nonce) > 0);
-    report.not_run_but_ran = ran.count() as u64;
-    let once = stats.once();
-    let doubled = once.iter().filter(|(pool, nonce)| runs(pool, nonce) > 1);
-    report.duplicate_runs = doubled.count() as u64;
-    let late = fleet
+    let not_run_but_ran = not_run
+        .iter()
+        .filter(|(pool, nonce)| runs_of(pool, nonce) > 0);
+    report.not_run_but_ran = not_run_but_ran.count() as u64;
+    let non_repeatable = stats.non_repeatable();
+    let duplicated = non_repeatable
+        .iter()
+        .filter(|(pool, nonce)| runs_of(pool, nonce) > 1);
+    report.duplicate_runs = duplicated.count() as u64;
+    let late_starts = fleet
         .endpoints
         .iter()
         .map(|endpoint| endpoint.standin.late_starts());
-    report.late_grants_to_leaving = late.sum();
+    report.late_grants_to_leaving = late_starts.sum();
     let tallies = fleet.tallies.values();
     report.engine_refusals = tallies.clone().map(|tally| tally.refused()).sum();
     report.tokens_computed_twice = tallies.map(|tally| tally.recomputed()).sum();
--- a/dockgate-bench/src/run/sampler.rs
+++ b/dockgate-bench/src/run/run_sampler.rs
@@ -12,9 +12,9 @@
 use std::time::{Duration, Instant};
 
 /// A request that is younger is under way, not waiting.
-const UNDER_WAY: Duration = Duration::from_millis(10);
+const MIN_QUEUE_TIME: Duration = Duration::from_millis(10);
 /// How often the versions in force are looked at.
-const VERSIONS: Duration = Duration::from_millis(250);
+const VERSION_INTERVAL: Duration = Duration::from_millis(250);
 
 /// What was seen of one pool.
 struct PoolSampler {
@@ -32,13 +32,13 @@
 pub(super) struct RunSampler {
     pools: Vec<PoolSampler>,
     shares: HashMap<String, u32>,
-    last: Instant,
+    last_sample_at: Instant,
     versions: HashMap<String, f64>,
     versions_due: Instant,
     reverts: u64,
     peer_bytes: ByteCount,
     started: Instant,
-    second: SecondTotals,
+    second_start: SecondTotals,
     timeline: Vec<TimelinePoint>,
 }
 
@@ -77,11 +77,11 @@
             shares: loads
                 .map(|load| (load.workspace.clone(), load.share))
                 .collect(),
-            last: Instant::now(),
+            last_sample_at: Instant::now(),
             versions: HashMap::new(),
             versions_due: Instant::now(),
             reverts: 0,
-            second: SecondTotals {
+            second_start: SecondTotals {
                 peer_bytes: peer_bytes.total(),
                 ..SecondTotals::default()
             },
@@ -94,14 +94,15 @@
     /// Takes one sample.
     pub(super) fn sample(&mut self, stats: &CallerStats) {
         let now = Instant::now();
-        let seconds = (now - self.last).as_secs_f64();
-        self.last = now;
+        let seconds = (now - self.last_sample_at).as_secs_f64();
+        self.last_sample_at = now;
         let outstanding = stats.outstanding();
         for pool in &mut self.pools {
             let mut waiting: HashMap<&str, usize> = HashMap::new();
             for call in &outstanding {
-                let old = now.saturating_duration_since(call.since) > UNDER_WAY;
-                if old && call.pool == pool.shape.name && pool.tally.runs_of(&call.nonce) == 0 {
+                let is_queued = now.saturating_duration_since(call.sent_at) > MIN_QUEUE_TIME;
+                if is_queued && call.pool == pool.shape.name && pool.tally.runs_of(&call.nonce) == 0
+                {
                     *waiting.entry(&call.workspace).or_default() += 1;
                 }
             }
@@ -109,12 +110,12 @@
         }
         let at_s = (now - self.started).as_secs_f64();
         if at_s >= (self.timeline.len() + 1) as f64 {
-            self.close_second(at_s);
+            self.push_timeline_point(at_s);
         }
     }
 
     /// Adds a point to the timeline.
-    fn close_second(&mut self, at_s: f64) {
+    fn push_timeline_point(&mut self, at_s: f64) {
         let engines = || self.pools.iter().filter(|pool| pool.shape.engine);
         let sum = |part: fn(&PoolSampler) -> f64| engines().map(part).sum::<f64>();
         let totals = SecondTotals {
@@ -123,7 +124,7 @@
             slots: sum(|pool| pool.slots),
             peer_bytes: self.peer_bytes.total(),
         };
-        let slots = (totals.slots - self.second.slots).max(f64::EPSILON);
+        let slots = (totals.slots - self.second_start.slots).max(f64::EPSILON);
         let mut levels = BTreeMap::new();
         for sample in engines().flat_map(|pool| pool.tally.sample()) {
             if let Some(share) = self.shares.get(&sample.workspace) {
@@ -132,24 +133,24 @@
         }
         self.timeline.push(TimelinePoint {
             at_s,
-            utilisation: (totals.busy - self.second.busy) / slots,
-            idle_while_queued: (totals.idle_queued - self.second.idle_queued) / slots,
-            peer_bytes: totals.peer_bytes - self.second.peer_bytes,
+            utilisation: (totals.busy - self.second_start.busy) / slots,
+            idle_while_queued: (totals.idle_queued - self.second_start.idle_queued) / slots,
+            peer_bytes: totals.peer_bytes - self.second_start.peer_bytes,
             levels,
         });
-        self.second = totals;
+        self.second_start = totals;
     }
 
     /// Looks whether a box has gone back to an older configuration.
-    pub(super) async fn watch_versions(&mut self, fleet: &BenchFleet) {
+    pub(super) async fn poll_config_versions(&mut self, fleet: &BenchFleet) {
         if Instant::now() < self.versions_due {
             return;
         }
-        self.versions_due = Instant::now() + VERSIONS;
+        self.versions_due = Instant::now() + VERSION_INTERVAL;
         let versions = fleet.daemons.iter().map(async |daemon| {
-            let patience = Duration::from_millis(100);
+            let timeout = Duration::from_millis(100);
             let metric = daemon.metric("dockgate_config_version");
-            let version = tokio::time::timeout(patience, metric).await.ok().flatten();
+            let version = tokio::time::timeout(timeout, metric).await.ok().flatten();
             (daemon.name().to_owned(), version)
         });
         for (name, version) in futures::future::join_all(versions).await {
@@ -171,10 +172,10 @@
         let worst = engines().max_by(|a, b| a.gap_units(self).total_cmp(&b.gap_units(self)));
         let sum = |part: fn(&PoolSampler) -> f64| engines().map(part).sum::<f64>();
         let slots = sum(|pool| pool.slots).max(f64::EPSILON);
-        let times = |at: &dyn Fn(f64) -> f64| TimePercentiles {
-            p50: at(0.5),
-            p95: at(0.95),
-            p99: at(0.99),
+        let percentiles = |value_at: &dyn Fn(f64) -> f64| TimePercentiles {
+            p50: value_at(0.5),
+            p95: value_at(0.95),
+            p99: value_at(0.99),
         };
         ArmReport {
             fairness_gap_units: worst.map_or(0.0, |pool| pool.gap_units(self)),
@@ -192,13 +193,13 @@
             truncated_answers: stats.count(CallOutcome::Truncated),
             cut_by_planned_stop: stats.cut_by_stop(),
             config_reverts: self.reverts,
-            first_token_ms: times(&|quantile| stats.first_token_ms(quantile)),
-            between_token_ms: times(&|quantile| stats.between_ms(quantile)),
-            added_latency_us: match stats.probes() {
+            first_token_ms: percentiles(&|quantile| stats.first_token_ms(quantile)),
+            between_token_ms: percentiles(&|quantile| stats.token_gap_ms(quantile)),
+            added_latency_us: match stats.probe_count() {
                 0 => AddedLatency::default(),
                 _ => AddedLatency {
-                    p50: stats.added_us(0.5),
-                    p99: stats.added_us(0.99),
+                    p50: stats.added_latency_us(0.5),
+                    p99: stats.added_latency_us(0.99),
                 },
             },
             timeline: self.timeline.clone(),
--- a/dockgate-bench/src/scenario.rs
+++ b/dockgate-bench/src/scenario.rs
@@ -1,8 +1,8 @@
 //! Scenarios: which fleet, which callers, which faults.
 
-mod load;
+mod workspace_load;
 
-pub use load::{Arrival, EntryChoice, SizeMix, WorkspaceLoad};
+pub use workspace_load::{ArrivalProcess, EntryBoxes, SizeDistribution, WorkspaceLoad};
 
 use crate::error::BenchError;
 use dockgate_core::{IniDocument, SectionReader};
@@ -21,7 +21,7 @@
     /// The workspaces and what they send.
     pub workspaces: Vec<WorkspaceLoad>,
     /// Kinds that may not be repeated.
-    pub once_kinds: Vec<String>,
+    pub non_repeatable_kinds: Vec<String>,
     /// The faults.
     pub faults: Vec<FaultPlan>,
     /// The orders to be compared; `fair` alone where there is none.
@@ -95,7 +95,7 @@
     /// When it begins, after the warm-up.
     pub at: Duration,
     /// How long it lasts.
-    pub lasts: Duration,
+    pub duration: Duration,
     /// What it is.
     pub kind: FaultKind,
     /// What it befalls: a box, a domain or an endpoint.
@@ -141,7 +141,7 @@
             fleet: FleetShape::default(),
             pools: Vec::new(),
             workspaces: Vec::new(),
-            once_kinds: Vec::new(),
+            non_repeatable_kinds: Vec::new(),
             faults: Vec::new(),
             arms: Vec::new(),
         };
@@ -151,8 +151,8 @@
                 "pool" => scenario.pools.push(read_pool(&mut section)),
                 "workspace" => scenario
                     .workspaces
-                    .extend(load::read_workspaces(&mut section)),
-                "kind" => scenario.once_kinds.push(section.name.clone()),
+                    .extend(workspace_load::read_workspace_loads(&mut section)),
+                "kind" => scenario.non_repeatable_kinds.push(section.name.clone()),
                 "fault" => scenario.faults.extend(read_fault(&mut section)),
                 "arm" => scenario.arms.push(read_arm(&mut section)),
                 other => {
@@ -204,7 +204,7 @@
     section.take_checked(key, default, &allowed, |value| range.contains(value))
 }
 
-fn seconds(section: &mut SectionReader, key: &str, default: f64) -> Duration {
+fn take_seconds(section: &mut SectionReader, key: &str, default: f64) -> Duration {
     Duration::from_secs_f64(take_number(section, key, default, 0.0..=86_400.0))
 }
 
@@ -261,8 +261,8 @@
         None => None,
     };
     Some(FaultPlan {
-        at: seconds(section, "at", 1.0),
-        lasts: seconds(section, "for", 1.0),
+        at: take_seconds(section, "at", 1.0),
+        duration: take_seconds(section, "for", 1.0),
         target: section.take_text("target").unwrap_or_default(),
         kind: kind?,
     })
--- a/dockgate-bench/src/scenario/tests.rs
+++ b/dockgate-bench/src/scenario/tests.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn every_scenario_of_ours_is_valid() {
+fn bundled_scenarios_are_valid() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("scenarios");
     for entry in std::fs::read_dir(folder).unwrap() {
         let path = entry.unwrap().path();
--- a/dockgate-bench/src/scenario/load.rs
+++ b/dockgate-bench/src/scenario/workspace_load.rs
@@ -7,14 +7,14 @@
 
 /// When requests come.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Arrival {
+pub enum ArrivalProcess {
     /// So many callers, each with one request at a time.
     Closed(usize),
     /// So many requests a second, at random.
     Open(f64),
 }
 
-impl FromStr for Arrival {
+impl FromStr for ArrivalProcess {
     type Err = ();
 
     fn from_str(text: &str) -> Result<Self, ()> {
@@ -31,9 +31,9 @@
 
 /// Sizes of answers with their weights: `30*99 3000*1`.
 #[derive(Debug, Clone, PartialEq)]
-pub struct SizeMix(Vec<(usize, u32)>);
+pub struct SizeDistribution(Vec<(usize, u32)>);
 
-impl FromStr for SizeMix {
+impl FromStr for SizeDistribution {
     type Err = ();
 
     fn from_str(text: &str) -> Result<Self, ()> {
@@ -51,16 +51,16 @@
     }
 }
 
-impl SizeMix {
+impl SizeDistribution {
     /// Returns the largest size.
     pub fn largest(&self) -> usize {
         self.0.iter().map(|(size, _)| *size).max().unwrap_or(0)
     }
 
     /// Draws a size.
-    pub fn draw(&self, random: &mut StdRng) -> usize {
+    pub fn draw(&self, rng: &mut StdRng) -> usize {
         let total: u32 = self.0.iter().map(|(_, weight)| weight).sum();
-        let mut left = random.random_range(0..total);
+        let mut left = rng.random_range(0..total);
         for (size, weight) in &self.0 {
             match left.checked_sub(*weight) {
                 Some(rest) => left = rest,
@@ -73,7 +73,7 @@
 
 /// At which boxes a workspace's requests enter.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum EntryChoice {
+pub enum EntryBoxes {
     /// At all, evenly.
     All,
     /// At these boxes, evenly.
@@ -90,9 +90,9 @@
     /// The pool.
     pub pool: String,
     /// When requests come.
-    pub arrival: Arrival,
+    pub arrival: ArrivalProcess,
     /// Tokens of an answer, or milliseconds of a plain service.
-    pub sizes: SizeMix,
+    pub sizes: SizeDistribution,
     /// Bytes of a prompt.
     pub prompt: usize,
     /// Whether answers are streamed.
@@ -100,7 +100,7 @@
     /// A kind that may not be repeated, if it is set.
     pub kind: Option<String>,
     /// Where they enter.
-    pub entries: EntryChoice,
+    pub entries: EntryBoxes,
     /// How long a request may wait for a slot, in milliseconds; zero for the daemon's default.
     pub deadline_ms: u64,
     /// The longest queue at one box.
@@ -108,12 +108,12 @@
 }
 
 /// Reads `[workspace NAME]`: one load for each `arrival.POOL`.
-pub(super) fn read_workspaces(section: &mut SectionReader) -> Vec<WorkspaceLoad> {
+pub(super) fn read_workspace_loads(section: &mut SectionReader) -> Vec<WorkspaceLoad> {
     let share = section.take("share", "a whole number").unwrap_or(1);
     let entries = section.take_list("entries");
     let entries = match entries.is_empty() {
-        true => EntryChoice::All,
-        false => EntryChoice::Named(entries),
+        true => EntryBoxes::All,
+        false => EntryBoxes::Named(entries),
     };
     let kind = section.take_text("kind");
     let stream = section.take_text("stream").as_deref() != Some("no");
@@ -123,10 +123,10 @@
         .take("queue_limit", "a whole number")
         .unwrap_or(1_000);
     let allowed = "closed:CALLERS or open:REQUESTS_PER_SECOND";
-    let mut arrivals = section.take_prefixed::<Arrival>("arrival.", allowed);
+    let mut arrivals = section.take_prefixed::<ArrivalProcess>("arrival.", allowed);
     if arrivals.is_empty() {
         // A workspace that sends nothing is declared all the same.
-        arrivals.push((String::new(), Arrival::Closed(0)));
+        arrivals.push((String::new(), ArrivalProcess::Closed(0)));
     }
     let loads = arrivals.into_iter().map(|(pool, arrival)| {
         let sizes = section.take(&format!("sizes.{pool}"), "sizes such as 30*99 3000*1");
@@ -135,7 +135,7 @@
             share,
             pool,
             arrival,
-            sizes: sizes.unwrap_or(SizeMix(vec![(30, 1)])),
+            sizes: sizes.unwrap_or(SizeDistribution(vec![(30, 1)])),
             prompt,
             stream,
             kind: kind.clone(),
--- a/dockgate-bench/src/slopes.rs
+++ b/dockgate-bench/src/slopes.rs
@@ -1,10 +1,10 @@
 //! How the cost of control grows: one size is varied at a time, and lines are fitted.
 
-mod axis;
-mod fit;
+mod line_fit;
+mod slope_axis;
 
-pub use axis::SlopeAxis;
-pub use fit::LineFit;
+pub use line_fit::LineFit;
+pub use slope_axis::SlopeAxis;
 
 use crate::error::BenchError;
 use crate::report::ArmReport;
@@ -37,7 +37,7 @@
 }
 
 /// The measures that slopes are fitted to.
-fn measures(report: &ArmReport) -> BTreeMap<String, f64> {
+fn slope_metrics(report: &ArmReport) -> BTreeMap<String, f64> {
     [
         (
             "idle_node_bytes_per_second",
@@ -76,7 +76,7 @@
 ///
 /// Returns what could not be started.
 pub async fn run_slopes(
-    only: &[String],
+    axis_names: &[String],
     seconds: f64,
     seed: u64,
 ) -> Result<Vec<SlopeReport>, BenchError> {
@@ -88,7 +88,7 @@
     };
     let mut reports = Vec::new();
     for axis in SlopeAxis::ALL {
-        if only.is_empty() || only.iter().any(|name| name == axis.name()) {
+        if axis_names.is_empty() || axis_names.iter().any(|name| name == axis.name()) {
             reports.push(run_axis(axis, &options).await?);
         }
     }
@@ -99,12 +99,12 @@
     let mut points = Vec::new();
     for size in axis.sizes() {
         let name = format!("{}-{size}", axis.name());
-        let scenario = BenchScenario::parse(&name, &name, &axis.scenario(*size))?;
+        let scenario = BenchScenario::parse(&name, &name, &axis.scenario_ini(*size))?;
         let measured = run_scenario(&scenario, options).await?;
         println!("measured {name}");
         points.push(SlopePoint {
             size: *size as f64,
-            measured: measures(&measured.main),
+            measured: slope_metrics(&measured.main),
         });
     }
     Ok(SlopeReport {
@@ -124,7 +124,7 @@
                 .iter()
                 .map(|point| (point.size, point.measured[&name]))
                 .collect();
-            (name, LineFit::of(&pairs))
+            (name, LineFit::from_points(&pairs))
         })
         .collect()
 }
@@ -140,15 +140,18 @@
             .chain(["slope", "error", "at zero", "bends at"].map(str::to_owned));
         table.load_style(ASCII_MARKDOWN).set_header(header);
         for (name, fit) in &self.fits {
-            let values = self.points.iter().map(|point| number(point.measured[name]));
-            let bends = fit
+            let values = self
+                .points
+                .iter()
+                .map(|point| format_number(point.measured[name]));
+            let bends_at = fit
                 .bends_at
                 .map_or_else(|| "-".to_owned(), |size| size.to_string());
             let line = [
-                number(fit.slope),
-                number(fit.error),
-                number(fit.at_zero),
-                bends,
+                format_number(fit.slope),
+                format_number(fit.error),
+                format_number(fit.at_zero),
+                bends_at,
             ];
             table.add_row(std::iter::once(name.clone()).chain(values).chain(line));
         }
@@ -156,7 +159,7 @@
     }
 }
 
-fn number(value: f64) -> String {
+fn format_number(value: f64) -> String {
     match value.abs() {
         size if size >= 100.0 => format!("{value:.0}"),
         size if size >= 1.0 => format!("{value:.2}"),
--- /dev/null
+++ b/dockgate-bench/src/slopes/line_fit.rs
@@ -0,0 +1,53 @@
+//! Least-squares lines.
+
+use serde::{Deserialize, Serialize};
+
+/// A line through measured points.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
+pub struct LineFit {
+    /// Growth for one more.
+    pub slope: f64,
+    /// Standard error of the slope.
+    pub error: f64,
+    /// The value at size zero.
+    pub at_zero: f64,
+    /// The first size whose value lies off the line by more than a fifth, if there is one.
+    pub bends_at: Option<f64>,
+}
+
+impl LineFit {
+    /// How far off the line a value may lie, as a part of the largest value.
+    const TOLERANCE: f64 = 0.2;
+
+    /// Fits a line to pairs of size and value.
+    pub fn from_points(points: &[(f64, f64)]) -> Self {
+        let count = points.len() as f64;
+        let mean = |pick: fn(&(f64, f64)) -> f64| points.iter().map(pick).sum::<f64>() / count;
+        let (mean_x, mean_y) = (mean(|point| point.0), mean(|point| point.1));
+        let sum_xx: f64 = points.iter().map(|(x, _)| (x - mean_x).powi(2)).sum();
+        if points.len() < 2 || sum_xx == 0.0 {
+            return Self::default();
+        }
+        let sum_xy: f64 = points
+            .iter()
+            .map(|(x, y)| (x - mean_x) * (y - mean_y))
+            .sum();
+        let slope = sum_xy / sum_xx;
+        let at_zero = mean_y - slope * mean_x;
+        let residual = |x: f64, y: f64| (y - at_zero - slope * x).abs();
+        let residual_sum: f64 = points.iter().map(|(x, y)| residual(*x, *y).powi(2)).sum();
+        let largest = points.iter().map(|(_, y)| y.abs()).fold(0.0, f64::max);
+        let outlier = points
+            .iter()
+            .find(|(x, y)| residual(*x, *y) > Self::TOLERANCE * largest);
+        Self {
+            slope,
+            error: (residual_sum / (count - 2.0).max(1.0) / sum_xx).sqrt(),
+            at_zero,
+            bends_at: outlier.map(|(x, _)| *x),
+        }
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/dockgate-bench/src/slopes/axis.rs
+++ b/dockgate-bench/src/slopes/slope_axis.rs
@@ -20,7 +20,7 @@
 }
 
 /// The shape of one point.
-struct SlopeShape {
+struct FleetSize {
     domains: usize,
     boxes_per_domain: usize,
     endpoints: usize,
@@ -66,8 +66,8 @@
         }
     }
 
-    const fn shape(self, size: usize) -> SlopeShape {
-        let base = SlopeShape {
+    const fn fleet_size(self, size: usize) -> FleetSize {
+        let base = FleetSize {
             domains: 2,
             boxes_per_domain: 2,
             endpoints: 20,
@@ -78,30 +78,30 @@
             changes_per_second: 0.0,
         };
         match self {
-            Self::Boxes => SlopeShape {
+            Self::Boxes => FleetSize {
                 boxes_per_domain: size / 2,
                 endpoints: 32,
                 ..base
             },
-            Self::Endpoints => SlopeShape {
+            Self::Endpoints => FleetSize {
                 endpoints: size,
                 ..base
             },
-            Self::Workspaces => SlopeShape {
+            Self::Workspaces => FleetSize {
                 workspaces: size,
                 backlogged: size / 10,
                 ..base
             },
-            Self::Requests => SlopeShape {
+            Self::Requests => FleetSize {
                 requests_per_second: size as f64,
                 endpoints: 40,
                 ..base
             },
-            Self::Changes => SlopeShape {
+            Self::Changes => FleetSize {
                 changes_per_second: size as f64 / 100.0,
                 ..base
             },
-            Self::Domains => SlopeShape {
+            Self::Domains => FleetSize {
                 domains: size,
                 boxes_per_domain: 1,
                 ..base
@@ -110,26 +110,26 @@
     }
 
     /// Writes the scenario of one size.
-    pub fn scenario(self, size: usize) -> String {
-        let shape = self.shape(size);
-        let domains: Vec<String> = (0..shape.domains)
+    pub fn scenario_ini(self, size: usize) -> String {
+        let fleet_size = self.fleet_size(size);
+        let domains: Vec<String> = (0..fleet_size.domains)
             .map(|number| format!("d{number}"))
             .collect();
         let mut text = format!(
             "[fleet]\ndomains = {}\nboxes_per_domain = {}\nchanges_per_second = {}\n\
              [pool chat]\nkind = engine\nendpoints = {}\nslots = {}\ntokens_per_second = 30\n",
             domains.join(", "),
-            shape.boxes_per_domain,
-            shape.changes_per_second,
-            shape.endpoints,
-            shape.slots
+            fleet_size.boxes_per_domain,
+            fleet_size.changes_per_second,
+            fleet_size.endpoints,
+            fleet_size.slots
         );
-        let open = (shape.workspaces - shape.backlogged).min(16);
-        let rate = shape.requests_per_second / open as f64;
-        for number in 0..shape.workspaces {
+        let open_loops = (fleet_size.workspaces - fleet_size.backlogged).min(16);
+        let rate = fleet_size.requests_per_second / open_loops as f64;
+        for number in 0..fleet_size.workspaces {
             let load = match number {
-                number if number < shape.backlogged => "arrival.chat = closed:6\n".to_owned(),
-                number if number < shape.backlogged + open => {
+                number if number < fleet_size.backlogged => "arrival.chat = closed:6\n".to_owned(),
+                number if number < fleet_size.backlogged + open_loops => {
                     format!("arrival.chat = open:{rate}\n")
                 }
                 _ => String::new(),
--- a/dockgate-bench/tests/fleet.rs
+++ b/dockgate-bench/tests/fleet.rs
@@ -1,7 +1,7 @@
 //! Focused tests of failures: real daemons as processes, small stand-ins around them.
 
 use bytes::Bytes;
-use dockgate_bench::caller::{AnswerCheck, CheckVerdict};
+use dockgate_bench::caller::{AnswerChecker, AnswerVerdict};
 use dockgate_bench::fleet::{BenchFleet, DaemonProcess, workspace_key};
 use dockgate_bench::scenario::{BenchArm, BenchScenario};
 use dockgate_config::{CommitOutcome, ConfigStore};
@@ -49,7 +49,7 @@
 fn request(daemon: &DaemonProcess, path: &str, body: &str) -> Request<Full<Bytes>> {
     Request::builder()
         .method("POST")
-        .uri(format!("http://{}{path}", daemon.callers()))
+        .uri(format!("http://{}{path}", daemon.caller_address()))
         .header(
             header::AUTHORIZATION,
             format!("Bearer {}", workspace_key("captions")),
@@ -253,7 +253,10 @@
     let mut fleet = start().await;
     let client = PlatformClient::new(fleet.platform.address, Duration::from_secs(2));
     let store = ConfigStore::new(client);
-    let (config, other) = (fleet.shown(0).await.unwrap(), fleet.shown(1).await.unwrap());
+    let (config, other) = (
+        fleet.config_in_force(0).await.unwrap(),
+        fleet.config_in_force(1).await.unwrap(),
+    );
     assert_eq!(config, other);
     let kind = |name: &str| {
         let spec = KindSpec {
@@ -287,7 +290,7 @@
             repeatable: true,
         };
         let intent = PlanIntent::Changes(vec![ConfigChange::PutKind(spec)]);
-        fleet.change(number % 2, intent).await.unwrap();
+        fleet.apply_intent(number % 2, intent).await.unwrap();
     }
     let client = PlatformClient::new(fleet.platform.address, Duration::from_secs(2));
     let (head, _) = ConfigStore::new(client).head().await.unwrap();
@@ -297,9 +300,12 @@
         fleet.platform.set_out(out);
         fleet.daemons[1].kill();
         fleet.daemons[1].restart().unwrap();
-        let ready = fleet.daemons[1].wait_for("readyz", Duration::from_secs(20));
+        let ready = fleet.daemons[1].wait_for_ok("readyz", Duration::from_secs(20));
         ready.await.unwrap();
-        assert_eq!(fleet.shown(1).await.unwrap().version, head.version);
+        assert_eq!(
+            fleet.config_in_force(1).await.unwrap().version,
+            head.version
+        );
     }
     fleet.stop().await;
 }
@@ -308,7 +314,7 @@
 async fn doors_turn_strangers_away_and_slow_callers_are_timed_out() {
     let mut fleet = start().await;
     let daemon = &fleet.daemons[0];
-    let mut stranger = TcpStream::connect(daemon.operators()).await.unwrap();
+    let mut stranger = TcpStream::connect(daemon.operator_address()).await.unwrap();
     let call = "{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"show\"}";
     let head = format!(
         "POST / HTTP/1.1\r\nhost: x\r\nconnection: close\r\ncontent-type: application/json\r\n\
@@ -321,7 +327,7 @@
     assert!(answer.starts_with("HTTP/1.1 401"), "{answer}");
     assert_eq!(daemon.metric("dockgate_turned_away_total").await, Some(1.0));
 
-    let mut smuggler = TcpStream::connect(daemon.callers()).await.unwrap();
+    let mut smuggler = TcpStream::connect(daemon.caller_address()).await.unwrap();
     let both = "POST /services/media/ HTTP/1.1\r\nhost: x\r\ncontent-length: 4\r\n\
         transfer-encoding: chunked\r\n\r\n0\r\n\r\nGET /livez HTTP/1.1\r\nhost: x\r\n\r\n";
     smuggler.write_all(both.as_bytes()).await.unwrap();
@@ -360,9 +366,9 @@
     dying.unwrap().standin.kill();
     for (nonce, stream) in ["x", "y", "z", "w"].iter().zip(streams) {
         let answer = stream.await.unwrap();
-        let mut check = AnswerCheck::new((*nonce).to_owned(), tokens);
+        let mut check = AnswerChecker::new((*nonce).to_owned(), tokens);
         check.feed(answer.as_bytes());
-        assert_eq!(check.verdict(), CheckVerdict::Whole, "{answer}");
+        assert_eq!(check.verdict(), AnswerVerdict::Complete, "{answer}");
     }
     fleet.stop().await;
 }
@@ -390,7 +396,7 @@
              x-nonce: {nonce}\r\ncontent-length: 5\r\n\r\nhello"
         )
     };
-    let mut caller = TcpStream::connect(daemon.callers()).await.unwrap();
+    let mut caller = TcpStream::connect(daemon.caller_address()).await.unwrap();
     caller.write_all(text("first").as_bytes()).await.unwrap();
     running(1).await;
     caller.write_all(text("behind").as_bytes()).await.unwrap();
