--- a/dockgate-bench/src/caller.rs
+++ b/dockgate-bench/src/caller.rs
@@ -1,4 +1,4 @@
-//! Callers: they send, check every byte of the answers, and count.
+//! Callers, which send requests, check the answers and record statistics.
 
 mod answer_checker;
 mod caller_client;
@@ -16,10 +16,10 @@
 use std::time::Duration;
 use tokio_util::sync::CancellationToken;
 
-/// How long a refused caller waits before it comes again.
+/// Delay before a closed-loop caller sends again after an unsuccessful request.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Drives every workspace's callers until the token is cancelled.
+/// Starts the callers of every workspace; they run until the token is cancelled.
 pub fn start_callers(
     scenario: &BenchScenario,
     client: &Arc<CallerClient>,
@@ -50,7 +50,7 @@
     tasks
 }
 
-/// Sends one request after the other.
+/// Sends requests one at a time.
 async fn run_closed_loop(
     load: Arc<WorkspaceLoad>,
     client: Arc<CallerClient>,
@@ -65,7 +65,7 @@
     }
 }
 
-/// Sends requests at random times, whatever becomes of the earlier ones.
+/// Sends requests with exponentially distributed gaps, without waiting for earlier ones.
 async fn run_open_loop(
     load: Arc<WorkspaceLoad>,
     rate: f64,
@@ -90,14 +90,14 @@
     calls.wait().await;
 }
 
-/// A request to be sent.
+/// A request to send.
 #[derive(Debug, Clone)]
 pub struct CallSpec {
-    /// The box at which it enters.
+    /// Index of the box that receives the request.
     pub entry: usize,
-    /// Tokens of the answer, or milliseconds of a plain service.
+    /// Tokens of the answer, or service time in milliseconds for a plain service.
     pub size: usize,
-    /// What tells it from every other.
+    /// Unique identifier of the request.
     pub nonce: String,
 }
 
@@ -111,7 +111,8 @@
     }
 }
 
-/// Picks a ready box as the balancer would; any box where none is ready.
+/// Picks a random box among the ready ones of `choice`, among all ready ones if none of those is
+/// ready, or among all boxes.
 fn choose_entry(choice: &EntryBoxes, client: &CallerClient, rng: &mut StdRng) -> usize {
     let boxes = client.boxes();
     let chosen = |view: &BoxView| match choice {
--- a/dockgate-bench/src/caller/answer_checker.rs
+++ b/dockgate-bench/src/caller/answer_checker.rs
@@ -1,16 +1,16 @@
-//! Checks an answer byte by byte against what its own request must give.
+//! Checks that an answer is exactly the one that its request must produce.
 
 use crate::standin::answer_token;
 use serde::Deserialize;
 
-/// What an answer turned out to be.
+/// Result of checking an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AnswerVerdict {
-    /// Whole and right.
+    /// Complete and correct.
     Complete,
-    /// Right as far as it goes, but it ends too early.
+    /// Correct as far as it goes, but incomplete.
     Truncated,
-    /// Not the answer to this request.
+    /// Differs from the expected answer.
     Wrong,
 }
 
@@ -29,7 +29,7 @@
     choices: Vec<StreamChoice>,
 }
 
-/// Follows a streamed answer.
+/// Checks a streamed answer incrementally.
 #[derive(Debug)]
 pub struct AnswerChecker {
     nonce: String,
@@ -41,7 +41,7 @@
 }
 
 impl AnswerChecker {
-    /// Expects so many tokens of the answer to this nonce.
+    /// Creates a checker that expects `expected_tokens` tokens of the answer to `nonce`.
     pub const fn new(nonce: String, expected_tokens: usize) -> Self {
         Self {
             nonce,
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Takes in the next bytes; returns how many tokens they completed.
+    /// Processes the next bytes and returns the number of tokens completed by them.
     pub fn feed(&mut self, bytes: &[u8]) -> usize {
         let before = self.next_token;
         for byte in bytes {
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Judges the answer at its end.
+    /// Returns the verdict on the bytes received so far.
     pub const fn verdict(&self) -> AnswerVerdict {
         match (
             self.wrong || self.next_token > self.expected_tokens,
@@ -101,7 +101,7 @@
     }
 }
 
-/// Judges an answer that came whole.
+/// Checks an answer that is not streamed.
 pub fn check_complete_answer(body: &[u8], nonce: &str, expected_tokens: usize) -> AnswerVerdict {
     let value: serde_json::Value = serde_json::from_slice(body).unwrap_or_default();
     let text = value["choices"][0]["message"]["content"]
--- a/dockgate-bench/src/caller/caller_client.rs
+++ b/dockgate-bench/src/caller/caller_client.rs
@@ -1,4 +1,4 @@
-//! The callers' HTTP client.
+//! The HTTP client of the callers.
 
 use super::CallSpec;
 use super::answer_checker::{AnswerChecker, AnswerVerdict, check_complete_answer};
@@ -20,19 +20,19 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Instant;
 
-/// A box as the balancer sees it.
+/// A box as a load balancer in front of the fleet sees it.
 #[derive(Debug)]
 pub struct BoxView {
-    /// Its name.
+    /// Name of the box.
     pub name: String,
-    /// Where callers are served.
+    /// Address of the caller listener.
     pub caller_address: SocketAddr,
     ready: AtomicBool,
     stopping: AtomicBool,
 }
 
 impl BoxView {
-    /// Makes the view of a box that is ready.
+    /// Creates the view of a ready box.
     pub const fn new(name: String, caller_address: SocketAddr) -> Self {
         Self {
             name,
@@ -42,33 +42,34 @@
         }
     }
 
-    /// Tells whether the balancer sends requests there.
+    /// Returns whether the load balancer sends requests to the box.
     pub fn is_ready(&self) -> bool {
         self.ready.load(Ordering::Acquire)
     }
 
-    /// Sets whether the balancer sends requests there.
+    /// Sets whether the load balancer sends requests to the box.
     pub fn set_ready(&self, ready: bool) {
         self.ready.store(ready, Ordering::Release);
     }
 
-    /// Sets whether the box is stopping in order.
+    /// Sets whether the box is shutting down gracefully.
     pub fn set_stopping(&self, stopping: bool) {
         self.stopping.store(stopping, Ordering::Release);
     }
 }
 
-/// Sends requests and judges what comes back.
+/// Sends requests and classifies the answers.
 pub struct CallerClient {
     client: Client<HttpConnector, Full<Bytes>>,
     boxes: Vec<BoxView>,
-    /// What was seen.
+    /// Statistics of all requests.
     pub stats: Arc<CallerStats>,
     engine_pools: BTreeMap<String, bool>,
 }
 
 impl CallerClient {
-    /// Makes a client of these boxes; `engine_pools` tells for each pool whether it is of engine_pools.
+    /// Creates a client for these boxes; `engine_pools` maps each pool to whether its endpoints are
+    /// engines.
     pub fn new(boxes: Vec<BoxView>, engine_pools: BTreeMap<String, bool>) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
@@ -83,12 +84,12 @@
         }
     }
 
-    /// Returns the boxes.
+    /// Returns all boxes, including those that are not ready.
     pub fn boxes(&self) -> &[BoxView] {
         &self.boxes
     }
 
-    /// Sends one request and follows it to its end.
+    /// Sends a request, waits for its end and records its outcome.
     pub async fn call(&self, load: &WorkspaceLoad, call: CallSpec) -> CallOutcome {
         let view = &self.boxes[call.entry];
         let outstanding = OutstandingCall {
@@ -156,7 +157,7 @@
         }
     }
 
-    /// Follows a stream, token by token.
+    /// Reads and checks a streamed answer, and records the time between its tokens.
     async fn read_stream(
         &self,
         response: Response<Incoming>,
@@ -224,7 +225,7 @@
         }
     }
 
-    /// Calls a service stand-in directly and through a box, one after the other.
+    /// Times a call to a service stand-in directly and then through a box.
     pub async fn probe(&self, load: &WorkspaceLoad, entry: usize, endpoint_address: SocketAddr) {
         let view = &self.boxes[entry];
         let direct_request = Request::builder()
--- a/dockgate-bench/src/caller/caller_stats.rs
+++ b/dockgate-bench/src/caller/caller_stats.rs
@@ -1,43 +1,43 @@
-//! What callers saw.
+//! Request statistics of the callers.
 
 use hdrhistogram::Histogram;
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// What became of a request, as its caller saw it.
+/// Outcome of a request as its caller sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum CallOutcome {
-    /// A whole, right answer.
+    /// A complete, correct answer.
     Ok,
-    /// A refusal that says that it did not run.
+    /// A refusal stating that the request did not run.
     NotRun,
-    /// A refusal that says that it ran without a whole answer.
+    /// A refusal stating that the request ran without a complete answer, or an unreadable refusal.
     Failed,
-    /// A refusal that says that nobody knows.
+    /// A refusal stating that it is unknown whether the request ran.
     Unknown,
-    /// The connection broke, so that the caller knows that it got no whole answer.
+    /// The connection failed or was closed before the end of the answer.
     Cut,
-    /// An answer that ended as if it were whole, and was not.
+    /// An answer that ended normally but is incomplete.
     Truncated,
-    /// An answer to something else.
+    /// An answer that is not the one to this request.
     Wrong,
 }
 
-/// A request that has no answer yet.
+/// A request that has not ended.
 #[derive(Debug, Clone)]
 pub struct OutstandingCall {
-    /// The pool.
+    /// Name of the pool.
     pub pool: String,
-    /// The workspace.
+    /// Name of the workspace.
     pub workspace: String,
-    /// What tells it from every other.
+    /// Unique identifier of the request.
     pub nonce: String,
-    /// When it was sent.
+    /// Time at which it was sent.
     pub sent_at: Instant,
 }
 
-/// Counts and times over all callers.
+/// Counts and latencies over all callers.
 #[derive(Debug)]
 pub struct CallerStats {
     state: Mutex<StatsState>,
@@ -56,7 +56,7 @@
     non_repeatable: Vec<(String, String)>,
 }
 
-/// The longest time that is told apart, in microseconds.
+/// Upper bound of recorded times, in microseconds.
 const MAX_TIME_US: u64 = 600_000_000;
 
 fn new_histogram() -> Histogram<u64> {
@@ -90,7 +90,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes that a request is sent; `once` where it may not be repeated.
+    /// Records a sent request; `non_repeatable` if it must not be retried.
     pub fn record_sent(&self, call: OutstandingCall, non_repeatable: bool) {
         let mut state = self.state();
         if non_repeatable {
@@ -101,7 +101,7 @@
         state.outstanding.insert(call.nonce.clone(), call);
     }
 
-    /// Notes what became of a request; `stopping` where its box was stopping in order.
+    /// Records the outcome of a request; `stopping` if its box was shutting down gracefully.
     pub fn record_outcome(&self, pool: &str, nonce: &str, outcome: CallOutcome, stopping: bool) {
         let mut state = self.state();
         state.outstanding.remove(nonce);
@@ -114,24 +114,24 @@
         }
     }
 
-    /// Notes the time to the first token.
+    /// Records the time to the first token.
     pub fn record_first_token(&self, time: Duration) {
         record(&mut self.state().first_token, time);
     }
 
-    /// Notes the time between two tokens.
+    /// Records the time between two tokens.
     pub fn record_token_gap(&self, time: Duration) {
         record(&mut self.state().token_gap, time);
     }
 
-    /// Notes a probe: the time of a direct call, and of a routed one.
+    /// Records a probe: the times of a direct and of a routed call.
     pub fn record_probe(&self, direct: Duration, routed: Duration) {
         let mut state = self.state();
         record(&mut state.direct, direct);
         record(&mut state.routed, routed);
     }
 
-    /// Forgets all times and counts so far, as at the end of the warm-up.
+    /// Resets the times and outcome counts at the end of the warm-up.
     pub fn reset(&self) {
         let mut state = self.state();
         state.outcomes.clear();
@@ -141,32 +141,32 @@
         state.routed.reset();
     }
 
-    /// Returns how many requests had an outcome.
+    /// Returns the number of requests with an outcome.
     pub fn count(&self, outcome: CallOutcome) -> u64 {
         self.state().outcomes.get(&outcome).copied().unwrap_or(0)
     }
 
-    /// Returns how many requests have ended.
+    /// Returns the number of requests that have ended.
     pub fn total(&self) -> u64 {
         self.state().outcomes.values().sum()
     }
 
-    /// Returns how many requests a planned stop cut off.
+    /// Returns the number of requests that were cut off by a graceful shutdown.
     pub fn cut_by_stop(&self) -> u64 {
         self.state().cut_by_stop
     }
 
-    /// Returns the requests that have no answer yet.
+    /// Returns the requests that have not ended.
     pub fn outstanding(&self) -> Vec<OutstandingCall> {
         self.state().outstanding.values().cloned().collect()
     }
 
-    /// Returns pool and nonce of every request refused as not run.
+    /// Returns pool and nonce of every request that was refused as not run.
     pub fn not_run(&self) -> Vec<(String, String)> {
         self.state().not_run.clone()
     }
 
-    /// Returns pool and nonce of every request that may not be repeated.
+    /// Returns pool and nonce of every request that must not be retried.
     pub fn non_repeatable(&self) -> Vec<(String, String)> {
         self.state().non_repeatable.clone()
     }
@@ -181,14 +181,15 @@
         self.state().token_gap.value_at_quantile(quantile) as f64 / 1_000.0
     }
 
-    /// Returns a quantile of the routed probes less that of the direct ones, in microseconds.
+    /// Returns the difference between a quantile of the routed and of the direct probes, in
+    /// microseconds.
     pub fn added_latency_us(&self, quantile: f64) -> f64 {
         let state = self.state();
         let routed = state.routed.value_at_quantile(quantile) as f64;
         routed - state.direct.value_at_quantile(quantile) as f64
     }
 
-    /// Returns how many probes there were.
+    /// Returns the number of probes.
     pub fn probe_count(&self) -> u64 {
         self.state().routed.len()
     }
--- a/dockgate-bench/src/demo.rs
+++ b/dockgate-bench/src/demo.rs
@@ -1,11 +1,10 @@
-//! A small fleet on embedded stand-ins that a newcomer can `curl`.
+//! A small demonstration fleet that can be called with `curl`.
 
 use crate::error::BenchError;
 use crate::fleet::{BenchFleet, workspace_key};
 use crate::scenario::{BenchArm, BenchScenario};
 use std::path::Path;
 
-/// The fleet of the demonstration.
 const DEMO_SCENARIO: &str = "\
 [fleet]
 domains = hall-a, hall-b
@@ -31,18 +30,18 @@
 [kind quiz]
 ";
 
-/// Starts the fleet, says how to call it, and runs until Ctrl-C.
+/// Starts the fleet, prints example commands, and runs until SIGINT or SIGTERM.
 ///
 /// # Errors
 ///
-/// Returns what could not be started.
+/// Returns an error if the fleet cannot be started.
 pub async fn run_demo() -> Result<(), BenchError> {
     let scenario = BenchScenario::parse("demo", "demo.ini", DEMO_SCENARIO)?;
     let mut fleet = BenchFleet::start(scenario, &BenchArm::fair()).await?;
     let (first, last) = (&fleet.daemons[0], &fleet.daemons[fleet.daemons.len() - 1]);
     let key = workspace_key("accessibility");
     println!(
-        "The fleet is ready: {} boxes. Try, in another shell:\n",
+        "The fleet is ready with {} boxes. Try these commands in another shell:\n",
         fleet.daemons.len()
     );
     println!(
@@ -62,19 +61,19 @@
         fleet.path().join("operator.token").display()
     );
     println!(
-        "Logs, one JSON line a decision: {}",
+        "Log of the first box, with one JSON line per decision: {}",
         first.log_path().display()
     );
-    println!("Ctrl-C ends it.");
+    println!("Press Ctrl-C to stop the fleet.");
     wait_for_shutdown().await;
     fleet.stop().await;
     Ok(())
 }
 
-/// Waits for Ctrl-C or SIGTERM, so that the daemons are stopped either way.
+/// Waits for SIGINT or SIGTERM, so that the daemons are stopped gracefully in both cases.
 async fn wait_for_shutdown() {
     use tokio::signal::unix::{SignalKind, signal};
-    // Without a signal handler there is nothing to wait for.
+    // The fleet stops at once if the signal handler cannot be registered.
     let Ok(mut terminate) = signal(SignalKind::terminate()) else {
         return;
     };
--- a/dockgate-bench/src/error.rs
+++ b/dockgate-bench/src/error.rs
@@ -1,28 +1,28 @@
-//! Errors of the bench tool; each carries the step and what it was about.
+//! Errors of the bench tool.
 
 use dockgate_core::IniProblems;
 use quick_error::quick_error;
 
 quick_error! {
-    /// Why a run cannot be made.
+    /// Reason for which a run failed, with the step that failed and its object.
     #[derive(Debug)]
     pub enum BenchError {
-        /// Something of the machine failed.
+        /// An I/O operation failed.
         Io(step: &'static str, what: String, cause: std::io::Error) {
             display("{} {}: {}", step, what, cause)
         }
-        /// The scenario is wrong.
+        /// The scenario file is invalid.
         Scenario(problems: IniProblems) {
             display("{}", problems)
             from()
         }
-        /// A daemon did not do what it should in time.
+        /// A daemon is missing, refused an operation or did not reach a state in time.
         Daemon(step: &'static str, name: String, cause: String) {
             display("{} {}: {}", step, name, cause)
         }
-        /// A report cannot be read or written.
-        Report(step: &'static str, path: String, cause: String) {
-            display("{} {}: {}", step, path, cause)
+        /// The requested arm does not exist.
+        Arm(step: &'static str, name: String, cause: String) {
+            display("{} {}: {}", step, name, cause)
         }
     }
 }
--- a/dockgate-bench/src/fault_injector.rs
+++ b/dockgate-bench/src/fault_injector.rs
@@ -1,4 +1,4 @@
-//! Brings faults on a fleet, and takes them away.
+//! Injects faults into a fleet and removes them.
 
 use crate::caller::CallerClient;
 use crate::error::BenchError;
@@ -10,12 +10,12 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How much longer every call to a slow platform takes.
+/// Delay added to every call to a slow platform.
 const PLATFORM_DELAY: Duration = Duration::from_millis(500);
-/// How long a retired endpoint may still get new work.
+/// Time after its retirement in which an endpoint may still receive new work.
 const RETIRE_GRACE: Duration = Duration::from_secs(3);
 
-/// A fault that is to come, or is there.
+/// A planned fault and its progress.
 struct ScheduledFault {
     plan: FaultPlan,
     begun: bool,
@@ -23,14 +23,14 @@
     revert: Option<ConfigChange>,
 }
 
-/// Brings the faults of a scenario on a fleet at their times.
+/// Injects the faults of a scenario into a fleet on schedule.
 pub struct FaultInjector {
     faults: Vec<ScheduledFault>,
     started: Instant,
 }
 
 impl FaultInjector {
-    /// Makes a driver whose times count from now.
+    /// Creates an injector whose schedule starts now.
     pub fn new(plans: &[FaultPlan]) -> Self {
         let faults = plans.iter().map(|plan| ScheduledFault {
             plan: plan.clone(),
@@ -44,11 +44,11 @@
         }
     }
 
-    /// Begins and ends what is due.
+    /// Begins and ends the faults that are due.
     ///
     /// # Errors
     ///
-    /// Returns an error where a daemon cannot be started anew or refuses a change.
+    /// Returns an error if a daemon cannot be restarted or refuses a configuration change.
     pub async fn apply_due(
         &mut self,
         fleet: &mut BenchFleet,
@@ -73,7 +73,7 @@
     }
 }
 
-/// Tells whether a fault can be taken away: a box that stops in order is waited for.
+/// Returns whether a fault can end: a graceful stop lasts at least until the daemon has exited.
 fn can_end(plan: &FaultPlan, fleet: &mut BenchFleet) -> bool {
     let mut daemons = fleet.daemons.iter_mut();
     let daemon = daemons.find(|daemon| daemon.name() == plan.target);
@@ -185,7 +185,7 @@
     Ok(())
 }
 
-/// Takes an endpoint's slots out of what could be used, or puts them back.
+/// Adds (`sign` 1) or removes (`sign` -1) an endpoint's slots in the capacity of its pool.
 fn adjust_slots(fleet: &BenchFleet, endpoint: &BenchEndpoint, sign: isize) {
     if let Some(tally) = fleet.tallies.get(&endpoint.pool) {
         tally.add_slots(sign * endpoint.slots as isize);
@@ -212,7 +212,8 @@
 }
 
 impl EndpointStandIn {
-    /// Notes that the endpoint leaves; runs that start after the grace are counted.
+    /// Marks the endpoint as leaving, after which runs that start later than `grace` are counted;
+    /// `None` clears the mark.
     pub fn set_leaving(&self, grace: Option<Duration>) {
         match self {
             Self::Engine(engine) => engine.leave.set(grace),
@@ -220,7 +221,7 @@
         }
     }
 
-    /// Returns how many runs started after the grace.
+    /// Returns the number of runs that started after the grace period.
     pub fn late_starts(&self) -> u64 {
         match self {
             Self::Engine(engine) => engine.leave.late(),
--- a/dockgate-bench/src/fleet.rs
+++ b/dockgate-bench/src/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet on loopback: stand-ins in this process, daemons as processes of their own.
+//! A fleet on loopback: stand-ins run in this process, daemons as child processes.
 
 mod config;
 mod daemon_process;
@@ -24,11 +24,11 @@
 use std::time::Duration;
 use tempfile::TempDir;
 
-/// An endpoint's stand-in.
+/// The stand-in server of an endpoint.
 pub enum EndpointStandIn {
     /// A model engine.
     Engine(EngineStandIn),
-    /// A plain service.
+    /// A service that is not a model engine.
     Service(ServiceStandIn),
 }
 
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Dies.
+    /// Simulates a crash of the endpoint.
     pub fn kill(&self) {
         match self {
             Self::Engine(engine) => engine.kill(),
@@ -49,55 +49,56 @@
     }
 }
 
-/// One endpoint of the fleet.
+/// An endpoint of the fleet.
 pub struct BenchEndpoint {
-    /// Its name.
+    /// Endpoint name.
     pub name: String,
-    /// Its pool.
+    /// Name of the pool.
     pub pool: String,
-    /// Its failure domain.
+    /// Failure domain.
     pub domain: String,
-    /// Its slots.
+    /// Number of slots.
     pub slots: usize,
-    /// The stand-in.
+    /// Server that answers for the endpoint.
     pub standin: EndpointStandIn,
-    /// Relays from the other domains.
+    /// Relays to the endpoint, by the failure domain that they serve.
     pub relays: HashMap<String, LinkRelay>,
 }
 
 /// A running fleet.
 pub struct BenchFleet {
-    /// The scenario it was made for.
+    /// Scenario that the fleet runs.
     pub scenario: BenchScenario,
-    /// The platform.
+    /// Stand-in of the platform service.
     pub platform: PlatformStandIn,
-    /// The endpoints.
+    /// Endpoints of all pools.
     pub endpoints: Vec<BenchEndpoint>,
-    /// Counts of each pool.
+    /// Run counts by pool.
     pub tallies: BTreeMap<String, Arc<RunTally>>,
-    /// The daemons.
+    /// Daemons in the order of the scenario's boxes.
     pub daemons: Vec<DaemonProcess>,
-    /// Relays between boxes, by the domain they come from and the box they go to.
+    /// Relays between boxes, by source failure domain and destination box.
     pub peer_relays: HashMap<(String, String), LinkRelay>,
-    /// Relays to the platform, by domain.
+    /// Relays to the platform, by failure domain.
     pub platform_relays: HashMap<String, LinkRelay>,
-    /// Bytes between boxes.
+    /// Bytes sent between boxes.
     pub peer_bytes: ByteCount,
-    /// Bytes between boxes and the platform.
+    /// Bytes sent between boxes and the platform.
     pub platform_bytes: ByteCount,
-    /// Where settings, secrets and logs stand.
+    /// Temporary folder of settings, secrets and logs.
     pub folder: TempDir,
 }
 
-/// Ports of a box, the same on each box's own loopback address.
+// Every box uses the same ports on a loopback address of its own.
 const CALLER_PORT: u16 = 7_001;
 const PEER_PORT: u16 = 7_002;
 const OPERATOR_PORT: u16 = 7_003;
 const METRICS_PORT: u16 = 7_004;
-/// How long a fleet may take to get ready.
+/// Longest time that a fleet may take to become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Returns a loopback network of this run's own, so that runs beside each other do not meet.
+/// Returns the second octet of a loopback subnet for a fleet. It depends on the process id and
+/// changes with each call, so that concurrent fleets don't share addresses.
 fn next_loopback_network() -> u8 {
     static NEXT: AtomicU8 = AtomicU8::new(0);
     let offset = NEXT.fetch_add(1, Ordering::Relaxed);
@@ -106,14 +107,14 @@
 }
 
 impl BenchFleet {
-    /// Starts everything and waits until every box is ready.
+    /// Starts stand-ins, relays and daemons, and waits until every box is ready.
     ///
     /// # Errors
     ///
-    /// Returns what could not be started.
+    /// Returns an error if a part cannot be started or configured, or a box does not become ready.
     pub async fn start(scenario: BenchScenario, arm: &BenchArm) -> Result<Self, BenchError> {
         let folder = tempfile::tempdir()
-            .map_err(|cause| BenchError::Io("make", "a folder".to_owned(), cause))?;
+            .map_err(|cause| BenchError::Io("create", "a temporary folder".to_owned(), cause))?;
         let mut fleet = Self {
             platform: PlatformStandIn::start().await?,
             scenario,
@@ -232,7 +233,7 @@
         Ok(())
     }
 
-    /// Puts relays in front of a box's peer door, one for each domain.
+    /// Starts a relay to a box's peer listener for each failure domain.
     async fn start_peer_relays(
         &mut self,
         name: &str,
@@ -264,7 +265,7 @@
         Ok(())
     }
 
-    /// Waits until every box is ready and has a link to every other.
+    /// Waits until every box is ready and has an open link to every other box.
     pub(crate) async fn wait_until_ready(&self) -> Result<(), BenchError> {
         for daemon in &self.daemons {
             daemon.wait_for_ok("readyz", READY_TIMEOUT).await?;
@@ -275,12 +276,12 @@
         Ok(())
     }
 
-    /// Returns a box's daemon.
+    /// Returns the daemon of a box.
     pub fn daemon(&self, name: &str) -> Option<&DaemonProcess> {
         self.daemons.iter().find(|daemon| daemon.name() == name)
     }
 
-    /// Cuts or heals everything between a domain and the others.
+    /// Cuts or restores all relays between a failure domain and the others.
     pub fn set_domain_cut(&self, domain: &str, cut: bool) {
         let box_domains: HashMap<&str, &str> = self
             .daemons
@@ -302,7 +303,7 @@
         }
     }
 
-    /// Stops every daemon, in order where it can be.
+    /// Stops every daemon, and kills those that do not exit in time.
     pub async fn stop(&mut self) {
         for daemon in &self.daemons {
             daemon.terminate();
@@ -314,7 +315,7 @@
         futures::future::join_all(exits).await;
     }
 
-    /// Returns the folder in which settings and logs stand.
+    /// Returns the folder of settings, secrets and logs.
     pub fn path(&self) -> PathBuf {
         self.folder.path().to_path_buf()
     }
--- a/dockgate-bench/src/fleet/config.rs
+++ b/dockgate-bench/src/fleet/config.rs
@@ -1,4 +1,4 @@
-//! Configures a fleet as operators do: a declaration, a plan, a confirmation.
+//! Configures a fleet through the operator API: plans a change and confirms it.
 
 use super::BenchFleet;
 use super::daemon_process::{OPERATOR_TOKEN, operator_client};
@@ -19,7 +19,7 @@
     format!("key-of-{workspace}")
 }
 
-/// Plans and confirms an intent at an operator door.
+/// Plans and confirms an intent through an operator listener.
 pub(crate) async fn apply_intent_at(
     operator_address: SocketAddr,
     intent: PlanIntent,
@@ -44,12 +44,12 @@
 }
 
 impl BenchFleet {
-    /// Writes the declaration of the whole fleet.
+    /// Returns the declaration of the whole fleet.
     pub fn declaration(&self) -> String {
         let mut text = String::new();
         for pool in &self.scenario.pools {
             let kind = if pool.engine { "engine" } else { "service" };
-            // Writing to a string does not fail.
+            // Writing to a `String` cannot fail.
             let _ = writeln!(text, "[pool {}]\nkind = {kind}", pool.name);
             if pool.engine {
                 let _ = writeln!(text, "models = {}\nresumes = yes", pool.name);
@@ -89,18 +89,18 @@
         text
     }
 
-    /// Applies the declaration.
+    /// Applies the fleet's declaration.
     pub(super) async fn configure(&self) -> Result<(), BenchError> {
         let text = self.declaration();
         let intent = PlanIntent::Declaration("bench".to_owned(), text);
         self.apply_intent(0, intent).await.map(drop)
     }
 
-    /// Plans and confirms an intent at one daemon.
+    /// Plans and confirms an intent through a daemon, given by its index.
     ///
     /// # Errors
     ///
-    /// Returns what the daemon refused.
+    /// Returns an error if the daemon cannot be reached or refuses the change.
     pub async fn apply_intent(
         &self,
         daemon: usize,
@@ -113,7 +113,7 @@
     ///
     /// # Errors
     ///
-    /// Returns what the daemon refused.
+    /// Returns an error if the daemon cannot be reached or refuses the change.
     pub async fn retire_endpoint(&self, name: &str) -> Result<Option<ConfigChange>, BenchError> {
         let config = self.config_in_force(0).await?;
         let spec = config.endpoints.named(name).cloned();
@@ -123,11 +123,11 @@
         Ok(spec.map(ConfigChange::PutEndpoint))
     }
 
-    /// Returns the configuration in force at a daemon.
+    /// Returns the configuration in force at a daemon, given by its index.
     ///
     /// # Errors
     ///
-    /// Returns an error where it does not answer.
+    /// Returns an error if the daemon does not answer.
     pub async fn config_in_force(&self, daemon: usize) -> Result<FleetConfig, BenchError> {
         let daemon = &self.daemons[daemon];
         let client = operator_client(daemon.operator_address(), OPERATOR_TOKEN)?;
--- a/dockgate-bench/src/fleet/daemon_process.rs
+++ b/dockgate-bench/src/fleet/daemon_process.rs
@@ -1,4 +1,4 @@
-//! One daemon as a process of its own.
+//! A daemon as a child process.
 
 use crate::error::BenchError;
 use crate::standin::BoxEntry;
@@ -15,14 +15,14 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// The operator token of bench fleets.
+/// Operator token of bench fleets.
 pub(super) const OPERATOR_TOKEN: &str = "bench-operator-token";
 const FLEET_SECRET: &str = "bench-fleet-secret-0";
 const OPERATOR_TOKEN_FILE: &str = "operator.token";
 const FLEET_SECRET_FILE: &str = "fleet.secret";
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What a daemon is started with.
+/// Settings with which a daemon is started.
 #[derive(Debug, Clone)]
 pub(super) struct DaemonSettings {
     pub(super) name: String,
@@ -35,14 +35,14 @@
     pub(super) schedule: Vec<(String, String)>,
 }
 
-/// A daemon; killed when it is dropped.
+/// A daemon process, killed on drop.
 pub struct DaemonProcess {
     settings: DaemonSettings,
     settings_path: PathBuf,
     child: Option<Child>,
 }
 
-/// Writes the secrets that every daemon reads.
+/// Writes the secret files that the daemons read.
 pub(super) fn write_secrets(folder: &Path) -> Result<(), BenchError> {
     for (file, secret) in [
         (FLEET_SECRET_FILE, FLEET_SECRET),
@@ -58,7 +58,7 @@
     written.map_err(|cause| BenchError::Io("write", path.display().to_string(), cause))
 }
 
-/// Makes a client of an operator door.
+/// Creates a client of an operator listener.
 pub(super) fn operator_client(address: SocketAddr, token: &str) -> Result<HttpClient, BenchError> {
     let mut headers = HeaderMap::new();
     if let Ok(bearer) = HeaderValue::from_str(&format!("Bearer {token}")) {
@@ -70,11 +70,16 @@
         .max_response_size(64 << 20)
         .build(format!("http://{address}"))
         .map_err(|error| {
-            BenchError::Daemon("make a client of", address.to_string(), error.to_string())
+            BenchError::Daemon(
+                "create a client for",
+                address.to_string(),
+                error.to_string(),
+            )
         })
 }
 
-/// Returns the program of the daemon: beside the bench tool, or one folder up from a test.
+/// Returns the path of the daemon's program: in the folder of this program, or in its parent if
+/// this is a test.
 pub(crate) fn daemon_program() -> Result<PathBuf, BenchError> {
     let current_exe = std::env::current_exe()
         .map_err(|cause| BenchError::Io("find", "this program".to_owned(), cause))?;
@@ -85,13 +90,13 @@
         .map(|folder| folder.join("dockgate"))
         .find(|path| path.is_file());
     found.ok_or_else(|| {
-        let cause = "build it first: cargo build --package dockgate".to_owned();
+        let cause = "not built; run `cargo build --package dockgate`".to_owned();
         BenchError::Daemon("find", "dockgate".to_owned(), cause)
     })
 }
 
 impl DaemonProcess {
-    /// Starts a daemon with settings and a log file in `folder`.
+    /// Starts a daemon whose settings and log files are in `folder`.
     pub(super) fn start(
         settings: DaemonSettings,
         boxes: &[BoxEntry],
@@ -108,11 +113,11 @@
         Ok(daemon)
     }
 
-    /// Starts the daemon anew, with no memory.
+    /// Starts a new process with the same settings.
     ///
     /// # Errors
     ///
-    /// Returns an error where it cannot be started.
+    /// Returns an error if the process cannot be started.
     pub fn restart(&mut self) -> Result<(), BenchError> {
         let log = self.log_path();
         let failed = |cause| BenchError::Io("start", self.settings.name.clone(), cause);
@@ -131,59 +136,59 @@
         Ok(())
     }
 
-    /// Returns the box's name.
+    /// Returns the name of the box.
     pub fn name(&self) -> &str {
         &self.settings.name
     }
 
-    /// Returns the box's failure domain.
+    /// Returns the failure domain of the box.
     pub fn domain(&self) -> &str {
         &self.settings.domain
     }
 
-    /// Returns where callers are served.
+    /// Returns the address of the caller listener.
     pub const fn caller_address(&self) -> SocketAddr {
         self.settings.callers
     }
 
-    /// Returns where operators are served.
+    /// Returns the address of the operator listener.
     pub const fn operator_address(&self) -> SocketAddr {
         self.settings.operators
     }
 
-    /// Returns where the log stands.
+    /// Returns the path of the log file.
     pub fn log_path(&self) -> PathBuf {
         self.settings_path.with_extension("log")
     }
 
-    /// Returns the process id, while it runs.
+    /// Returns the process id, or `None` if the process was killed or has exited.
     pub fn pid(&self) -> Option<u32> {
         self.child.as_ref().map(Child::id)
     }
 
     fn signal(&self, signal: Signal) {
         if let Some(pid) = self.pid().and_then(|pid| i32::try_from(pid).ok()) {
-            // A process that has ended needs no signal.
+            // Fails only if the process has already exited.
             let _ = kill(Pid::from_raw(pid), signal);
         }
     }
 
-    /// Tells the daemon to stop in order.
+    /// Asks the daemon to shut down gracefully (SIGTERM).
     pub fn terminate(&self) {
         self.signal(Signal::SIGTERM);
     }
 
-    /// Freezes the daemon.
+    /// Suspends the process (SIGSTOP).
     pub fn pause(&self) {
         self.signal(Signal::SIGSTOP);
     }
 
-    /// Lets a frozen daemon go on.
+    /// Resumes a suspended process (SIGCONT).
     pub fn resume(&self) {
         self.signal(Signal::SIGCONT);
     }
 
-    /// Kills the daemon.
+    /// Kills the process and waits for it.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             let _ = child.kill();
@@ -191,7 +196,7 @@
         }
     }
 
-    /// Tells whether the daemon has ended by itself.
+    /// Returns whether the process has exited.
     pub fn has_exited(&mut self) -> bool {
         let exit_status = self.child.as_mut().map(Child::try_wait);
         match exit_status {
@@ -204,7 +209,7 @@
         }
     }
 
-    /// Waits until the daemon has ended; returns whether it ended by itself.
+    /// Waits for the process to exit and kills it after `timeout`; returns whether it exited.
     pub async fn wait_or_kill(&mut self, timeout: Duration) -> bool {
         let deadline = Instant::now() + timeout;
         while Instant::now() < deadline {
@@ -217,17 +222,17 @@
         false
     }
 
-    /// Waits until `GET /PATH` of the caller's door answers 200.
+    /// Waits until `GET /PATH` at the caller listener returns status 200.
     ///
     /// # Errors
     ///
-    /// Returns an error where it does not within `timeout`.
+    /// Returns an error if it does not do so within `timeout`.
     pub async fn wait_for_ok(&self, path: &str, timeout: Duration) -> Result<(), BenchError> {
         let ready = async |daemon: &Self| returns_ok(daemon.settings.callers, path).await;
         self.wait_until(path, timeout, ready).await
     }
 
-    /// Waits until the daemon has so many open links.
+    /// Waits until the daemon has exactly `links` open links.
     pub(super) async fn wait_for_links(
         &self,
         links: usize,
@@ -251,7 +256,7 @@
             }
             tokio::time::sleep(POLL_INTERVAL).await;
         }
-        let cause = format!("{what} did not come in {timeout:?}");
+        let cause = format!("{what} not reached within {timeout:?}");
         Err(BenchError::Daemon(
             "wait for",
             self.settings.name.clone(),
@@ -265,12 +270,12 @@
             .unwrap_or_default()
     }
 
-    /// Returns the processor time that the process has used, in seconds; zero where it is not told.
+    /// Returns the CPU time used by the process, in seconds, or zero if it is unknown.
     pub fn cpu_seconds(&self) -> f64 {
-        /// Clock ticks a second in that file, on every Linux that we know.
+        /// Clock ticks per second (`USER_HZ`).
         const TICKS_PER_SECOND: f64 = 100.0;
         let text = self.read_proc_file("stat");
-        // The fields after the name, which ends with the last parenthesis, begin with the state.
+        // The command name may contain spaces, so fields are counted after its closing parenthesis.
         let fields = text.rsplit(')').next().unwrap_or_default();
         let times = fields.split_whitespace().skip(11).take(2);
         times
@@ -279,7 +284,7 @@
             / TICKS_PER_SECOND
     }
 
-    /// Returns the resident memory of the process, in megabytes; zero where it is not told.
+    /// Returns the resident memory of the process, in megabytes, or zero if it is unknown.
     pub fn memory_mb(&self) -> f64 {
         let text = self.read_proc_file("status");
         let line = text.lines().find(|line| line.starts_with("VmRSS:"));
@@ -287,18 +292,18 @@
         kilobytes.unwrap_or(0.0) / 1_024.0
     }
 
-    /// Returns where metrics are served.
+    /// Returns the address of the metrics listener.
     pub(crate) const fn metrics_address(&self) -> SocketAddr {
         self.settings.metrics
     }
 
-    /// Returns the sum of a metric over its labels.
+    /// Returns the sum of a metric over all its label sets, or `None` if it is not exported.
     pub async fn metric(&self, name: &str) -> Option<f64> {
         fetch_metric(self.settings.metrics, name).await
     }
 }
 
-/// Returns the sum of a metric over its labels, as a metrics address tells it.
+/// Fetches a metric and returns the sum over all its label sets.
 pub(crate) async fn fetch_metric(address: SocketAddr, name: &str) -> Option<f64> {
     let text = http_get(address, "metrics").await?;
     let mut found = None;
@@ -338,7 +343,7 @@
             folder.join(OPERATOR_TOKEN_FILE).display(),
         );
         for (key, value) in &self.schedule {
-            // Writing to a string does not fail.
+            // Writing to a `String` cannot fail.
             let _ = writeln!(text, "{key} = {value}");
         }
         for peer in boxes.iter().filter(|peer| peer.name != self.name) {
@@ -359,12 +364,12 @@
     response.is_some_and(|response| response.starts_with("HTTP/1.1 200"))
 }
 
-/// Tells whether a box says that it is ready.
+/// Returns whether the readiness probe of a box succeeds.
 pub async fn is_ready(caller_address: SocketAddr) -> bool {
     returns_ok(caller_address, "readyz").await
 }
 
-/// Fetches a path; the answer with its head as text.
+/// Sends a GET request and returns the whole response, including its head, as text.
 pub(crate) async fn http_get(address: SocketAddr, path: &str) -> Option<String> {
     let exchange = async {
         let mut stream = TcpStream::connect(address).await.ok()?;
--- a/dockgate-bench/src/lib.rs
+++ b/dockgate-bench/src/lib.rs
@@ -1,8 +1,9 @@
-//! Stand-ins for everything around dockgate, and the tool that loads a fleet and measures it.
+//! Load generator, fault injector and stand-in servers for benchmarking a dockgate fleet.
 //!
-//! Stand-ins speak the published protocols on loopback: [`standin::PlatformStandIn`],
-//! [`standin::EngineStandIn`] and [`standin::ServiceStandIn`]. [`fleet::BenchFleet`] starts daemons
-//! as processes of their own behind [`relay::LinkRelay`]s that delay, count and can be cut.
+//! The stand-ins serve the public protocols on loopback: [`standin::PlatformStandIn`],
+//! [`standin::EngineStandIn`] and [`standin::ServiceStandIn`]. [`fleet::BenchFleet`] starts each
+//! daemon as a child process behind [`relay::LinkRelay`]s, which delay traffic, count bytes and
+//! can be cut.
 
 pub mod caller;
 pub mod demo;
--- a/dockgate-bench/src/main.rs
+++ b/dockgate-bench/src/main.rs
@@ -1,4 +1,4 @@
-//! The bench tool: stand-ins, load, faults, reports.
+//! Command line of the bench tool.
 
 use clap::{Parser, Subcommand};
 use dockgate_bench::demo::run_demo;
@@ -16,82 +16,81 @@
 use std::time::Duration;
 use tokio::signal::unix::{SignalKind, signal};
 
-/// Exit code of a soak that a signal ended before its last seed.
+/// Exit code of a soak or mixed run that a signal ended early.
 const EXIT_SIGNALLED: u8 = 4;
-/// Exit code of a run in which a promise was broken.
+/// Exit code of a run that violated a guarantee.
 const EXIT_VIOLATION: u8 = 3;
 
 /// Loads a dockgate fleet on loopback and measures it.
 #[derive(Debug, Parser)]
 #[command(version)]
 struct BenchArgs {
-    /// What to do.
     #[command(subcommand)]
     command: BenchCommand,
 }
 
 #[derive(Debug, Subcommand)]
 enum BenchCommand {
-    /// Runs a small fleet that a newcomer can call.
+    /// Runs a small demonstration fleet.
     Demo,
-    /// Measures how the cost of control grows, and fits lines.
+    /// Measures how control overhead grows with fleet size and load, and fits a line per metric.
     Slopes {
-        /// Only these axes: boxes, endpoints, workspaces, requests-per-second,
+        /// Measures only these axes: boxes, endpoints, workspaces, requests-per-second,
         /// changes-per-100-seconds, domains.
         #[arg(long)]
         axis: Vec<String>,
-        /// Seconds measured at each point.
+        /// Measurement time per point, in seconds.
         #[arg(long, default_value_t = 5.0)]
         seconds: f64,
         /// Seed of arrivals and sizes.
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Where the report is written.
+        /// File to which the report is written as JSON.
         #[arg(long)]
         report: Option<PathBuf>,
     },
-    /// Causes random faults to a fleet of gateways, and checks what callers and endpoints see.
+    /// Injects random faults into a fleet of gateways and checks what callers and endpoints see.
     Soak {
-        /// The first seed.
+        /// First seed.
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// How many seeds, one after the other.
+        /// Number of consecutive seeds to run.
         #[arg(long, default_value_t = 1)]
         seeds: u64,
-        /// Seconds of faults for each.
+        /// Duration of fault injection per seed, in seconds.
         #[arg(long, default_value_t = 8)]
         seconds: u64,
-        /// Which faults are caused.
+        /// Faults to inject.
         #[arg(long, value_enum, default_value_t)]
         faults: SoakFaults,
     },
-    /// Runs a fleet of which half the boxes are another build, and checks what callers and logs see.
+    /// Runs a fleet with another build on half of its boxes, and checks answers and logs.
     Mixed {
-        /// The daemon of the other build.
+        /// Path of the other build's daemon.
         #[arg(long)]
         other: PathBuf,
-        /// Decides what is disturbed, and the requests.
+        /// Seed of the disturbances and the requests.
         #[arg(long, default_value_t = 1)]
         seed: u64,
     },
-    /// Runs a scenario and reports what was measured.
+    /// Runs a scenario and reports its measurements.
     Run {
-        /// The scenario file.
+        /// Scenario file.
         #[arg(long)]
         scenario: PathBuf,
         /// Seed of arrivals and sizes.
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Seconds measured, after the warm-up.
+        /// Measurement time after the warm-up, in seconds.
         #[arg(long, default_value_t = 20.0)]
         seconds: f64,
-        /// Where the report is written.
+        /// File to which the report is written as JSON.
         #[arg(long)]
         report: Option<PathBuf>,
-        /// Only this arm.
+        /// Runs only this arm.
         #[arg(long)]
         arm: Option<String>,
-        /// Folder in which the daemons' logs are kept.
+        /// Folder to which the daemons' logs are copied.
         #[arg(long)]
         keep_logs: Option<PathBuf>,
     },
@@ -106,7 +105,7 @@
     {
         Ok(runtime) => runtime,
         Err(error) => {
-            eprintln!("dockgate-bench: start the runtime: {error}");
+            eprintln!("dockgate-bench: cannot start the async runtime: {error}");
             return ExitCode::FAILURE;
         }
     };
@@ -145,7 +144,7 @@
             tokio::select! {
                 code = run_soak_seeds(seeds, Duration::from_secs(seconds), faults) => code,
                 signal = shutdown_signal() => {
-                    // What it has started ends with it.
+                    // Dropping the run kills the processes that it started.
                     println!("ended from outside by {}", signal?);
                     Ok(ExitCode::from(EXIT_SIGNALLED))
                 }
@@ -156,7 +155,7 @@
             tokio::select! {
                 reports = run_mixed(&options) => Ok(print_mixed_reports(&reports?, seed)),
                 signal = shutdown_signal() => {
-                    // What it has started ends with it.
+                    // Dropping the run kills the processes that it started.
                     println!("ended from outside by {}", signal?);
                     Ok(ExitCode::from(EXIT_SIGNALLED))
                 }
@@ -174,8 +173,8 @@
             if let Some(arm) = arm {
                 scenario.arms.retain(|known| known.name == arm);
                 if scenario.arms.is_empty() {
-                    let cause = "the scenario has no such arm".to_owned();
-                    return Err(BenchError::Report("find arm", arm, cause));
+                    let cause = "the scenario has no arm of this name".to_owned();
+                    return Err(BenchError::Arm("find arm", arm, cause));
                 }
             }
             let options = RunOptions {
@@ -194,8 +193,7 @@
     }
 }
 
-/// Runs one seed after the other; says of each what was soak_report.
-/// Waits for a signal that asks this process to end, such as that of a shell which ends itself, and names it.
+/// Waits for SIGHUP, SIGTERM or SIGINT and returns the signal's name.
 async fn shutdown_signal() -> Result<&'static str, BenchError> {
     let register = |kind, name: &str| {
         signal(kind).map_err(|cause| BenchError::Io("listen for", name.to_owned(), cause))
@@ -210,6 +208,7 @@
     })
 }
 
+/// Runs the soak for each seed and prints a summary of each.
 async fn run_soak_seeds(
     seeds: Range<u64>,
     lasts: Duration,
@@ -247,7 +246,7 @@
     Ok(code)
 }
 
-/// Prints what came of each fleet; fails where something was broken.
+/// Prints a summary of each fleet; returns a failure code if any of them violated a guarantee.
 fn print_mixed_reports(reports: &[MixedReport], seed: u64) -> ExitCode {
     println!("seed {seed}    calls  answered  unknown key  killed  broken  warnings");
     for report in reports {
@@ -280,14 +279,14 @@
         .map_err(|cause| BenchError::Io("write", path.display().to_string(), cause))
 }
 
-/// Fails where any arm broke a promise.
+/// Returns a failure code, and prints the violations, if any arm violated a guarantee.
 fn exit_code(report: &BenchReport) -> ExitCode {
     let arms = std::iter::once(&report.main).chain(&report.baselines);
     let mut has_violation = false;
     for arm in arms {
         for (name, count) in arm.violations().iter().filter(|(_, count)| *count > 0) {
             eprintln!(
-                "dockgate-bench: arm {}: {name} is {count}, and must be 0",
+                "dockgate-bench: arm {}: {name} is {count}, expected 0",
                 arm.arm
             );
             has_violation = true;
--- a/dockgate-bench/src/report.rs
+++ b/dockgate-bench/src/report.rs
@@ -1,11 +1,11 @@
-//! What a run measured.
+//! The report of a run.
 
 use comfy_table::Table;
 use comfy_table::presets::ASCII_MARKDOWN;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Added latency against calling a stand-in directly, in microseconds.
+/// Latency added to a direct call of a stand-in, in microseconds.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct AddedLatency {
     /// The median.
@@ -27,18 +27,18 @@
 
 macro_rules! arm_report {
     ($($(#[$doc:meta])* $name:ident: $type:ty,)+) => {
-        /// What one arm of a run measured.
+        /// Measurements of one arm of a run.
         #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
         pub struct ArmReport {
-            /// The arm.
+            /// Name of the arm.
             pub arm: String,
             $($(#[$doc])* pub $name: $type,)+
-            /// Second by second.
+            /// Measurements of each second.
             pub timeline: Vec<TimelinePoint>,
         }
 
         impl ArmReport {
-            /// Returns every field but the name, as text.
+            /// Returns the names and values of the fields, without the arm's name and the timeline.
             fn fields(&self) -> Vec<(&'static str, String)> {
                 vec![$((stringify!($name), field_text(&self.$name)),)+]
             }
@@ -61,79 +61,79 @@
     }
 }
 
-/// What was seen in one second of a run.
+/// Measurements of one second of a run.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct TimelinePoint {
-    /// Seconds since the warm-up.
+    /// Seconds since the end of the warm-up.
     pub at_s: f64,
-    /// Part of the engines' slot time in use.
+    /// Fraction of the engines' slot time in use.
     pub utilisation: f64,
-    /// Part of slot time idle while a compatible request waited.
+    /// Fraction of slot time that was idle while a compatible request was queued.
     pub idle_while_queued: f64,
-    /// Bytes between boxes in this second.
+    /// Bytes sent between boxes in this second.
     pub peer_bytes: u64,
-    /// Service units of each workspace so far, for a share of one.
+    /// Service units received by each workspace so far, divided by its share.
     pub levels: BTreeMap<String, f64>,
 }
 
 arm_report! {
-    /// Worst gap between two backlogged workspaces, in service units at the mean share.
+    /// Largest gap between two backlogged workspaces, in service units at the mean share.
     fairness_gap_units: f64,
-    /// The gap in seconds of a backlogged workspace's fair rate.
+    /// Largest gap in seconds of a backlogged workspace's fair rate.
     fairness_gap_seconds: f64,
-    /// The stated bound of the gap, in service units.
+    /// Guaranteed bound of the gap, in service units.
     fairness_bound_units: f64,
-    /// Part of the engines' slot time in use.
+    /// Fraction of the engines' slot time in use.
     utilisation: f64,
-    /// Part of slot time idle while a compatible request waited.
+    /// Fraction of slot time that was idle while a compatible request was queued.
     idle_while_queued: f64,
-    /// Service units the engines gave a second.
+    /// Service units provided by the engines per second.
     units_per_second: f64,
-    /// Bytes between boxes for each request.
+    /// Bytes sent between boxes per request.
     control_bytes_per_request: f64,
-    /// Bytes that a box sends to boxes and the platform a second.
+    /// Bytes exchanged with other boxes and the platform, per box and second.
     control_bytes_per_node_second: f64,
-    /// The same before any caller came.
+    /// `control_bytes_per_node_second` of the idle fleet.
     idle_control_bytes_per_node_second: f64,
-    /// Reads of the platform's service a second.
+    /// Reads of the platform service per second.
     platform_reads_per_second: f64,
-    /// Writes of the platform's service a second.
+    /// Writes of the platform service per second.
     platform_writes_per_second: f64,
     /// Requests that ended.
     requests: u64,
-    /// Requests with a whole, right answer.
+    /// Requests with a complete, correct answer.
     requests_ok: u64,
-    /// Requests refused as having run without a whole answer.
+    /// Requests refused as having run without a complete answer.
     requests_failed: u64,
-    /// Requests of which nobody knows.
+    /// Requests refused as unknown whether they ran.
     requests_unknown: u64,
     /// Requests refused as not run.
     requests_not_run: u64,
-    /// Requests whose connection broke.
+    /// Requests whose connection failed.
     requests_cut: u64,
-    /// Requests refused as not run that a stand-in has run.
+    /// Requests refused as not run although a stand-in ran them.
     not_run_but_ran: u64,
-    /// Requests that may not be repeated and ran more than once.
+    /// Non-repeatable requests that ran more than once.
     duplicate_runs: u64,
-    /// Answers to something else.
+    /// Answers that are not the one to their request.
     wrong_answers: u64,
-    /// Answers that ended as if they were whole, and were not.
+    /// Answers that ended normally but are incomplete.
     truncated_answers: u64,
-    /// Requests cut off by a planned stop.
+    /// Requests cut off by a graceful shutdown.
     cut_by_planned_stop: u64,
-    /// Runs that a leaving endpoint started more than three seconds later.
+    /// Runs that a retired endpoint started after its grace period.
     late_grants_to_leaving: u64,
-    /// Boxes seen with an older configuration than before.
+    /// Number of times that a box reverted to an older configuration.
     config_reverts: u64,
-    /// Violations of invariants over all boxes.
+    /// Invariant violations counted by all boxes.
     invariant_violations: u64,
-    /// Requests that a full engine refused.
+    /// Requests refused by an engine with no free slot.
     engine_refusals: u64,
-    /// Grants that came when nothing waited any more.
+    /// Grants received by a box that had no request queued for them.
     overgrants: u64,
-    /// Grants that lapsed.
+    /// Grants that expired unused.
     expired_grants: u64,
-    /// Streams paused a second.
+    /// Stream pauses per second.
     pauses_per_second: f64,
     /// Tokens that engines computed a second time.
     tokens_computed_twice: u64,
@@ -141,20 +141,20 @@
     first_token_ms: TimePercentiles,
     /// Time between tokens.
     between_token_ms: TimePercentiles,
-    /// Added latency of a plain call.
+    /// Latency added to a service call.
     added_latency_us: AddedLatency,
-    /// Part of one core that a box's control actor used.
+    /// Fraction of a core used by the control actor, per box.
     control_core_fraction: f64,
-    /// Part of one core that a box's whole process used.
+    /// Fraction of a core used by the whole process, per box.
     process_core_fraction: f64,
-    /// Resident memory of a box's process, in megabytes.
+    /// Mean resident memory of the processes, in megabytes.
     memory_mb: f64,
-    /// Time from the confirmation of a change until it was in force at every box.
+    /// Time from the confirmation of a configuration change until it is in force at every box.
     config_in_force_ms: TimePercentiles,
 }
 
 impl ArmReport {
-    /// Returns the counts that must be zero, with their names.
+    /// Returns the names and values of the counts that must be zero.
     pub const fn violations(&self) -> [(&'static str, u64); 8] {
         [
             ("wrong_answers", self.wrong_answers),
@@ -169,24 +169,24 @@
     }
 }
 
-/// What a run measured, all arms.
+/// Measurements of all arms of a run.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct BenchReport {
-    /// The scenario.
+    /// Name of the scenario.
     pub scenario: String,
-    /// The seed of arrivals and sizes.
+    /// Seed of arrivals and answer sizes.
     pub seed: u64,
-    /// Seconds measured, after the warm-up.
+    /// Measurement time after the warm-up, in seconds.
     pub seconds: f64,
-    /// The first arm.
+    /// Measurements of the first arm.
     #[serde(flatten)]
     pub main: ArmReport,
-    /// The other arms.
+    /// Measurements of the other arms.
     pub baselines: Vec<ArmReport>,
 }
 
 impl BenchReport {
-    /// Prints the arms side by side.
+    /// Prints a table with a column for each arm.
     pub fn print(&self) {
         println!("{} seed {} {:.0} s", self.scenario, self.seed, self.seconds);
         let arms: Vec<&ArmReport> = std::iter::once(&self.main).chain(&self.baselines).collect();
--- a/dockgate-bench/src/run.rs
+++ b/dockgate-bench/src/run.rs
@@ -1,4 +1,4 @@
-//! Runs a scenario: starts the fleet, drives callers and faults, measures.
+//! Runs a scenario: starts a fleet, generates load, injects faults and collects measurements.
 
 mod config_churn;
 mod control_totals;
@@ -18,46 +18,46 @@
 use std::time::Duration;
 use tokio_util::sync::CancellationToken;
 
-/// How long callers run before anything is measured, where nothing else is said.
+/// Default time that callers run before the measurement starts.
 pub const DEFAULT_WARM_UP: Duration = Duration::from_secs(4);
-/// How long the idle fleet's control traffic is measured.
+/// Time over which control traffic of the idle fleet is measured.
 const IDLE_PERIOD: Duration = Duration::from_secs(2);
-/// How often the fleet is sampled.
+/// Interval between samples of the fleet.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(50);
-/// How often the balancer asks whether a box is ready.
+/// Interval between readiness probes by the load balancer.
 const READINESS_INTERVAL: Duration = Duration::from_millis(100);
-/// How often added latency is probed.
+/// Interval between probes of the added latency.
 const PROBE_INTERVAL: Duration = Duration::from_millis(20);
-/// How long requests in flight may take at the end.
+/// Longest wait for requests in flight at the end of a run.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(10);
-/// The workspace on whose behalf probes run.
+/// Workspace that the probes use.
 const PROBE_WORKSPACE: &str = "probe";
 
-/// How a scenario is run.
+/// Options of a scenario run.
 #[derive(Debug, Clone)]
 pub struct RunOptions {
-    /// Seed of arrivals and sizes.
+    /// Seed of arrivals and answer sizes.
     pub seed: u64,
-    /// How long is measured, after the warm-up.
+    /// Measurement time after the warm-up, in seconds.
     pub seconds: f64,
-    /// How long callers run before anything is measured.
+    /// Time that callers run before the measurement starts.
     pub warm_up: Duration,
-    /// Where the daemons' logs go, if they are to be kept.
+    /// Folder to which the daemons' logs are copied.
     pub keep_logs: Option<PathBuf>,
 }
 
-/// Runs every arm of a scenario, one after the other.
+/// Runs every arm of a scenario in sequence.
 ///
 /// # Errors
 ///
-/// Returns what could not be started or changed.
+/// Returns an error if a fleet cannot be started or a fault cannot be injected.
 pub async fn run_scenario(
     scenario: &BenchScenario,
     options: &RunOptions,
 ) -> Result<BenchReport, BenchError> {
     let mut reports = Vec::new();
     for arm in &scenario.arms {
-        log::info!("{}: arm {}", scenario.name, arm.name);
+        log::info!("running arm {} of scenario {}", arm.name, scenario.name);
         reports.push(run_arm(scenario, arm, options).await?);
     }
     let main = reports.remove(0);
@@ -81,7 +81,7 @@
         .probe
         .then(|| probe_load(&scenario))
         .flatten();
-    // The probe's workspace is declared, but its calls are not drawn with the others.
+    // The fleet must know the probe's workspace, but callers must not send load for it.
     let loads = scenario.workspaces.clone();
     scenario.workspaces.extend(probe.clone());
     let mut fleet = BenchFleet::start(scenario, arm).await?;
@@ -151,7 +151,7 @@
     pools.map(|pool| (pool.name.clone(), pool.engine)).collect()
 }
 
-/// Makes the load of the probe, where there is a pool of plain services.
+/// Returns the load of the probe, or `None` if the scenario has no service pool.
 fn probe_load(scenario: &BenchScenario) -> Option<WorkspaceLoad> {
     let pool = scenario.pools.iter().find(|pool| !pool.engine)?;
     Some(WorkspaceLoad {
@@ -169,7 +169,7 @@
     })
 }
 
-/// Returns for each box a service stand-in of its own domain.
+/// Returns for each box the address of a service stand-in in its failure domain.
 fn direct_targets(fleet: &BenchFleet) -> Vec<Option<std::net::SocketAddr>> {
     let daemons = fleet.daemons.iter();
     daemons
@@ -187,7 +187,7 @@
         .collect()
 }
 
-/// Probes every box in turn, against a stand-in of its own domain.
+/// Probes the boxes in turn until the token is cancelled.
 async fn probe_boxes(
     load: WorkspaceLoad,
     client: Arc<CallerClient>,
@@ -206,7 +206,7 @@
     }
 }
 
-/// Asks every box whether it is ready, as the balancer does.
+/// Updates the readiness of every box, as a load balancer would, until the token is cancelled.
 async fn poll_readiness(client: Arc<CallerClient>, stop: CancellationToken) {
     while !stop.is_cancelled() {
         for view in client.boxes() {
@@ -227,7 +227,7 @@
         let from = daemon.log_path();
         let to = folder.join(format!("{}.log", daemon.name()));
         if let (true, Err(error)) = (made.is_ok(), std::fs::copy(&from, &to)) {
-            log::warn!("keep {}: {error}", to.display());
+            log::warn!("cannot copy the log to {}: {error}", to.display());
         }
     }
 }
--- a/dockgate-bench/src/run/config_churn.rs
+++ b/dockgate-bench/src/run/config_churn.rs
@@ -1,4 +1,4 @@
-//! An operator who changes the configuration again and again, and times until it is in force.
+//! Changes the configuration repeatedly and measures how long each change takes to propagate.
 
 use crate::fleet::{BenchFleet, DaemonProcess, apply_intent_at, fetch_metric};
 use crate::report::TimePercentiles;
@@ -10,12 +10,12 @@
 use std::time::{Duration, Instant};
 use tokio_util::sync::CancellationToken;
 
-/// How often the boxes are asked which version is in force.
+/// Interval between queries for the version in force.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// How long a change may take before it is given up.
+/// Longest wait for a change to be in force at every box.
 const PROPAGATION_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Times until changes were in force everywhere.
+/// Histogram of the time until a change is in force at every box, in microseconds.
 #[derive(Debug, Clone)]
 pub(super) struct PropagationTimes(Arc<Mutex<Histogram<u64>>>);
 
@@ -35,7 +35,7 @@
         times.saturating_record(time.as_micros() as u64);
     }
 
-    /// Returns the percentiles, in milliseconds.
+    /// Returns percentiles of the propagation time.
     pub(super) fn percentiles(&self) -> TimePercentiles {
         let times = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         let value_at = |quantile| times.value_at_quantile(quantile) as f64 / 1_000.0;
@@ -47,7 +47,7 @@
     }
 }
 
-/// The operator.
+/// A simulated operator who changes the configuration at a fixed rate.
 pub(super) struct ConfigChurn {
     operator_addresses: Vec<SocketAddr>,
     metrics_addresses: Vec<SocketAddr>,
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Changes one thing after the other until the token is cancelled.
+    /// Applies one change after another, alternating between boxes, until the token is cancelled.
     pub(super) async fn run(self, stop: CancellationToken) {
         let mut ticks = tokio::time::interval(self.interval);
         for number in 0.. {
@@ -82,7 +82,7 @@
             let operator_address = self.operator_addresses[number % self.operator_addresses.len()];
             match apply_intent_at(operator_address, intent).await {
                 Ok(reply) => self.record_propagation(reply.version).await,
-                Err(error) => log::warn!("churn: {error}"),
+                Err(error) => log::warn!("configuration change failed: {error}"),
             }
         }
     }
--- a/dockgate-bench/src/run/control_totals.rs
+++ b/dockgate-bench/src/run/control_totals.rs
@@ -1,11 +1,11 @@
-//! Totals that are read before and after a run, and the checks at its end.
+//! Counters read before and after a run, and the checks at its end.
 
 use crate::caller::CallerStats;
 use crate::fleet::{BenchFleet, DaemonProcess};
 use crate::report::ArmReport;
 use crate::standin::PlatformCalls;
 
-/// Totals of control traffic and work over all boxes.
+/// Control traffic and CPU use, summed over all boxes.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct ControlTotals {
     pub(super) peer_bytes: u64,
@@ -17,7 +17,7 @@
 }
 
 impl ControlTotals {
-    /// Reads the totals.
+    /// Reads the current totals.
     pub(super) async fn read(fleet: &BenchFleet) -> Self {
         let peer_bytes = fleet.peer_bytes.total();
         Self {
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Returns what came since an earlier reading.
+    /// Returns the difference to an earlier reading.
     pub(super) const fn since(&self, earlier: &Self) -> Self {
         Self {
             peer_bytes: self.peer_bytes - earlier.peer_bytes,
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Fills a report in.
+    /// Writes the rates over `seconds` into a report.
     pub(super) fn write_to(&self, report: &mut ArmReport, fleet: &BenchFleet, seconds: f64) {
         let boxes = fleet.daemons.len() as f64;
         let requests = report.requests.max(1) as f64;
@@ -53,7 +53,7 @@
         report.control_bytes_per_node_second = self.bytes as f64 / boxes / seconds;
         report.platform_reads_per_second = self.calls.reads as f64 / seconds;
         report.platform_writes_per_second = self.calls.writes as f64 / seconds;
-        // A box that was started anew counts from zero; its total is then too low, never negative.
+        // A restarted box counts from zero, which could make the difference negative.
         let busy_s = self.control_busy_us.max(0.0) / 1e6;
         report.control_core_fraction = busy_s / boxes / seconds;
         report.pauses_per_second = self.pauses.max(0.0) / seconds;
@@ -70,8 +70,8 @@
     values.into_iter().flatten().sum()
 }
 
-/// Returns the stated bound: every slot may hold an answer of the largest size, and a report
-/// period's service may be unknown, to the favour of one workspace.
+/// Returns the bound on the fairness gap, in service units: one workspace may be ahead by an answer
+/// of the largest size in every slot, and by the service of one report interval.
 fn fairness_bound(fleet: &BenchFleet) -> f64 {
     const REPORT_INTERVAL_S: f64 = 1.0;
     let pools = fleet.scenario.pools.iter().filter(|pool| pool.engine);
@@ -86,7 +86,7 @@
         .fold(0.0, f64::max)
 }
 
-/// Checks at the end of a run what must never have happened.
+/// Writes the counts that are known only at the end of a run into a report.
 pub(super) async fn fill_final_counts(
     report: &mut ArmReport,
     fleet: &BenchFleet,
--- a/dockgate-bench/src/run/run_sampler.rs
+++ b/dockgate-bench/src/run/run_sampler.rs
@@ -1,4 +1,4 @@
-//! Samples the stand-ins and the callers many times a second.
+//! Samples the stand-ins and the callers during a run.
 
 use crate::caller::{CallOutcome, CallerStats};
 use crate::fleet::BenchFleet;
@@ -11,12 +11,13 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// A request that is younger is under way, not waiting.
+/// Minimum age at which a request that has not started counts as queued; a younger one may still
+/// be in transit.
 const MIN_QUEUE_TIME: Duration = Duration::from_millis(10);
-/// How often the versions in force are looked at.
+/// Interval between checks of the configuration versions in force.
 const VERSION_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What was seen of one pool.
+/// Totals of one pool over a run.
 struct PoolSampler {
     shape: PoolShape,
     tally: Arc<RunTally>,
@@ -28,7 +29,7 @@
     last_units: f64,
 }
 
-/// Samples a run.
+/// Collects the samples of a run.
 pub(super) struct RunSampler {
     pools: Vec<PoolSampler>,
     shares: HashMap<String, u32>,
@@ -42,7 +43,7 @@
     timeline: Vec<TimelinePoint>,
 }
 
-/// Totals at the beginning of a second of the timeline.
+/// Totals at the start of a second of the timeline.
 #[derive(Debug, Clone, Copy, Default)]
 struct SecondTotals {
     busy: f64,
@@ -114,7 +115,7 @@
         }
     }
 
-    /// Adds a point to the timeline.
+    /// Adds a point for the second that ends at `at_s` to the timeline.
     fn push_timeline_point(&mut self, at_s: f64) {
         let engines = || self.pools.iter().filter(|pool| pool.shape.engine);
         let sum = |part: fn(&PoolSampler) -> f64| engines().map(part).sum::<f64>();
@@ -141,7 +142,7 @@
         self.second_start = totals;
     }
 
-    /// Looks whether a box has gone back to an older configuration.
+    /// Counts boxes whose configuration version has decreased.
     pub(super) async fn poll_config_versions(&mut self, fleet: &BenchFleet) {
         if Instant::now() < self.versions_due {
             return;
@@ -154,7 +155,7 @@
             (daemon.name().to_owned(), version)
         });
         for (name, version) in futures::future::join_all(versions).await {
-            // A box that has just started has none in force and is not ready.
+            // Version zero: the box has just started and has no configuration in force.
             let Some(version) = version.filter(|version| *version > 0.0) else {
                 continue;
             };
@@ -166,7 +167,7 @@
         }
     }
 
-    /// Returns what was seen.
+    /// Returns the report of all samples so far.
     pub(super) fn report(&self, stats: &CallerStats, seconds: f64) -> ArmReport {
         let engines = || self.pools.iter().filter(|pool| pool.shape.engine);
         let worst = engines().max_by(|a, b| a.gap_units(self).total_cmp(&b.gap_units(self)));
--- a/dockgate-bench/src/scenario.rs
+++ b/dockgate-bench/src/scenario.rs
@@ -1,4 +1,4 @@
-//! Scenarios: which fleet, which callers, which faults.
+//! Scenario files: the fleet, its load and its faults.
 
 mod workspace_load;
 
@@ -9,107 +9,107 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// A fleet, its callers and the faults that befall it.
+/// A fleet with its load and its faults.
 #[derive(Debug, Clone)]
 pub struct BenchScenario {
-    /// The name: the file's, without its ending.
+    /// Scenario name: the file name without its extension.
     pub name: String,
-    /// The boxes.
+    /// Boxes and network of the fleet.
     pub fleet: FleetShape,
-    /// The pools.
+    /// Pools of endpoints.
     pub pools: Vec<PoolShape>,
-    /// The workspaces and what they send.
+    /// Load of each workspace.
     pub workspaces: Vec<WorkspaceLoad>,
-    /// Kinds that may not be repeated.
+    /// Request kinds that must not be retried.
     pub non_repeatable_kinds: Vec<String>,
-    /// The faults.
+    /// Faults to inject.
     pub faults: Vec<FaultPlan>,
-    /// The orders to be compared; `fair` alone where there is none.
+    /// Scheduling orders to compare; only `fair` if the file has none.
     pub arms: Vec<BenchArm>,
 }
 
-/// The boxes of a fleet.
+/// Boxes and network of a fleet.
 #[derive(Debug, Clone, Default)]
 pub struct FleetShape {
-    /// The failure domains.
+    /// Names of the failure domains.
     pub domains: Vec<String>,
-    /// Boxes in each.
+    /// Number of boxes in each failure domain.
     pub boxes_per_domain: usize,
-    /// Delay between domains, and between callers and boxes, one way.
+    /// One-way delay between boxes, and from boxes to endpoints, of different failure domains.
     pub delay: Duration,
-    /// Whether the added latency is probed.
+    /// Whether the latency added by the daemons is probed.
     pub probe: bool,
-    /// Configuration changes that an operator makes a second.
+    /// Configuration changes per second.
     pub changes_per_second: f64,
-    /// Settings handed to every daemon, as lines of `[schedule]`.
+    /// Settings in the `[schedule]` section of every daemon.
     pub schedule: Vec<(String, String)>,
 }
 
-/// A pool and its stand-ins, spread evenly over the domains.
+/// A pool whose endpoints are spread evenly over the failure domains.
 #[derive(Debug, Clone)]
 pub struct PoolShape {
-    /// The name; of an engine pool also the model's.
+    /// Pool name; for an engine pool also the name of its model.
     pub name: String,
-    /// Whether it is of engines.
+    /// Whether the endpoints are model engines; otherwise they are plain services.
     pub engine: bool,
-    /// How many endpoints.
+    /// Number of endpoints.
     pub endpoints: usize,
-    /// Slots of each.
+    /// Slots of each endpoint.
     pub slots: usize,
-    /// Tokens a second of a stream.
+    /// Tokens per second of a stream.
     pub tokens_per_second: f64,
-    /// Every n-th endpoint is half as fast; zero for none.
+    /// Every n-th endpoint runs at half speed; zero disables this.
     pub slow_every: usize,
-    /// Only in this domain, if it is set.
+    /// Failure domain of all endpoints; `None` spreads them over all failure domains.
     pub domain: Option<String>,
 }
 
 /// A kind of fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FaultKind {
-    /// A box is killed, and started anew at the end.
+    /// Kills a box, and restarts it at the end.
     Kill,
-    /// A box is stopped in order, and started anew at the end.
+    /// Stops a box gracefully, and restarts it at the end.
     Stop,
-    /// A box is frozen.
+    /// Suspends the process of a box.
     Pause,
-    /// A domain is cut off from the other domains.
+    /// Partitions a failure domain from the others.
     Cut,
-    /// A domain is cut off from the platform.
+    /// Partitions a failure domain from the platform.
     CutPlatform,
-    /// The platform's service is out.
+    /// Makes the platform service unavailable.
     PlatformOutage,
-    /// The platform's service loses replies.
+    /// Makes the platform service execute calls without replying.
     LostReplies,
-    /// The platform's service is slow.
+    /// Delays the replies of the platform service.
     PlatformSlow,
-    /// An engine dies.
+    /// Crashes an endpoint for the rest of the run.
     EngineDeath,
-    /// An endpoint is retired by an operator, and added again at the end.
+    /// Retires an endpoint, and adds it again at the end.
     Retire,
 }
 
-/// One fault.
+/// A fault and its schedule.
 #[derive(Debug, Clone)]
 pub struct FaultPlan {
-    /// When it begins, after the warm-up.
+    /// Start, counted from the end of the warm-up.
     pub at: Duration,
-    /// How long it lasts.
+    /// Minimum duration.
     pub duration: Duration,
-    /// What it is.
+    /// Kind of fault.
     pub kind: FaultKind,
-    /// What it befalls: a box, a domain or an endpoint.
+    /// Name of the affected box, failure domain or endpoint.
     pub target: String,
 }
 
-/// An order to be compared.
+/// A scheduling order to compare.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BenchArm {
-    /// Its name.
+    /// Name of the arm.
     pub name: String,
-    /// The order of the daemons' `[schedule]`.
+    /// Value of `order` in the daemons' `[schedule]` section.
     pub order: String,
-    /// Further lines of `[schedule]`.
+    /// Further settings in the `[schedule]` section.
     pub schedule: Vec<(String, String)>,
 }
 
@@ -118,7 +118,7 @@
     ///
     /// # Errors
     ///
-    /// Returns every problem in it.
+    /// Returns an error if the file cannot be read, or lists every problem in it.
     pub fn load(path: &Path) -> Result<Self, BenchError> {
         let file = path.display().to_string();
         let text = std::fs::read_to_string(path)
@@ -127,11 +127,11 @@
         Self::parse(&name, &file, &text)
     }
 
-    /// Parses a scenario.
+    /// Parses the text of a scenario file.
     ///
     /// # Errors
     ///
-    /// Returns every problem in it.
+    /// Returns an error that lists every problem in the text.
     pub fn parse(name: &str, file: &str, text: &str) -> Result<Self, BenchError> {
         const SECTIONS: &str =
             "[fleet], [pool NAME], [workspace NAME], [kind NAME], [fault N] and [arm NAME]";
@@ -170,7 +170,7 @@
         Ok(scenario)
     }
 
-    /// Returns the names of the boxes with their domains.
+    /// Returns the names of the boxes with their failure domains.
     pub fn boxes(&self) -> Vec<(String, String)> {
         let count = self.fleet.boxes_per_domain;
         let domains = self.fleet.domains.iter();
@@ -183,7 +183,7 @@
 }
 
 impl BenchArm {
-    /// The order that is not a baseline.
+    /// Returns the arm with fair scheduling, which baselines are compared to.
     pub fn fair() -> Self {
         Self {
             name: "fair".to_owned(),
@@ -193,7 +193,7 @@
     }
 }
 
-/// Takes a number within a range.
+/// Takes a number, and reports a problem if it lies outside `range`.
 fn take_number(
     section: &mut SectionReader,
     key: &str,
--- a/dockgate-bench/src/scenario/workspace_load.rs
+++ b/dockgate-bench/src/scenario/workspace_load.rs
@@ -1,16 +1,16 @@
-//! What a workspace sends.
+//! The load of a workspace.
 
 use dockgate_core::SectionReader;
 use rand::RngExt;
 use rand::rngs::StdRng;
 use std::str::FromStr;
 
-/// When requests come.
+/// Process by which requests arrive.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum ArrivalProcess {
-    /// So many callers, each with one request at a time.
+    /// Closed loop: this number of callers, each with one request at a time.
     Closed(usize),
-    /// So many requests a second, at random.
+    /// Open loop: a Poisson process with this rate per second.
     Open(f64),
 }
 
@@ -29,7 +29,7 @@
     }
 }
 
-/// Sizes of answers with their weights: `30*99 3000*1`.
+/// A weighted distribution of answer sizes, written as `SIZE*WEIGHT`, for example `30*99 3000*1`.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SizeDistribution(Vec<(usize, u32)>);
 
@@ -57,7 +57,7 @@
         self.0.iter().map(|(size, _)| *size).max().unwrap_or(0)
     }
 
-    /// Draws a size.
+    /// Draws a random size.
     pub fn draw(&self, rng: &mut StdRng) -> usize {
         let total: u32 = self.0.iter().map(|(_, weight)| weight).sum();
         let mut left = rng.random_range(0..total);
@@ -71,43 +71,43 @@
     }
 }
 
-/// At which boxes a workspace's requests enter.
+/// The boxes to which a workspace sends its requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum EntryBoxes {
-    /// At all, evenly.
+    /// All boxes, evenly.
     All,
-    /// At these boxes, evenly.
+    /// The named boxes, evenly.
     Named(Vec<String>),
 }
 
-/// What one workspace sends to one pool.
+/// The load of one workspace on one pool.
 #[derive(Debug, Clone)]
 pub struct WorkspaceLoad {
-    /// The workspace.
+    /// Name of the workspace.
     pub workspace: String,
-    /// Its share.
+    /// Fair share of the workspace.
     pub share: u32,
-    /// The pool.
+    /// Name of the pool.
     pub pool: String,
-    /// When requests come.
+    /// How requests arrive.
     pub arrival: ArrivalProcess,
-    /// Tokens of an answer, or milliseconds of a plain service.
+    /// Tokens per answer, or service time in milliseconds for a plain service.
     pub sizes: SizeDistribution,
-    /// Bytes of a prompt.
+    /// Approximate prompt size, in bytes.
     pub prompt: usize,
     /// Whether answers are streamed.
     pub stream: bool,
-    /// A kind that may not be repeated, if it is set.
+    /// Kind of the requests; such requests must not be retried.
     pub kind: Option<String>,
-    /// Where they enter.
+    /// Boxes that receive the requests.
     pub entries: EntryBoxes,
-    /// How long a request may wait for a slot, in milliseconds; zero for the daemon's default.
+    /// Longest wait for a slot, in milliseconds; zero uses the daemon's default.
     pub deadline_ms: u64,
-    /// The longest queue at one box.
+    /// Maximum queue length at one box.
     pub queue_limit: u32,
 }
 
-/// Reads `[workspace NAME]`: one load for each `arrival.POOL`.
+/// Reads a `[workspace NAME]` section into one load per `arrival.POOL` key.
 pub(super) fn read_workspace_loads(section: &mut SectionReader) -> Vec<WorkspaceLoad> {
     let share = section.take("share", "a whole number").unwrap_or(1);
     let entries = section.take_list("entries");
@@ -125,7 +125,7 @@
     let allowed = "closed:CALLERS or open:REQUESTS_PER_SECOND";
     let mut arrivals = section.take_prefixed::<ArrivalProcess>("arrival.", allowed);
     if arrivals.is_empty() {
-        // A workspace that sends nothing is declared all the same.
+        // The fleet must know a workspace even if it sends no requests.
         arrivals.push((String::new(), ArrivalProcess::Closed(0)));
     }
     let loads = arrivals.into_iter().map(|(pool, arrival)| {
--- a/dockgate-bench/src/slopes.rs
+++ b/dockgate-bench/src/slopes.rs
@@ -1,4 +1,4 @@
-//! How the cost of control grows: one size is varied at a time, and lines are fitted.
+//! Measures how control overhead grows: varies one parameter at a time and fits a line per metric.
 
 mod line_fit;
 mod slope_axis;
@@ -16,27 +16,27 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// One measured point.
+/// The measurement at one value of the varied parameter.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct SlopePoint {
-    /// The size.
+    /// Value of the parameter.
     pub size: f64,
-    /// What was measured, by name.
+    /// Measured values, by metric.
     pub measured: BTreeMap<String, f64>,
 }
 
-/// One axis with its points and lines.
+/// Points and fitted lines of one axis.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct SlopeReport {
-    /// What was varied.
+    /// Name of the axis.
     pub axis: String,
-    /// The points.
+    /// Measured points.
     pub points: Vec<SlopePoint>,
-    /// The fitted lines, by what was measured.
+    /// Fitted lines, by metric.
     pub fits: BTreeMap<String, LineFit>,
 }
 
-/// The measures that slopes are fitted to.
+/// Returns the metrics to which lines are fitted.
 fn slope_metrics(report: &ArmReport) -> BTreeMap<String, f64> {
     [
         (
@@ -70,11 +70,11 @@
     .collect()
 }
 
-/// Measures every axis, or only those named.
+/// Measures the named axes, or every axis if `axis_names` is empty.
 ///
 /// # Errors
 ///
-/// Returns what could not be started.
+/// Returns an error if a fleet cannot be started or configured.
 pub async fn run_slopes(
     axis_names: &[String],
     seconds: f64,
@@ -130,7 +130,7 @@
 }
 
 impl SlopeReport {
-    /// Prints the points and the lines.
+    /// Prints a table of the points and the fitted lines.
     pub fn print(&self) {
         println!("\n{}", self.axis);
         let mut table = Table::new();
--- a/dockgate-bench/src/slopes/line_fit.rs
+++ b/dockgate-bench/src/slopes/line_fit.rs
@@ -1,25 +1,25 @@
-//! Least-squares lines.
+//! Least-squares line fitting.
 
 use serde::{Deserialize, Serialize};
 
-/// A line through measured points.
+/// A least-squares line through measured points.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct LineFit {
-    /// Growth for one more.
+    /// Slope of the line.
     pub slope: f64,
     /// Standard error of the slope.
     pub error: f64,
-    /// The value at size zero.
+    /// Intercept: the value at size zero.
     pub at_zero: f64,
-    /// The first size whose value lies off the line by more than a fifth, if there is one.
+    /// The first size whose residual exceeds a fifth of the largest value.
     pub bends_at: Option<f64>,
 }
 
 impl LineFit {
-    /// How far off the line a value may lie, as a part of the largest value.
+    /// Largest tolerated residual, as a fraction of the largest value.
     const TOLERANCE: f64 = 0.2;
 
-    /// Fits a line to pairs of size and value.
+    /// Fits a line to points of size and value.
     pub fn from_points(points: &[(f64, f64)]) -> Self {
         let count = points.len() as f64;
         let mean = |pick: fn(&(f64, f64)) -> f64| points.iter().map(pick).sum::<f64>() / count;
--- a/dockgate-bench/src/slopes/slope_axis.rs
+++ b/dockgate-bench/src/slopes/slope_axis.rs
@@ -1,21 +1,21 @@
-//! The sizes that are varied, and the scenario of each.
+//! The parameters that are varied, and the scenario of each value.
 
 use std::fmt::Write;
 
-/// What is varied.
+/// The parameter that is varied.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SlopeAxis {
-    /// Boxes, in two domains, with little load.
+    /// Number of boxes, in two failure domains, with light load.
     Boxes,
-    /// Endpoints, over four boxes.
+    /// Number of endpoints, with four boxes.
     Endpoints,
-    /// Workspaces, a tenth of them backlogged, over four boxes.
+    /// Number of workspaces, a tenth of them backlogged, with four boxes.
     Workspaces,
-    /// Requests a second over four boxes.
+    /// Requests per second, with four boxes.
     Requests,
-    /// Configuration changes in a hundred seconds, over four boxes.
+    /// Configuration changes per hundred seconds, with four boxes.
     Changes,
-    /// Domains of one box each.
+    /// Number of failure domains, with one box each.
     Domains,
 }
 
@@ -32,7 +32,7 @@
 }
 
 impl SlopeAxis {
-    /// Every axis.
+    /// All axes, in the order in which they are measured.
     pub const ALL: [Self; 6] = [
         Self::Boxes,
         Self::Endpoints,
@@ -42,7 +42,7 @@
         Self::Domains,
     ];
 
-    /// Returns the axis's name.
+    /// Returns the name of the axis.
     pub const fn name(self) -> &'static str {
         match self {
             Self::Boxes => "boxes",
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Returns the sizes that are measured.
+    /// Returns the values at which the axis is measured.
     pub const fn sizes(self) -> &'static [usize] {
         match self {
             Self::Boxes => &[2, 4, 8, 16, 32],
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Writes the scenario of one size.
+    /// Returns the scenario file for one value.
     pub fn scenario_ini(self, size: usize) -> String {
         let fleet_size = self.fleet_size(size);
         let domains: Vec<String> = (0..fleet_size.domains)
@@ -134,7 +134,7 @@
                 }
                 _ => String::new(),
             };
-            // Writing to a string does not fail.
+            // Writing to a `String` cannot fail.
             let _ = write!(text, "[workspace w{number}]\n{load}");
         }
         text
