--- a/dockgate-bench/src/fleet.rs
+++ b/dockgate-bench/src/fleet.rs
@@ -114,7 +114,7 @@
     /// Returns an error if a part cannot be started or configured, or a box does not become ready.
     pub async fn start(scenario: BenchScenario, arm: &BenchArm) -> Result<Self, BenchError> {
         let folder = tempfile::tempdir()
-            .map_err(|cause| BenchError::Io("create", "a temporary folder".to_owned(), cause))?;
+            .map_err(|cause| BenchError::Io("make", "a temporary folder".to_owned(), cause))?;
         let mut fleet = Self {
             platform: PlatformStandIn::start().await?,
             scenario,
--- a/dockgate-bench/src/slopes/line_fit.rs
+++ b/dockgate-bench/src/slopes/line_fit.rs
@@ -20,24 +20,21 @@
     const TOLERANCE: f64 = 0.2;
 
     /// Fits a line to points of size and value.
-    pub fn from_points(points: &[(f64, f64)]) -> Self {
-        let count = points.len() as f64;
-        let mean = |pick: fn(&(f64, f64)) -> f64| points.iter().map(pick).sum::<f64>() / count;
-        let (mean_x, mean_y) = (mean(|point| point.0), mean(|point| point.1));
-        let sum_xx: f64 = points.iter().map(|(x, _)| (x - mean_x).powi(2)).sum();
-        if points.len() < 2 || sum_xx == 0.0 {
+    pub fn from_points(pairs: &[(f64, f64)]) -> Self {
+        let count = pairs.len() as f64;
+        let mean = |pick: fn(&(f64, f64)) -> f64| pairs.iter().map(pick).sum::<f64>() / count;
+        let (mean_x, mean_y) = (mean(|pair| pair.0), mean(|pair| pair.1));
+        let sum_xx: f64 = pairs.iter().map(|(x, _)| (x - mean_x).powi(2)).sum();
+        if pairs.len() < 2 || sum_xx == 0.0 {
             return Self::default();
         }
-        let sum_xy: f64 = points
-            .iter()
-            .map(|(x, y)| (x - mean_x) * (y - mean_y))
-            .sum();
+        let sum_xy: f64 = pairs.iter().map(|(x, y)| (x - mean_x) * (y - mean_y)).sum();
         let slope = sum_xy / sum_xx;
         let at_zero = mean_y - slope * mean_x;
         let residual = |x: f64, y: f64| (y - at_zero - slope * x).abs();
-        let residual_sum: f64 = points.iter().map(|(x, y)| residual(*x, *y).powi(2)).sum();
-        let largest = points.iter().map(|(_, y)| y.abs()).fold(0.0, f64::max);
-        let outlier = points
+        let residual_sum: f64 = pairs.iter().map(|(x, y)| residual(*x, *y).powi(2)).sum();
+        let largest = pairs.iter().map(|(_, y)| y.abs()).fold(0.0, f64::max);
+        let outlier = pairs
             .iter()
             .find(|(x, y)| residual(*x, *y) > Self::TOLERANCE * largest);
         Self {
