--- a/dockgate-bench/src/run.rs
+++ b/dockgate-bench/src/run.rs
@@ -57,7 +57,7 @@
 ) -> Result<BenchReport, BenchError> {
     let mut reports = Vec::new();
     for arm in &scenario.arms {
-        log::info!("running arm {} of scenario {}", arm.name, scenario.name);
+        log::info!("scenario {}: running arm {}", scenario.name, arm.name);
         reports.push(run_arm(scenario, arm, options).await?);
     }
     let main = reports.remove(0);
