--- a/dockgate-bench/src/fleet.rs
+++ b/dockgate-bench/src/fleet.rs
@@ -1,12 +1,12 @@
-//! A fleet on loopback: stand-ins in this process, daemons as processes of their own.
+//! A fleet on loopback: stand-ins run in this process, daemons as child processes.
 
 mod config;
-mod daemon;
+mod daemon_process;
 
-pub(crate) use config::change_at;
+pub(crate) use config::apply_intent_at;
 pub use config::workspace_key;
-pub use daemon::{DaemonProcess, is_ready};
-pub(crate) use daemon::{daemon_program, fetch, metric_at};
+pub use daemon_process::{DaemonProcess, is_ready};
+pub(crate) use daemon_process::{daemon_program, fetch_metric, http_get};
 
 use crate::error::BenchError;
 use crate::relay::{ByteCount, LinkRelay};
@@ -14,7 +14,7 @@
 use crate::standin::{
     BoxEntry, EngineRule, EngineStandIn, PlatformStandIn, RunTally, ServiceRule, ServiceStandIn,
 };
-use daemon::{DaemonPlan, secrets};
+use daemon_process::{DaemonSettings, write_secrets};
 use dockgate_platform::BoxState;
 use std::collections::{BTreeMap, HashMap};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -24,11 +24,11 @@
 use std::time::Duration;
 use tempfile::TempDir;
 
-/// An endpoint's stand-in.
+/// The stand-in server of an endpoint.
 pub enum EndpointStandIn {
     /// A model engine.
     Engine(EngineStandIn),
-    /// A plain service.
+    /// A service that is not a model engine.
     Service(ServiceStandIn),
 }
 
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Dies.
+    /// Simulates a crash of the endpoint.
     pub fn kill(&self) {
         match self {
             Self::Engine(engine) => engine.kill(),
@@ -49,56 +49,57 @@
     }
 }
 
-/// One endpoint of the fleet.
+/// An endpoint of the fleet.
 pub struct BenchEndpoint {
-    /// Its name.
+    /// Endpoint name.
     pub name: String,
-    /// Its pool.
+    /// Name of the pool.
     pub pool: String,
-    /// Its failure domain.
+    /// Failure domain.
     pub domain: String,
-    /// Its slots.
+    /// Number of slots.
     pub slots: usize,
-    /// The stand-in.
+    /// Server that answers for the endpoint.
     pub standin: EndpointStandIn,
-    /// Relays from the other domains.
+    /// Relays to the endpoint, by the failure domain that they serve.
     pub relays: HashMap<String, LinkRelay>,
 }
 
 /// A running fleet.
 pub struct BenchFleet {
-    /// The scenario it was made for.
+    /// Scenario that the fleet runs.
     pub scenario: BenchScenario,
-    /// The platform.
+    /// Stand-in of the platform service.
     pub platform: PlatformStandIn,
-    /// The endpoints.
+    /// Endpoints of all pools.
     pub endpoints: Vec<BenchEndpoint>,
-    /// Counts of each pool.
+    /// Run counts by pool.
     pub tallies: BTreeMap<String, Arc<RunTally>>,
-    /// The daemons.
+    /// Daemons in the order of the scenario's boxes.
     pub daemons: Vec<DaemonProcess>,
-    /// Relays between boxes, by the domain they come from and the box they go to.
-    pub links: HashMap<(String, String), LinkRelay>,
-    /// Relays to the platform, by domain.
-    pub platform_links: HashMap<String, LinkRelay>,
-    /// Bytes between boxes.
+    /// Relays between boxes, by source failure domain and destination box.
+    pub peer_relays: HashMap<(String, String), LinkRelay>,
+    /// Relays to the platform, by failure domain.
+    pub platform_relays: HashMap<String, LinkRelay>,
+    /// Bytes sent between boxes.
     pub peer_bytes: ByteCount,
-    /// Bytes between boxes and the platform.
+    /// Bytes sent between boxes and the platform.
     pub platform_bytes: ByteCount,
-    /// Where settings, secrets and logs stand.
+    /// Temporary folder of settings, secrets and logs.
     pub folder: TempDir,
 }
 
-/// Ports of a box, the same on each box's own loopback address.
-const CALLERS: u16 = 7_001;
-const PEERS: u16 = 7_002;
-const OPERATORS: u16 = 7_003;
-const METRICS: u16 = 7_004;
-/// How long a fleet may take to get ready.
-const READY: Duration = Duration::from_secs(20);
+// Every box uses the same ports on a loopback address of its own.
+const CALLER_PORT: u16 = 7_001;
+const PEER_PORT: u16 = 7_002;
+const OPERATOR_PORT: u16 = 7_003;
+const METRICS_PORT: u16 = 7_004;
+/// Longest time that a fleet may take to become ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Returns a loopback network of this run's own, so that runs beside each other do not meet.
-fn run_network() -> u8 {
+/// Returns the second octet of a loopback subnet for a fleet. It depends on the process id and
+/// changes with each call, so that concurrent fleets don't share addresses.
+fn next_loopback_network() -> u8 {
     static NEXT: AtomicU8 = AtomicU8::new(0);
     let offset = NEXT.fetch_add(1, Ordering::Relaxed);
     let base = (std::process::id() % 200) as u8;
@@ -106,28 +107,28 @@
 }
 
 impl BenchFleet {
-    /// Starts everything and waits until every box is ready.
+    /// Starts stand-ins, relays and daemons, and waits until every box is ready.
     ///
     /// # Errors
     ///
-    /// Returns what could not be started.
+    /// Returns an error if a part cannot be started or configured, or a box does not become ready.
     pub async fn start(scenario: BenchScenario, arm: &BenchArm) -> Result<Self, BenchError> {
         let folder = tempfile::tempdir()
-            .map_err(|cause| BenchError::Io("make", "a folder".to_owned(), cause))?;
+            .map_err(|cause| BenchError::Io("make", "a temporary folder".to_owned(), cause))?;
         let mut fleet = Self {
             platform: PlatformStandIn::start().await?,
             scenario,
             endpoints: Vec::new(),
             tallies: BTreeMap::new(),
             daemons: Vec::new(),
-            links: HashMap::new(),
-            platform_links: HashMap::new(),
+            peer_relays: HashMap::new(),
+            platform_relays: HashMap::new(),
             peer_bytes: ByteCount::default(),
             platform_bytes: ByteCount::default(),
             folder,
         };
         fleet.start_endpoints().await?;
-        fleet.start_platform_links().await?;
+        fleet.start_platform_relays().await?;
         fleet.start_daemons(arm).await?;
         fleet.wait_until_listening().await?;
         fleet.configure().await?;
@@ -187,51 +188,53 @@
         })
     }
 
-    async fn start_platform_links(&mut self) -> Result<(), BenchError> {
+    async fn start_platform_relays(&mut self) -> Result<(), BenchError> {
         for domain in self.scenario.fleet.domains.clone() {
             let count = self.platform_bytes.clone();
             let relay = LinkRelay::start(self.platform.address, Duration::ZERO, count).await?;
-            self.platform_links.insert(domain, relay);
+            self.platform_relays.insert(domain, relay);
         }
         Ok(())
     }
 
     async fn start_daemons(&mut self, arm: &BenchArm) -> Result<(), BenchError> {
-        secrets(self.folder.path())?;
-        let network = run_network();
+        write_secrets(self.folder.path())?;
+        let network = next_loopback_network();
         let mut entries = Vec::new();
-        let mut plans = Vec::new();
+        let mut all_settings = Vec::new();
         for (index, (name, domain)) in self.scenario.boxes().into_iter().enumerate() {
             let number = index as u16 + 1;
             let ip = Ipv4Addr::new(127, network, (number >> 8) as u8, number as u8);
-            let at = |port| SocketAddr::new(IpAddr::V4(ip), port);
-            let entry = self.link_box(&name, &domain, at(PEERS)).await?;
+            let box_address = |port| SocketAddr::new(IpAddr::V4(ip), port);
+            let entry = self
+                .start_peer_relays(&name, &domain, box_address(PEER_PORT))
+                .await?;
             entries.push(entry);
             let mut schedule = self.scenario.fleet.schedule.clone();
             schedule.push(("order".to_owned(), arm.order.clone()));
             schedule.extend(arm.schedule.iter().cloned());
-            let plan = DaemonPlan {
-                callers: at(CALLERS),
-                peers: at(PEERS),
-                operators: at(OPERATORS),
-                metrics: at(METRICS),
-                platform: self.platform_links[&domain].address,
+            let settings = DaemonSettings {
+                callers: box_address(CALLER_PORT),
+                peers: box_address(PEER_PORT),
+                operators: box_address(OPERATOR_PORT),
+                metrics: box_address(METRICS_PORT),
+                platform: self.platform_relays[&domain].address,
                 name,
                 domain,
                 schedule,
             };
-            plans.push(plan);
+            all_settings.push(settings);
         }
-        for plan in plans {
-            let process = DaemonProcess::start(plan, &entries, self.folder.path())?;
+        for settings in all_settings {
+            let process = DaemonProcess::start(settings, &entries, self.folder.path())?;
             self.daemons.push(process);
         }
         self.platform.set_boxes(&entries);
         Ok(())
     }
 
-    /// Puts relays in front of a box's peer door, one for each domain.
-    async fn link_box(
+    /// Starts a relay to a box's peer listener for each failure domain.
+    async fn start_peer_relays(
         &mut self,
         name: &str,
         domain: &str,
@@ -245,7 +248,7 @@
             };
             let relay = LinkRelay::start(address, delay, self.peer_bytes.clone()).await?;
             peer_addresses.insert(from.clone(), relay.address);
-            self.links.insert((from, name.to_owned()), relay);
+            self.peer_relays.insert((from, name.to_owned()), relay);
         }
         Ok(BoxEntry {
             name: name.to_owned(),
@@ -257,34 +260,36 @@
 
     async fn wait_until_listening(&self) -> Result<(), BenchError> {
         for daemon in &self.daemons {
-            daemon.wait_for("livez", READY).await?;
+            daemon.wait_for_ok("livez", READY_TIMEOUT).await?;
         }
         Ok(())
     }
 
-    /// Waits until every box is ready and has a link to every other.
+    /// Waits until every box is ready and has an open link to every other box.
     pub(crate) async fn wait_until_ready(&self) -> Result<(), BenchError> {
         for daemon in &self.daemons {
-            daemon.wait_for("readyz", READY).await?;
-            daemon.wait_for_links(self.daemons.len() - 1, READY).await?;
+            daemon.wait_for_ok("readyz", READY_TIMEOUT).await?;
+            daemon
+                .wait_for_links(self.daemons.len() - 1, READY_TIMEOUT)
+                .await?;
         }
         Ok(())
     }
 
-    /// Returns a box's daemon.
+    /// Returns the daemon of a box.
     pub fn daemon(&self, name: &str) -> Option<&DaemonProcess> {
         self.daemons.iter().find(|daemon| daemon.name() == name)
     }
 
-    /// Cuts or heals everything between a domain and the others.
+    /// Cuts or restores all relays between a failure domain and the others.
     pub fn set_domain_cut(&self, domain: &str, cut: bool) {
-        let home: HashMap<&str, &str> = self
+        let box_domains: HashMap<&str, &str> = self
             .daemons
             .iter()
             .map(|daemon| (daemon.name(), daemon.domain()))
             .collect();
-        for ((from, to), relay) in &self.links {
-            let to = home.get(to.as_str()).copied().unwrap_or_default();
+        for ((from, to), relay) in &self.peer_relays {
+            let to = box_domains.get(to.as_str()).copied().unwrap_or_default();
             if (from == domain) != (to == domain) {
                 relay.set_cut(cut);
             }
@@ -298,19 +303,19 @@
         }
     }
 
-    /// Stops every daemon, in order where it can be.
+    /// Stops every daemon, and kills those that do not exit in time.
     pub async fn stop(&mut self) {
         for daemon in &self.daemons {
             daemon.terminate();
         }
-        let stopped = self
+        let exits = self
             .daemons
             .iter_mut()
             .map(|daemon| daemon.wait_or_kill(Duration::from_secs(5)));
-        futures::future::join_all(stopped).await;
+        futures::future::join_all(exits).await;
     }
 
-    /// Returns the folder in which settings and logs stand.
+    /// Returns the folder of settings, secrets and logs.
     pub fn path(&self) -> PathBuf {
         self.folder.path().to_path_buf()
     }
--- a/dockgate-bench/src/fleet/config.rs
+++ b/dockgate-bench/src/fleet/config.rs
@@ -1,7 +1,7 @@
-//! Configures a fleet as operators do: a declaration, a plan, a confirmation.
+//! Configures a fleet through the operator API: plans a change and confirms it.
 
 use super::BenchFleet;
-use super::daemon::{OPERATOR_TOKEN, operator_client};
+use super::daemon_process::{OPERATOR_TOKEN, operator_client};
 use crate::error::BenchError;
 use dockgate_core::{ConfigChange, FleetConfig, KeyHash};
 use dockgate_proto::operator::{
@@ -19,14 +19,14 @@
     format!("key-of-{workspace}")
 }
 
-/// Plans and confirms an intent at an operator door.
-pub(crate) async fn change_at(
-    operators: SocketAddr,
+/// Plans and confirms an intent through an operator listener.
+pub(crate) async fn apply_intent_at(
+    operator_address: SocketAddr,
     intent: PlanIntent,
 ) -> Result<ConfirmReply, BenchError> {
-    let client = operator_client(operators, OPERATOR_TOKEN)?;
+    let client = operator_client(operator_address, OPERATOR_TOKEN)?;
     let failed = |error: jsonrpsee::core::ClientError| {
-        BenchError::Daemon("configure", operators.to_string(), error.to_string())
+        BenchError::Daemon("configure", operator_address.to_string(), error.to_string())
     };
     let request = PlanRequest { intent };
     let reply: PlanReply = client
@@ -44,12 +44,12 @@
 }
 
 impl BenchFleet {
-    /// Writes the declaration of the whole fleet.
+    /// Returns the declaration of the whole fleet.
     pub fn declaration(&self) -> String {
         let mut text = String::new();
         for pool in &self.scenario.pools {
             let kind = if pool.engine { "engine" } else { "service" };
-            // Writing to a string does not fail.
+            // Writing to a `String` cannot fail.
             let _ = writeln!(text, "[pool {}]\nkind = {kind}", pool.name);
             if pool.engine {
                 let _ = writeln!(text, "models = {}\nresumes = yes", pool.name);
@@ -70,68 +70,69 @@
                 let _ = writeln!(text, "address.{from} = {}", relay.address);
             }
         }
-        let loads: BTreeMap<&str, _> = self
+        let limits: BTreeMap<&str, _> = self
             .scenario
             .workspaces
             .iter()
             .map(|load| (load.workspace.as_str(), (load.share, load.queue_limit)))
             .collect();
-        for (workspace, (share, limit)) in loads {
+        for (workspace, (share, queue_limit)) in limits {
             let hash = KeyHash::of(&workspace_key(workspace));
             let _ = writeln!(
                 text,
-                "[workspace {workspace}]\nshare = {share}\nqueue_limit = {limit}\nkey = {hash}"
+                "[workspace {workspace}]\nshare = {share}\nqueue_limit = {queue_limit}\nkey = {hash}"
             );
         }
-        for kind in &self.scenario.once_kinds {
+        for kind in &self.scenario.non_repeatable_kinds {
             let _ = writeln!(text, "[kind {kind}]\nrepeatable = no");
         }
         text
     }
 
-    /// Applies the declaration.
+    /// Applies the fleet's declaration.
     pub(super) async fn configure(&self) -> Result<(), BenchError> {
         let text = self.declaration();
         let intent = PlanIntent::Declaration("bench".to_owned(), text);
-        self.change(0, intent).await.map(drop)
+        self.apply_intent(0, intent).await.map(drop)
     }
 
-    /// Plans and confirms an intent at one daemon.
+    /// Plans and confirms an intent through a daemon, given by its index.
     ///
     /// # Errors
     ///
-    /// Returns what the daemon refused.
-    pub async fn change(
+    /// Returns an error if the daemon cannot be reached or refuses the change.
+    pub async fn apply_intent(
         &self,
         daemon: usize,
         intent: PlanIntent,
     ) -> Result<ConfirmReply, BenchError> {
-        change_at(self.daemons[daemon].operators(), intent).await
+        apply_intent_at(self.daemons[daemon].operator_address(), intent).await
     }
 
     /// Retires an endpoint, and returns the change that adds it again.
     ///
     /// # Errors
     ///
-    /// Returns what the daemon refused.
-    pub async fn retire(&self, name: &str) -> Result<Option<ConfigChange>, BenchError> {
-        let config = self.shown(0).await?;
+    /// Returns an error if the daemon cannot be reached or refuses the change.
+    pub async fn retire_endpoint(&self, name: &str) -> Result<Option<ConfigChange>, BenchError> {
+        let config = self.config_in_force(0).await?;
         let spec = config.endpoints.get_by_name(name).cloned();
         let change = ConfigChange::RetireEndpoint(name.to_owned());
-        self.change(0, PlanIntent::Changes(vec![change])).await?;
+        self.apply_intent(0, PlanIntent::Changes(vec![change]))
+            .await?;
         Ok(spec.map(ConfigChange::PutEndpoint))
     }
 
-    /// Returns the configuration in force at a daemon.
+    /// Returns the configuration in force at a daemon, given by its index.
     ///
     /// # Errors
     ///
-    /// Returns an error where it does not answer.
-    pub async fn shown(&self, daemon: usize) -> Result<FleetConfig, BenchError> {
+    /// Returns an error if the daemon does not answer.
+    pub async fn config_in_force(&self, daemon: usize) -> Result<FleetConfig, BenchError> {
         let daemon = &self.daemons[daemon];
-        let client = operator_client(daemon.operators(), OPERATOR_TOKEN)?;
-        let shown = client.request(operator::SHOW, ArrayParams::new()).await;
-        shown.map_err(|error| {
+        let client = operator_client(daemon.operator_address(), OPERATOR_TOKEN)?;
+        let config = client.request(operator::SHOW, ArrayParams::new()).await;
+        config.map_err(|error| {
             BenchError::Daemon("show", daemon.name().to_owned(), error.to_string())
         })
     }
--- a/dockgate-bench/src/fleet/daemon.rs
+++ b/dockgate-bench/src/fleet/daemon_process.rs
@@ -1,4 +1,4 @@
-//! One daemon as a process of its own.
+//! A daemon as a child process.
 
 use crate::error::BenchError;
 use crate::standin::BoxEntry;
@@ -15,16 +15,16 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// The operator token of bench fleets.
+/// Operator token of bench fleets.
 pub(super) const OPERATOR_TOKEN: &str = "bench-operator-token";
 const FLEET_SECRET: &str = "bench-fleet-secret-0";
-const OPERATOR_FILE: &str = "operator.token";
-const FLEET_FILE: &str = "fleet.secret";
-const POLL: Duration = Duration::from_millis(20);
+const OPERATOR_TOKEN_FILE: &str = "operator.token";
+const FLEET_SECRET_FILE: &str = "fleet.secret";
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What a daemon is started with.
+/// Settings with which a daemon is started.
 #[derive(Debug, Clone)]
-pub(super) struct DaemonPlan {
+pub(super) struct DaemonSettings {
     pub(super) name: String,
     pub(super) domain: String,
     pub(super) callers: SocketAddr,
@@ -35,16 +35,19 @@
     pub(super) schedule: Vec<(String, String)>,
 }
 
-/// A daemon; killed when it is dropped.
+/// A daemon process, killed on drop.
 pub struct DaemonProcess {
-    plan: DaemonPlan,
-    settings: PathBuf,
+    settings: DaemonSettings,
+    settings_path: PathBuf,
     child: Option<Child>,
 }
 
-/// Writes the secrets that every daemon reads.
-pub(super) fn secrets(folder: &Path) -> Result<(), BenchError> {
-    for (file, secret) in [(FLEET_FILE, FLEET_SECRET), (OPERATOR_FILE, OPERATOR_TOKEN)] {
+/// Writes the secret files that the daemons read.
+pub(super) fn write_secrets(folder: &Path) -> Result<(), BenchError> {
+    for (file, secret) in [
+        (FLEET_SECRET_FILE, FLEET_SECRET),
+        (OPERATOR_TOKEN_FILE, OPERATOR_TOKEN),
+    ] {
         write_file(&folder.join(file), secret)?;
     }
     Ok(())
@@ -55,7 +58,7 @@
     written.map_err(|cause| BenchError::Io("write", path.display().to_string(), cause))
 }
 
-/// Makes a client of an operator door.
+/// Creates a client of an operator listener.
 pub(super) fn operator_client(address: SocketAddr, token: &str) -> Result<HttpClient, BenchError> {
     let mut headers = HeaderMap::new();
     if let Ok(bearer) = HeaderValue::from_str(&format!("Bearer {token}")) {
@@ -67,58 +70,63 @@
         .max_response_size(64 << 20)
         .build(format!("http://{address}"))
         .map_err(|error| {
-            BenchError::Daemon("make a client of", address.to_string(), error.to_string())
+            BenchError::Daemon(
+                "create a client for",
+                address.to_string(),
+                error.to_string(),
+            )
         })
 }
 
-/// Returns the program of the daemon: beside the bench tool, or one folder up from a test.
+/// Returns the path of the daemon's program: in the folder of this program, or in its parent if
+/// this is a test.
 pub(crate) fn daemon_program() -> Result<PathBuf, BenchError> {
-    let here = std::env::current_exe()
+    let current_exe = std::env::current_exe()
         .map_err(|cause| BenchError::Io("find", "this program".to_owned(), cause))?;
-    let found = here
+    let found = current_exe
         .ancestors()
         .skip(1)
         .take(2)
         .map(|folder| folder.join("dockgate"))
         .find(|path| path.is_file());
     found.ok_or_else(|| {
-        let cause = "build it first: cargo build --package dockgate".to_owned();
+        let cause = "not built; run `cargo build --package dockgate`".to_owned();
         BenchError::Daemon("find", "dockgate".to_owned(), cause)
     })
 }
 
 impl DaemonProcess {
-    /// Starts a daemon with settings and a log file in `folder`.
+    /// Starts a daemon whose settings and log files are in `folder`.
     pub(super) fn start(
-        plan: DaemonPlan,
+        settings: DaemonSettings,
         boxes: &[BoxEntry],
         folder: &Path,
     ) -> Result<Self, BenchError> {
-        let settings = folder.join(format!("{}.ini", plan.name));
-        write_file(&settings, &plan.settings(boxes, folder))?;
+        let settings_path = folder.join(format!("{}.ini", settings.name));
+        write_file(&settings_path, &settings.to_ini(boxes, folder))?;
         let mut daemon = Self {
-            plan,
             settings,
+            settings_path,
             child: None,
         };
         daemon.restart()?;
         Ok(daemon)
     }
 
-    /// Starts the daemon anew, with no memory.
+    /// Starts a new process with the same settings.
     ///
     /// # Errors
     ///
-    /// Returns an error where it cannot be started.
+    /// Returns an error if the process cannot be started.
     pub fn restart(&mut self) -> Result<(), BenchError> {
         let log = self.log_path();
-        let failed = |cause| BenchError::Io("start", self.plan.name.clone(), cause);
+        let failed = |cause| BenchError::Io("start", self.settings.name.clone(), cause);
         let file = File::options().create(true).append(true).open(&log);
         let file = file.map_err(failed)?;
         let errors = file.try_clone().map_err(failed)?;
         let child = Command::new(daemon_program()?)
             .arg("--settings")
-            .arg(&self.settings)
+            .arg(&self.settings_path)
             .stdin(Stdio::null())
             .stdout(file)
             .stderr(errors)
@@ -128,59 +136,59 @@
         Ok(())
     }
 
-    /// Returns the box's name.
+    /// Returns the name of the box.
     pub fn name(&self) -> &str {
-        &self.plan.name
+        &self.settings.name
     }
 
-    /// Returns the box's failure domain.
+    /// Returns the failure domain of the box.
     pub fn domain(&self) -> &str {
-        &self.plan.domain
+        &self.settings.domain
     }
 
-    /// Returns where callers are served.
-    pub const fn callers(&self) -> SocketAddr {
-        self.plan.callers
+    /// Returns the address of the caller listener.
+    pub const fn caller_address(&self) -> SocketAddr {
+        self.settings.callers
     }
 
-    /// Returns where operators are served.
-    pub const fn operators(&self) -> SocketAddr {
-        self.plan.operators
+    /// Returns the address of the operator listener.
+    pub const fn operator_address(&self) -> SocketAddr {
+        self.settings.operators
     }
 
-    /// Returns where the log stands.
+    /// Returns the path of the log file.
     pub fn log_path(&self) -> PathBuf {
-        self.settings.with_extension("log")
+        self.settings_path.with_extension("log")
     }
 
-    /// Returns the process id, while it runs.
+    /// Returns the process id, or `None` if the process was killed or has exited.
     pub fn pid(&self) -> Option<u32> {
         self.child.as_ref().map(Child::id)
     }
 
     fn signal(&self, signal: Signal) {
         if let Some(pid) = self.pid().and_then(|pid| i32::try_from(pid).ok()) {
-            // A process that has ended needs no signal.
+            // Fails only if the process has already exited.
             let _ = kill(Pid::from_raw(pid), signal);
         }
     }
 
-    /// Tells the daemon to stop in order.
+    /// Asks the daemon to shut down gracefully (SIGTERM).
     pub fn terminate(&self) {
         self.signal(Signal::SIGTERM);
     }
 
-    /// Freezes the daemon.
+    /// Suspends the process (SIGSTOP).
     pub fn pause(&self) {
         self.signal(Signal::SIGSTOP);
     }
 
-    /// Lets a frozen daemon go on.
+    /// Resumes a suspended process (SIGCONT).
     pub fn resume(&self) {
         self.signal(Signal::SIGCONT);
     }
 
-    /// Kills the daemon.
+    /// Kills the process and waits for it.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             let _ = child.kill();
@@ -188,10 +196,10 @@
         }
     }
 
-    /// Tells whether the daemon has ended by itself.
-    pub fn has_ended(&mut self) -> bool {
-        let ended = self.child.as_mut().map(Child::try_wait);
-        match ended {
+    /// Returns whether the process has exited.
+    pub fn has_exited(&mut self) -> bool {
+        let exit_status = self.child.as_mut().map(Child::try_wait);
+        match exit_status {
             Some(Ok(Some(_))) => {
                 self.child = None;
                 true
@@ -201,110 +209,110 @@
         }
     }
 
-    /// Waits until the daemon has ended; returns whether it ended by itself.
-    pub async fn wait_or_kill(&mut self, patience: Duration) -> bool {
-        let deadline = Instant::now() + patience;
+    /// Waits for the process to exit and kills it after `timeout`; returns whether it exited.
+    pub async fn wait_or_kill(&mut self, timeout: Duration) -> bool {
+        let deadline = Instant::now() + timeout;
         while Instant::now() < deadline {
-            if self.has_ended() {
+            if self.has_exited() {
                 return true;
             }
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         self.kill();
         false
     }
 
-    /// Waits until `GET /PATH` of the caller's door answers 200.
+    /// Waits until `GET /PATH` at the caller listener returns status 200.
     ///
     /// # Errors
     ///
-    /// Returns an error where it does not within `patience`.
-    pub async fn wait_for(&self, path: &str, patience: Duration) -> Result<(), BenchError> {
-        let ready = async |daemon: &Self| answers_ok(daemon.plan.callers, path).await;
-        self.wait_until(path, patience, ready).await
+    /// Returns an error if it does not do so within `timeout`.
+    pub async fn wait_for_ok(&self, path: &str, timeout: Duration) -> Result<(), BenchError> {
+        let ready = async |daemon: &Self| returns_ok(daemon.settings.callers, path).await;
+        self.wait_until(path, timeout, ready).await
     }
 
-    /// Waits until the daemon has so many open links.
+    /// Waits until the daemon has exactly `links` open links.
     pub(super) async fn wait_for_links(
         &self,
         links: usize,
-        patience: Duration,
+        timeout: Duration,
     ) -> Result<(), BenchError> {
         let linked =
             async |daemon: &Self| daemon.metric("dockgate_open_links").await == Some(links as f64);
-        self.wait_until("links", patience, linked).await
+        self.wait_until("links", timeout, linked).await
     }
 
     async fn wait_until(
         &self,
         what: &str,
-        patience: Duration,
-        holds: impl AsyncFn(&Self) -> bool,
+        timeout: Duration,
+        condition: impl AsyncFn(&Self) -> bool,
     ) -> Result<(), BenchError> {
-        let deadline = Instant::now() + patience;
+        let deadline = Instant::now() + timeout;
         while Instant::now() < deadline {
-            if holds(self).await {
+            if condition(self).await {
                 return Ok(());
             }
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
-        let cause = format!("{what} did not come in {patience:?}");
+        let cause = format!("{what} not reached within {timeout:?}");
         Err(BenchError::Daemon(
             "wait for",
-            self.plan.name.clone(),
+            self.settings.name.clone(),
             cause,
         ))
     }
 
-    fn proc_text(&self, file: &str) -> String {
+    fn read_proc_file(&self, file: &str) -> String {
         let path = self.pid().map(|pid| format!("/proc/{pid}/{file}"));
         path.and_then(|path| std::fs::read_to_string(path).ok())
             .unwrap_or_default()
     }
 
-    /// Returns the processor time that the process has used, in seconds; zero where it is not told.
-    pub fn processor_seconds(&self) -> f64 {
-        /// Clock ticks a second in that file, on every Linux that we know.
-        const TICKS: f64 = 100.0;
-        let text = self.proc_text("stat");
-        // The fields after the name, which ends with the last parenthesis, begin with the state.
+    /// Returns the CPU time used by the process, in seconds, or zero if it is unknown.
+    pub fn cpu_seconds(&self) -> f64 {
+        /// Clock ticks per second (`USER_HZ`).
+        const TICKS_PER_SECOND: f64 = 100.0;
+        let text = self.read_proc_file("stat");
+        // The command name may contain spaces, so fields are counted after its closing parenthesis.
         let fields = text.rsplit(')').next().unwrap_or_default();
         let times = fields.split_whitespace().skip(11).take(2);
         times
             .filter_map(|ticks| ticks.parse::<f64>().ok())
             .sum::<f64>()
-            / TICKS
+            / TICKS_PER_SECOND
     }
 
-    /// Returns the resident memory of the process, in megabytes; zero where it is not told.
+    /// Returns the resident memory of the process, in megabytes, or zero if it is unknown.
     pub fn memory_mb(&self) -> f64 {
-        let text = self.proc_text("status");
+        let text = self.read_proc_file("status");
         let line = text.lines().find(|line| line.starts_with("VmRSS:"));
         let kilobytes = line.and_then(|line| line.split_whitespace().nth(1)?.parse::<f64>().ok());
         kilobytes.unwrap_or(0.0) / 1_024.0
     }
 
-    /// Returns where metrics are served.
-    pub(crate) const fn metrics(&self) -> SocketAddr {
-        self.plan.metrics
+    /// Returns the address of the metrics listener.
+    pub(crate) const fn metrics_address(&self) -> SocketAddr {
+        self.settings.metrics
     }
 
-    /// Returns the sum of a metric over its labels.
+    /// Returns the sum of a metric over all its label sets, or `None` if it is not exported.
     pub async fn metric(&self, name: &str) -> Option<f64> {
-        metric_at(self.plan.metrics, name).await
+        fetch_metric(self.settings.metrics, name).await
     }
 }
 
-/// Returns the sum of a metric over its labels, as a metrics address tells it.
-pub(crate) async fn metric_at(address: SocketAddr, name: &str) -> Option<f64> {
-    let text = fetch(address, "metrics").await?;
+/// Fetches a metric and returns the sum over all its label sets.
+pub(crate) async fn fetch_metric(address: SocketAddr, name: &str) -> Option<f64> {
+    let text = http_get(address, "metrics").await?;
     let mut found = None;
     for line in text.lines() {
         let Some((key, value)) = line.rsplit_once(' ') else {
             continue;
         };
-        let plain = key.split('{').next().unwrap_or(key);
-        if let (true, Ok(value)) = (plain == name, value.parse::<f64>()) {
+        let metric_name = key.split('{').next().unwrap_or(key);
+        if let (true, Ok(value)) = (metric_name == name, value.parse::<f64>()) {
             found = Some(found.unwrap_or(0.0) + value);
         }
     }
@@ -317,8 +325,8 @@
     }
 }
 
-impl DaemonPlan {
-    fn settings(&self, boxes: &[BoxEntry], folder: &Path) -> String {
+impl DaemonSettings {
+    fn to_ini(&self, boxes: &[BoxEntry], folder: &Path) -> String {
         let mut text = format!(
             "[box]\nname = {}\ndomain = {}\n\n[listen]\ncallers = {}\npeers = {}\n\
              operators = {}\nmetrics = {}\n\n[platform]\naddress = {}\n\n\
@@ -331,19 +339,19 @@
             self.operators,
             self.metrics,
             self.platform,
-            folder.join(FLEET_FILE).display(),
-            folder.join(OPERATOR_FILE).display(),
+            folder.join(FLEET_SECRET_FILE).display(),
+            folder.join(OPERATOR_TOKEN_FILE).display(),
         );
         for (key, value) in &self.schedule {
-            // Writing to a string does not fail.
+            // Writing to a `String` cannot fail.
             let _ = writeln!(text, "{key} = {value}");
         }
-        for seed in boxes.iter().filter(|seed| seed.name != self.name) {
-            if let Some(address) = seed.peer_addresses.get(&self.domain) {
+        for peer in boxes.iter().filter(|peer| peer.name != self.name) {
+            if let Some(address) = peer.peer_addresses.get(&self.domain) {
                 let _ = writeln!(
                     text,
                     "[seed {}]\ndomain = {}\naddress = {address}",
-                    seed.name, seed.domain
+                    peer.name, peer.domain
                 );
             }
         }
@@ -351,27 +359,27 @@
     }
 }
 
-async fn answers_ok(address: SocketAddr, path: &str) -> bool {
-    let answer = fetch(address, path).await;
-    answer.is_some_and(|answer| answer.starts_with("HTTP/1.1 200"))
+async fn returns_ok(address: SocketAddr, path: &str) -> bool {
+    let response = http_get(address, path).await;
+    response.is_some_and(|response| response.starts_with("HTTP/1.1 200"))
 }
 
-/// Tells whether a box says that it is ready.
-pub async fn is_ready(callers: SocketAddr) -> bool {
-    answers_ok(callers, "readyz").await
+/// Returns whether the readiness probe of a box succeeds.
+pub async fn is_ready(caller_address: SocketAddr) -> bool {
+    returns_ok(caller_address, "readyz").await
 }
 
-/// Fetches a path; the answer with its head as text.
-pub(crate) async fn fetch(address: SocketAddr, path: &str) -> Option<String> {
-    let fetched = async {
+/// Sends a GET request and returns the whole response, including its head, as text.
+pub(crate) async fn http_get(address: SocketAddr, path: &str) -> Option<String> {
+    let exchange = async {
         let mut stream = TcpStream::connect(address).await.ok()?;
         let request = format!("GET /{path} HTTP/1.1\r\nhost: bench\r\nconnection: close\r\n\r\n");
         stream.write_all(request.as_bytes()).await.ok()?;
-        let mut answer = String::new();
-        stream.read_to_string(&mut answer).await.ok()?;
-        Some(answer)
+        let mut response = String::new();
+        stream.read_to_string(&mut response).await.ok()?;
+        Some(response)
     };
-    tokio::time::timeout(Duration::from_secs(2), fetched)
+    tokio::time::timeout(Duration::from_secs(2), exchange)
         .await
         .ok()
         .flatten()
--- a/dockgate-bench/src/main.rs
+++ b/dockgate-bench/src/main.rs
@@ -1,4 +1,4 @@
-//! The bench tool: stand-ins, load, faults, reports.
+//! Command line of the bench tool.
 
 use clap::{Parser, Subcommand};
 use dockgate_bench::demo::run_demo;
@@ -6,7 +6,7 @@
 use dockgate_bench::gateway_soak::{SoakFaults, SoakOptions, run_soak};
 use dockgate_bench::mixed_fleet::{MixedOptions, MixedReport, run_mixed};
 use dockgate_bench::report::BenchReport;
-use dockgate_bench::run::{RunOptions, WARM_UP, run_scenario};
+use dockgate_bench::run::{DEFAULT_WARM_UP, RunOptions, run_scenario};
 use dockgate_bench::scenario::BenchScenario;
 use dockgate_bench::slopes::{SlopeReport, run_slopes};
 use serde::Serialize;
@@ -16,82 +16,81 @@
 use std::time::Duration;
 use tokio::signal::unix::{SignalKind, signal};
 
-/// Exit code of a soak that a signal ended before its last seed.
-const EXIT_ENDED: u8 = 4;
-/// Exit code of a run in which a promise was broken.
-const EXIT_BROKEN: u8 = 3;
+/// Exit code of a soak or mixed run that a signal ended early.
+const EXIT_SIGNALLED: u8 = 4;
+/// Exit code of a run that violated a guarantee.
+const EXIT_VIOLATION: u8 = 3;
 
 /// Loads a dockgate fleet on loopback and measures it.
 #[derive(Debug, Parser)]
 #[command(version)]
 struct BenchArgs {
-    /// What to do.
     #[command(subcommand)]
     command: BenchCommand,
 }
 
 #[derive(Debug, Subcommand)]
 enum BenchCommand {
-    /// Runs a small fleet that a newcomer can call.
+    /// Runs a small demonstration fleet.
     Demo,
-    /// Measures how the cost of control grows, and fits lines.
+    /// Measures how control overhead grows with fleet size and load, and fits a line per metric.
     Slopes {
-        /// Only these axes: boxes, endpoints, workspaces, requests-per-second,
+        /// Measures only these axes: boxes, endpoints, workspaces, requests-per-second,
         /// changes-per-100-seconds, domains.
         #[arg(long)]
         axis: Vec<String>,
-        /// Seconds measured at each point.
+        /// Measurement time per point, in seconds.
         #[arg(long, default_value_t = 5.0)]
         seconds: f64,
         /// Seed of arrivals and sizes.
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Where the report is written.
+        /// File to which the report is written as JSON.
         #[arg(long)]
         report: Option<PathBuf>,
     },
-    /// Causes random faults to a fleet of gateways, and checks what callers and endpoints see.
+    /// Injects random faults into a fleet of gateways and checks what callers and endpoints see.
     Soak {
-        /// The first seed.
+        /// First seed.
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// How many seeds, one after the other.
+        /// Number of consecutive seeds to run.
         #[arg(long, default_value_t = 1)]
         seeds: u64,
-        /// Seconds of faults for each.
+        /// Duration of fault injection per seed, in seconds.
         #[arg(long, default_value_t = 8)]
         seconds: u64,
-        /// Which faults are caused.
+        /// Faults to inject.
         #[arg(long, value_enum, default_value_t)]
         faults: SoakFaults,
     },
-    /// Runs a fleet of which half the boxes are another build, and checks what callers and logs see.
+    /// Runs a fleet with another build on half of its boxes, and checks answers and logs.
     Mixed {
-        /// The daemon of the other build.
+        /// Path of the other build's daemon.
         #[arg(long)]
         other: PathBuf,
-        /// Decides what is disturbed, and the requests.
+        /// Seed of the disturbances and the requests.
         #[arg(long, default_value_t = 1)]
         seed: u64,
     },
-    /// Runs a scenario and reports what was measured.
+    /// Runs a scenario and reports its measurements.
     Run {
-        /// The scenario file.
+        /// Scenario file.
         #[arg(long)]
         scenario: PathBuf,
         /// Seed of arrivals and sizes.
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Seconds measured, after the warm-up.
+        /// Measurement time after the warm-up, in seconds.
         #[arg(long, default_value_t = 20.0)]
         seconds: f64,
-        /// Where the report is written.
+        /// File to which the report is written as JSON.
         #[arg(long)]
         report: Option<PathBuf>,
-        /// Only this arm.
+        /// Runs only this arm.
         #[arg(long)]
         arm: Option<String>,
-        /// Folder in which the daemons' logs are kept.
+        /// Folder to which the daemons' logs are copied.
         #[arg(long)]
         keep_logs: Option<PathBuf>,
     },
@@ -106,7 +105,7 @@
     {
         Ok(runtime) => runtime,
         Err(error) => {
-            eprintln!("dockgate-bench: start the runtime: {error}");
+            eprintln!("dockgate-bench: cannot start the async runtime: {error}");
             return ExitCode::FAILURE;
         }
     };
@@ -143,22 +142,22 @@
         } => {
             let seeds = seed..seed + seeds;
             tokio::select! {
-                code = soak(seeds, Duration::from_secs(seconds), faults) => code,
-                signal = end_signal() => {
-                    // What it has started ends with it.
+                code = run_soak_seeds(seeds, Duration::from_secs(seconds), faults) => code,
+                signal = shutdown_signal() => {
+                    // Dropping the run kills the processes that it started.
                     println!("ended from outside by {}", signal?);
-                    Ok(ExitCode::from(EXIT_ENDED))
+                    Ok(ExitCode::from(EXIT_SIGNALLED))
                 }
             }
         }
         BenchCommand::Mixed { other, seed } => {
             let options = MixedOptions { other, seed };
             tokio::select! {
-                reports = run_mixed(&options) => Ok(print_mixed(&reports?, seed)),
-                signal = end_signal() => {
-                    // What it has started ends with it.
+                reports = run_mixed(&options) => Ok(print_mixed_reports(&reports?, seed)),
+                signal = shutdown_signal() => {
+                    // Dropping the run kills the processes that it started.
                     println!("ended from outside by {}", signal?);
-                    Ok(ExitCode::from(EXIT_ENDED))
+                    Ok(ExitCode::from(EXIT_SIGNALLED))
                 }
             }
         }
@@ -174,14 +173,14 @@
             if let Some(arm) = arm {
                 scenario.arms.retain(|known| known.name == arm);
                 if scenario.arms.is_empty() {
-                    let cause = "the scenario has no such arm".to_owned();
-                    return Err(BenchError::Report("find arm", arm, cause));
+                    let cause = "the scenario has no arm of this name".to_owned();
+                    return Err(BenchError::Arm("find arm", arm, cause));
                 }
             }
             let options = RunOptions {
                 seed,
                 seconds,
-                warm_up: WARM_UP,
+                warm_up: DEFAULT_WARM_UP,
                 keep_logs,
             };
             let measured = run_scenario(&scenario, &options).await?;
@@ -189,20 +188,19 @@
             if let Some(path) = report {
                 write_report(&path, &measured)?;
             }
-            Ok(verdict(&measured))
+            Ok(exit_code(&measured))
         }
     }
 }
 
-/// Runs one seed after the other; says of each what was seen.
-/// Waits for a signal that asks this process to end, such as that of a shell which ends itself, and names it.
-async fn end_signal() -> Result<&'static str, BenchError> {
-    let listen = |kind, name: &str| {
+/// Waits for SIGHUP, SIGTERM or SIGINT and returns the signal's name.
+async fn shutdown_signal() -> Result<&'static str, BenchError> {
+    let register = |kind, name: &str| {
         signal(kind).map_err(|cause| BenchError::Io("listen for", name.to_owned(), cause))
     };
-    let mut hangup = listen(SignalKind::hangup(), "SIGHUP")?;
-    let mut terminate = listen(SignalKind::terminate(), "SIGTERM")?;
-    let mut interrupt = listen(SignalKind::interrupt(), "SIGINT")?;
+    let mut hangup = register(SignalKind::hangup(), "SIGHUP")?;
+    let mut terminate = register(SignalKind::terminate(), "SIGTERM")?;
+    let mut interrupt = register(SignalKind::interrupt(), "SIGINT")?;
     Ok(tokio::select! {
         _ = hangup.recv() => "SIGHUP",
         _ = terminate.recv() => "SIGTERM",
@@ -210,14 +208,15 @@
     })
 }
 
-async fn soak(
+/// Runs the soak for each seed and prints a summary of each.
+async fn run_soak_seeds(
     seeds: Range<u64>,
     lasts: Duration,
     faults: SoakFaults,
 ) -> Result<ExitCode, BenchError> {
     let mut code = ExitCode::SUCCESS;
     for seed in seeds {
-        let seen = run_soak(SoakOptions {
+        let soak_report = run_soak(SoakOptions {
             seed,
             lasts,
             faults,
@@ -225,26 +224,30 @@
         .await?;
         println!(
             "seed {seed}: {} faults, {} calls, {} answered, {} refused, {} left, {} promises broken",
-            seen.faults.len(),
-            seen.calls,
-            seen.answered,
-            seen.refused,
-            seen.left,
-            seen.broken.len(),
+            soak_report.faults.len(),
+            soak_report.calls,
+            soak_report.answered,
+            soak_report.refused,
+            soak_report.left,
+            soak_report.broken.len(),
         );
-        if !seen.broken.is_empty() {
-            seen.faults.iter().for_each(|fault| println!("  {fault}"));
-            seen.broken
+        if !soak_report.broken.is_empty() {
+            soak_report
+                .faults
+                .iter()
+                .for_each(|fault| println!("  {fault}"));
+            soak_report
+                .broken
                 .iter()
                 .for_each(|what| println!("  broken: {what}"));
-            code = ExitCode::from(EXIT_BROKEN);
+            code = ExitCode::from(EXIT_VIOLATION);
         }
     }
     Ok(code)
 }
 
-/// Prints what came of each fleet; fails where something was broken.
-fn print_mixed(reports: &[MixedReport], seed: u64) -> ExitCode {
+/// Prints a summary of each fleet; returns a failure code if any of them violated a guarantee.
+fn print_mixed_reports(reports: &[MixedReport], seed: u64) -> ExitCode {
     println!("seed {seed}    calls  answered  unknown key  killed  broken  warnings");
     for report in reports {
         println!(
@@ -266,7 +269,7 @@
     }
     match reports.iter().all(|report| report.broken.is_empty()) {
         true => ExitCode::SUCCESS,
-        false => ExitCode::from(EXIT_BROKEN),
+        false => ExitCode::from(EXIT_VIOLATION),
     }
 }
 
@@ -276,21 +279,21 @@
         .map_err(|cause| BenchError::Io("write", path.display().to_string(), cause))
 }
 
-/// Fails where any arm broke a promise.
-fn verdict(report: &BenchReport) -> ExitCode {
+/// Returns a failure code, and prints the violations, if any arm violated a guarantee.
+fn exit_code(report: &BenchReport) -> ExitCode {
     let arms = std::iter::once(&report.main).chain(&report.baselines);
-    let mut broken = false;
+    let mut has_violation = false;
     for arm in arms {
-        for (name, count) in arm.broken_promises().iter().filter(|(_, count)| *count > 0) {
+        for (name, count) in arm.violations().iter().filter(|(_, count)| *count > 0) {
             eprintln!(
-                "dockgate-bench: arm {}: {name} is {count}, and must be 0",
+                "dockgate-bench: arm {}: {name} is {count}, expected 0",
                 arm.arm
             );
-            broken = true;
+            has_violation = true;
         }
     }
-    match broken {
-        true => ExitCode::from(EXIT_BROKEN),
+    match has_violation {
+        true => ExitCode::from(EXIT_VIOLATION),
         false => ExitCode::SUCCESS,
     }
 }
--- a/dockgate-bench/src/run.rs
+++ b/dockgate-bench/src/run.rs
@@ -1,63 +1,63 @@
-//! Runs a scenario: starts the fleet, drives callers and faults, measures.
+//! Runs a scenario: starts a fleet, generates load, injects faults and collects measurements.
 
-mod churn;
-mod measure;
-mod sampler;
+mod config_churn;
+mod control_totals;
+mod run_sampler;
 
 use crate::caller::{BoxView, CallerClient, start_callers};
 use crate::error::BenchError;
-use crate::fault::FaultDriver;
+use crate::fault_injector::FaultInjector;
 use crate::fleet::{BenchFleet, EndpointStandIn};
 use crate::report::{ArmReport, BenchReport};
-use crate::scenario::{Arrival, BenchArm, BenchScenario, EntryChoice, WorkspaceLoad};
-use churn::{ChurnStats, OperatorChurn};
-use measure::{ControlTotals, close_books};
-use sampler::RunSampler;
+use crate::scenario::{ArrivalProcess, BenchArm, BenchScenario, EntryBoxes, WorkspaceLoad};
+use config_churn::{ConfigChurn, PropagationTimes};
+use control_totals::{ControlTotals, fill_final_counts};
+use run_sampler::RunSampler;
 use std::path::PathBuf;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio_util::sync::CancellationToken;
 
-/// How long callers run before anything is measured, where nothing else is said.
-pub const WARM_UP: Duration = Duration::from_secs(4);
-/// How long the idle fleet's control traffic is measured.
-const IDLE: Duration = Duration::from_secs(2);
-/// How often the fleet is sampled.
-const SAMPLE: Duration = Duration::from_millis(50);
-/// How often the balancer asks whether a box is ready.
-const BALANCER: Duration = Duration::from_millis(100);
-/// How often added latency is probed.
-const PROBE: Duration = Duration::from_millis(20);
-/// How long requests in flight may take at the end.
-const DRAIN: Duration = Duration::from_secs(10);
-/// The workspace on whose behalf probes run.
+/// Default time that callers run before the measurement starts.
+pub const DEFAULT_WARM_UP: Duration = Duration::from_secs(4);
+/// Time over which control traffic of the idle fleet is measured.
+const IDLE_PERIOD: Duration = Duration::from_secs(2);
+/// Interval between samples of the fleet.
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(50);
+/// Interval between readiness probes by the load balancer.
+const READINESS_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval between probes of the added latency.
+const PROBE_INTERVAL: Duration = Duration::from_millis(20);
+/// Longest wait for requests in flight at the end of a run.
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(10);
+/// Workspace that the probes use.
 const PROBE_WORKSPACE: &str = "probe";
 
-/// How a scenario is run.
+/// Options of a scenario run.
 #[derive(Debug, Clone)]
 pub struct RunOptions {
-    /// Seed of arrivals and sizes.
+    /// Seed of arrivals and answer sizes.
     pub seed: u64,
-    /// How long is measured, after the warm-up.
+    /// Measurement time after the warm-up, in seconds.
     pub seconds: f64,
-    /// How long callers run before anything is measured.
+    /// Time that callers run before the measurement starts.
     pub warm_up: Duration,
-    /// Where the daemons' logs go, if they are to be kept.
+    /// Folder to which the daemons' logs are copied.
     pub keep_logs: Option<PathBuf>,
 }
 
-/// Runs every arm of a scenario, one after the other.
+/// Runs every arm of a scenario in sequence.
 ///
 /// # Errors
 ///
-/// Returns what could not be started or changed.
+/// Returns an error if a fleet cannot be started or a fault cannot be injected.
 pub async fn run_scenario(
     scenario: &BenchScenario,
     options: &RunOptions,
 ) -> Result<BenchReport, BenchError> {
     let mut reports = Vec::new();
     for arm in &scenario.arms {
-        log::info!("{}: arm {}", scenario.name, arm.name);
+        log::info!("scenario {}: running arm {}", scenario.name, arm.name);
         reports.push(run_arm(scenario, arm, options).await?);
     }
     let main = reports.remove(0);
@@ -81,95 +81,95 @@
         .probe
         .then(|| probe_load(&scenario))
         .flatten();
-    // The probe's workspace is declared, but its calls are not drawn with the others.
+    // The fleet must know the probe's workspace, but callers must not send load for it.
     let loads = scenario.workspaces.clone();
     scenario.workspaces.extend(probe.clone());
     let mut fleet = BenchFleet::start(scenario, arm).await?;
     fleet.scenario.workspaces = loads;
 
     let idle = ControlTotals::read(&fleet).await;
-    tokio::time::sleep(IDLE).await;
+    tokio::time::sleep(IDLE_PERIOD).await;
     let idle = ControlTotals::read(&fleet).await.since(&idle);
 
-    let client = Arc::new(CallerClient::new(views(&fleet), engines(&fleet)));
+    let client = Arc::new(CallerClient::new(box_views(&fleet), engine_pools(&fleet)));
     let stop = CancellationToken::new();
     let callers = start_callers(&fleet.scenario, &client, options.seed, &stop);
-    let helpers = CancellationToken::new();
-    tokio::spawn(watch_boxes(client.clone(), helpers.clone()));
+    let stop_background = CancellationToken::new();
+    tokio::spawn(poll_readiness(client.clone(), stop_background.clone()));
     if let Some(load) = probe {
-        tokio::spawn(probe_calls(
+        tokio::spawn(probe_boxes(
             load,
             client.clone(),
             direct_targets(&fleet),
-            helpers.clone(),
+            stop_background.clone(),
         ));
     }
-    let churn = ChurnStats::default();
+    let propagation = PropagationTimes::default();
     if fleet.scenario.fleet.changes_per_second > 0.0 {
-        let churner = OperatorChurn::new(&fleet, churn.clone());
-        tokio::spawn(churner.run(helpers.clone()));
+        let config_churn = ConfigChurn::new(&fleet, propagation.clone());
+        tokio::spawn(config_churn.run(stop_background.clone()));
     }
     tokio::time::sleep(options.warm_up).await;
     client.stats.reset();
 
     let before = ControlTotals::read(&fleet).await;
     let mut sampler = RunSampler::new(&fleet.scenario, &fleet.tallies, fleet.peer_bytes.clone());
-    let mut faults = FaultDriver::new(&fleet.scenario.faults);
+    let mut fault_injector = FaultInjector::new(&fleet.scenario.faults);
     let started = tokio::time::Instant::now();
-    let mut ticks = tokio::time::interval(SAMPLE);
+    let mut ticks = tokio::time::interval(SAMPLE_INTERVAL);
     while started.elapsed().as_secs_f64() < options.seconds {
         ticks.tick().await;
-        faults.drive(&mut fleet, &client).await?;
+        fault_injector.apply_due(&mut fleet, &client).await?;
         sampler.sample(&client.stats);
-        sampler.watch_versions(&fleet).await;
+        sampler.poll_config_versions(&fleet).await;
     }
     let control = ControlTotals::read(&fleet).await.since(&before);
     let mut report = sampler.report(&client.stats, options.seconds);
     stop.cancel();
-    let _ = tokio::time::timeout(DRAIN, futures::future::join_all(callers)).await;
-    helpers.cancel();
+    let _ = tokio::time::timeout(DRAIN_TIMEOUT, futures::future::join_all(callers)).await;
+    stop_background.cancel();
     report.arm = arm.name.clone();
-    report.config_in_force_ms = churn.percentiles();
-    control.fill(&mut report, &fleet, options.seconds);
+    report.config_in_force_ms = propagation.percentiles();
+    control.write_to(&mut report, &fleet, options.seconds);
     report.idle_control_bytes_per_node_second =
-        idle.bytes as f64 / fleet.daemons.len() as f64 / IDLE.as_secs_f64();
-    close_books(&mut report, &fleet, &client.stats).await;
-    keep_logs(&fleet, arm, options);
+        idle.bytes as f64 / fleet.daemons.len() as f64 / IDLE_PERIOD.as_secs_f64();
+    fill_final_counts(&mut report, &fleet, &client.stats).await;
+    copy_logs(&fleet, arm, options);
     fleet.stop().await;
     Ok(report)
 }
 
-fn views(fleet: &BenchFleet) -> Vec<BoxView> {
+fn box_views(fleet: &BenchFleet) -> Vec<BoxView> {
     let daemons = fleet.daemons.iter();
     daemons
-        .map(|daemon| BoxView::new(daemon.name().to_owned(), daemon.callers()))
+        .map(|daemon| BoxView::new(daemon.name().to_owned(), daemon.caller_address()))
         .collect()
 }
 
-fn engines(fleet: &BenchFleet) -> std::collections::BTreeMap<String, bool> {
+fn engine_pools(fleet: &BenchFleet) -> std::collections::BTreeMap<String, bool> {
     let pools = fleet.scenario.pools.iter();
     pools.map(|pool| (pool.name.clone(), pool.engine)).collect()
 }
 
-/// Makes the load of the probe, where there is a pool of plain services.
+/// Returns the load of the probe, or `None` if the scenario has no service pool.
 fn probe_load(scenario: &BenchScenario) -> Option<WorkspaceLoad> {
     let pool = scenario.pools.iter().find(|pool| !pool.engine)?;
     Some(WorkspaceLoad {
         workspace: PROBE_WORKSPACE.to_owned(),
         share: 1,
         pool: pool.name.clone(),
-        arrival: Arrival::Closed(1),
+        arrival: ArrivalProcess::Closed(1),
         sizes: "0*1".parse().ok()?,
         prompt: 0,
         stream: false,
         kind: None,
-        entries: EntryChoice::All,
+        entries: EntryBoxes::All,
         deadline_ms: 0,
         queue_limit: 100,
     })
 }
 
-/// Returns for each box a service stand-in of its own domain.
+/// Returns for each box the address of a service stand-in in its failure domain.
 fn direct_targets(fleet: &BenchFleet) -> Vec<Option<std::net::SocketAddr>> {
     let daemons = fleet.daemons.iter();
     daemons
@@ -187,14 +187,14 @@
         .collect()
 }
 
-/// Probes every box in turn, against a stand-in of its own domain.
-async fn probe_calls(
+/// Probes the boxes in turn until the token is cancelled.
+async fn probe_boxes(
     load: WorkspaceLoad,
     client: Arc<CallerClient>,
     targets: Vec<Option<std::net::SocketAddr>>,
     stop: CancellationToken,
 ) {
-    let mut ticks = tokio::time::interval(PROBE);
+    let mut ticks = tokio::time::interval(PROBE_INTERVAL);
     for entry in (0..targets.len()).cycle() {
         ticks.tick().await;
         if stop.is_cancelled() {
@@ -206,18 +206,18 @@
     }
 }
 
-/// Asks every box whether it is ready, as the balancer does.
-async fn watch_boxes(client: Arc<CallerClient>, stop: CancellationToken) {
+/// Updates the readiness of every box, as a load balancer would, until the token is cancelled.
+async fn poll_readiness(client: Arc<CallerClient>, stop: CancellationToken) {
     while !stop.is_cancelled() {
         for view in client.boxes() {
-            let ready = crate::fleet::is_ready(view.callers).await;
+            let ready = crate::fleet::is_ready(view.caller_address).await;
             view.set_ready(ready);
         }
-        tokio::time::sleep(BALANCER).await;
+        tokio::time::sleep(READINESS_INTERVAL).await;
     }
 }
 
-fn keep_logs(fleet: &BenchFleet, arm: &BenchArm, options: &RunOptions) {
+fn copy_logs(fleet: &BenchFleet, arm: &BenchArm, options: &RunOptions) {
     let Some(folder) = &options.keep_logs else {
         return;
     };
@@ -227,7 +227,7 @@
         let from = daemon.log_path();
         let to = folder.join(format!("{}.log", daemon.name()));
         if let (true, Err(error)) = (made.is_ok(), std::fs::copy(&from, &to)) {
-            log::warn!("keep {}: {error}", to.display());
+            log::warn!("cannot copy the log to {}: {error}", to.display());
         }
     }
 }
