--- a/dockgate-bench/src/fault.rs
+++ b/dockgate-bench/src/fault.rs
@@ -113,9 +113,9 @@
         }
         FaultKind::Cut => fleet.set_domain_cut(target, true),
         FaultKind::CutPlatform => set_platform_cut(fleet, target, true),
-        FaultKind::PlatformOutage => fleet.platform.set_out(true),
-        FaultKind::LostReplies => fleet.platform.set_loses_replies(true),
-        FaultKind::PlatformSlow => fleet.platform.set_slow(SLOW),
+        FaultKind::PlatformOutage => fleet.platform.set_unavailable(true),
+        FaultKind::LostReplies => fleet.platform.set_drops_replies(true),
+        FaultKind::PlatformSlow => fleet.platform.set_delay(SLOW),
         FaultKind::EngineDeath => {
             if let Some(endpoint) = fleet
                 .endpoints
@@ -162,9 +162,9 @@
         }
         FaultKind::Cut => fleet.set_domain_cut(target, false),
         FaultKind::CutPlatform => set_platform_cut(fleet, target, false),
-        FaultKind::PlatformOutage => fleet.platform.set_out(false),
-        FaultKind::LostReplies => fleet.platform.set_loses_replies(false),
-        FaultKind::PlatformSlow => fleet.platform.set_slow(Duration::ZERO),
+        FaultKind::PlatformOutage => fleet.platform.set_unavailable(false),
+        FaultKind::LostReplies => fleet.platform.set_drops_replies(false),
+        FaultKind::PlatformSlow => fleet.platform.set_delay(Duration::ZERO),
         FaultKind::EngineDeath => {}
         FaultKind::Retire => {
             if let Some(endpoint) = fleet
--- a/dockgate-bench/src/fleet.rs
+++ b/dockgate-bench/src/fleet.rs
@@ -12,7 +12,8 @@
 use crate::relay::{ByteCount, LinkRelay};
 use crate::scenario::{BenchArm, BenchScenario, PoolShape};
 use crate::standin::{
-    BoxEntry, EngineRule, EngineStandIn, PlatformStandIn, RunTally, ServiceRule, ServiceStandIn,
+    BoxEntry, EngineProfile, EngineStandIn, PlatformStandIn, RunTally, ServiceProfile,
+    ServiceStandIn,
 };
 use daemon::{DaemonPlan, secrets};
 use dockgate_platform::BoxState;
@@ -160,13 +161,13 @@
             true => {
                 let slow = pool.slow_every > 0 && number.is_multiple_of(pool.slow_every);
                 let rate = pool.tokens_per_second * if slow { 0.5 } else { 1.0 };
-                let rule = EngineRule::new(pool.slots, rate);
+                let rule = EngineProfile::new(pool.slots, rate);
                 EndpointStandIn::Engine(EngineStandIn::start(rule, tally).await?)
             }
             false => {
-                let rule = ServiceRule {
+                let rule = ServiceProfile {
                     slots: pool.slots,
-                    takes: Duration::from_millis(20),
+                    processing_time: Duration::from_millis(20),
                 };
                 EndpointStandIn::Service(ServiceStandIn::start(rule, tally).await?)
             }
--- a/dockgate-bench/src/gateway_fleet.rs
+++ b/dockgate-bench/src/gateway_fleet.rs
@@ -2,7 +2,7 @@
 
 use crate::error::BenchError;
 use crate::fleet::{daemon_program, fetch};
-use crate::standin::{PeerStandIn, PlatformStandIn, RoutedStandIn, StoreDoor};
+use crate::standin::{PeerStandIn, PlatformStandIn, RoutedStandIn, StoreListener};
 use dockgate_proto::{QuarantineAnswer, QuarantineRequest, StateAnswer, methods};
 use jsonrpsee::core::client::ClientT;
 use jsonrpsee::http_client::HttpClientBuilder;
@@ -64,7 +64,7 @@
 
 /// What tells one box of a fleet from the others when it is started.
 #[derive(Debug, Clone)]
-pub struct BoxPlan {
+pub struct BoxSpec {
     /// Its failure domain.
     pub domain: String,
     /// The program that it runs.
@@ -136,7 +136,7 @@
     /// # Errors
     ///
     /// Returns an error where it cannot be started.
-    pub fn restart_signalled(&mut self, signal: Signal) -> Result<(), BenchError> {
+    pub fn restart_with_signal(&mut self, signal: Signal) -> Result<(), BenchError> {
         let settings = self.settings.clone();
         let failed = |cause| BenchError::Io("hold", settings.display().to_string(), cause);
         let kept = settings.with_extension("kept");
@@ -164,7 +164,7 @@
     /// # Errors
     ///
     /// Returns an error where the file that says so cannot be written.
-    pub fn be_away(&self, time: Duration) -> Result<(), BenchError> {
+    pub fn simulate_suspension(&self, time: Duration) -> Result<(), BenchError> {
         // Written beside and moved, so that it is never read half.
         let file = self.away_file();
         let written = file.with_extension("away-new");
@@ -182,9 +182,9 @@
     }
 
     /// Tells whether its program listens for a signal yet: before its first instruction nothing can.
-    pub fn listens_for(&self, signal: Signal) -> bool {
+    pub fn handles_signal(&self, signal: Signal) -> bool {
         let child = self.child.as_ref();
-        child.is_some_and(|child| listens_for(child.id(), signal))
+        child.is_some_and(|child| handles_signal(child.id(), signal))
     }
 
     /// Kills it.
@@ -239,7 +239,7 @@
 }
 
 /// Tells whether a process listens for a signal.
-pub fn listens_for(process: u32, signal: Signal) -> bool {
+pub fn handles_signal(process: u32, signal: Signal) -> bool {
     let status = std::fs::read_to_string(format!("/proc/{process}/status"));
     let status = status.unwrap_or_default();
     let caught = status.lines().find_map(|line| line.strip_prefix("SigCgt:"));
@@ -327,7 +327,7 @@
     /// The platform's store.
     pub store: PlatformStandIn,
     /// Where each gateway reaches the store.
-    pub doors: Vec<StoreDoor>,
+    pub store_listeners: Vec<StoreListener>,
     /// The gateways.
     pub gateways: Vec<GatewayProcess>,
     /// The endpoints, those of the start in failure domain `a`.
@@ -347,7 +347,7 @@
         services: &[&str],
         config: &str,
     ) -> Result<Self, BenchError> {
-        let plan = BoxPlan {
+        let plan = BoxSpec {
             domain: "a".to_owned(),
             program: daemon_program()?,
         };
@@ -360,7 +360,7 @@
     ///
     /// Returns an error where something cannot be started.
     pub async fn start_boxes(
-        plans: &[BoxPlan],
+        plans: &[BoxSpec],
         services: &[&str],
         config: &str,
     ) -> Result<Self, BenchError> {
@@ -368,7 +368,7 @@
             .map_err(|cause| BenchError::Io("make", "a folder".to_owned(), cause))?;
         let mut fleet = Self {
             store: PlatformStandIn::start().await?,
-            doors: Vec::new(),
+            store_listeners: Vec::new(),
             gateways: Vec::new(),
             endpoints: Vec::new(),
             network: FleetNetwork::claim()?,
@@ -387,9 +387,9 @@
             .map(|number| Ipv4Addr::new(127, network, 0, number))
             .collect();
         for (index, plan) in plans.iter().enumerate() {
-            let door = fleet.store.open_door().await?;
+            let door = fleet.store.open_listener().await?;
             let process = fleet.start_gateway(index, plan, &ips, door.address)?;
-            fleet.doors.push(door);
+            fleet.store_listeners.push(door);
             fleet.gateways.push(process);
         }
         for gateway in &fleet.gateways {
@@ -447,7 +447,7 @@
     fn start_gateway(
         &self,
         index: usize,
-        plan: &BoxPlan,
+        plan: &BoxSpec,
         ips: &[Ipv4Addr],
         store: SocketAddr,
     ) -> Result<GatewayProcess, BenchError> {
--- a/dockgate-bench/src/gateway_soak.rs
+++ b/dockgate-bench/src/gateway_soak.rs
@@ -51,24 +51,29 @@
 /// Which faults are caused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, ValueEnum)]
 pub enum SoakFaults {
-    /// Boxes, endpoints and the store for all of them.
+    /// Faults of boxes, endpoints and the store, all mixed.
     #[default]
     All,
-    /// News that comes late: the store says nothing to some boxes, watches stall, configurations are large,
-    /// while endpoints leave. No box is disturbed, so that each must know in time who leaves.
-    LateNews,
-    /// Requests under which endpoints end, that come again and again, beside boxes that are killed, stopped and
-    /// paused, and a store that is away. Boxes in touch send each of them a few times.
-    Ending,
-    /// Callers that leave, many of them behind further requests, beside boxes that are stopped and continued in
-    /// turns, endpoints that fail and large configurations. Nothing reaches an endpoint for who has left.
-    Leaving,
-    /// Endpoints that say in their answers alone that they leave, end and start again under their id, or turn away
-    /// and ask for rest in herds, beside boxes that are killed, stopped and paused, and a store that is away.
-    Notices,
-    /// The store comes back from older copies of itself, again and again, beside news that comes late and endpoints
-    /// that leave. No box is disturbed: each must know in time who leaves, and callers notice nothing.
-    OlderCopies,
+    /// Delayed updates while endpoints leave: the store does not answer some boxes, watches stall and
+    /// configurations are large. Boxes are left alone, so each must learn in time which endpoints leave.
+    #[value(name = "late-news")]
+    DelayedUpdates,
+    /// Requests that crash the endpoint that runs them and are sent repeatedly, while boxes are killed, stopped
+    /// and paused, and the store is unavailable. Connected boxes send each of them only a few times.
+    #[value(name = "ending")]
+    CrashingRequests,
+    /// Callers that disconnect early, many with pipelined requests, while boxes are stopped and continued in
+    /// turn, endpoints fail and configurations are large. Nothing reaches an endpoint for a caller that is gone.
+    #[value(name = "leaving")]
+    CallerDisconnects,
+    /// Endpoints that announce only in their answers that they leave, and restart under the same id, or reject
+    /// requests and ask for a backoff, while boxes are killed, stopped and paused, and the store is unavailable.
+    #[value(name = "notices")]
+    EndpointNotices,
+    /// A store that is restored from older snapshots, while updates are delayed and endpoints leave. Boxes are
+    /// left alone: each must learn in time which endpoints leave, and callers are not affected.
+    #[value(name = "older-copies")]
+    StoreRestores,
 }
 
 /// What to run.
@@ -96,7 +101,7 @@
     /// The faults, in order.
     pub faults: Vec<String>,
     /// What was promised and not kept.
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
 }
 
 /// Runs one seed.
@@ -114,12 +119,12 @@
     });
     let callers: Vec<_> = callers.collect();
     let leavers = match options.faults {
-        SoakFaults::Leaving => LEAVERS,
+        SoakFaults::CallerDisconnects => LEAVERS,
         _ => 0,
     };
     if leavers > 0 {
         let endpoints = fleet.endpoints.iter();
-        endpoints.for_each(|endpoint| endpoint.set_takes(EVENT_TAKES));
+        endpoints.for_each(|endpoint| endpoint.set_processing_time(EVENT_TAKES));
     }
     let leavers = (0..leavers).map(|number| {
         let draw =
@@ -128,7 +133,7 @@
     });
     let leavers: Vec<_> = leavers.collect();
     let ending = match options.faults {
-        SoakFaults::Ending => ENDING_REQUESTS,
+        SoakFaults::CrashingRequests => ENDING_REQUESTS,
         _ => 0,
     };
     if ending > 0 {
@@ -171,7 +176,7 @@
     let returns = joined(ending, &mut broken).await;
     let lives = ended.ended().iter().chain(&fleet.endpoints);
     let lives: Vec<&RoutedStandIn> = lives.collect();
-    if options.faults == SoakFaults::Ending {
+    if options.faults == SoakFaults::CrashingRequests {
         let disturbed = &field.disturbed;
         broken.extend(sent_in_vain(&returns, &lives, disturbed, &fleet.gateways));
     }
@@ -270,7 +275,7 @@
         answered: calls.iter().filter(|call| call.answered).count(),
         refused: calls.iter().filter(|call| call.refused).count(),
         faults: field.told,
-        broken,
+        violations: broken,
     }
 }
 
--- a/dockgate-bench/src/gateway_soak/caller_standin.rs
+++ b/dockgate-bench/src/gateway_soak/caller_standin.rs
@@ -1,7 +1,7 @@
 //! A stand-in of a caller on the users' platform: it makes one request after another, and checks each
 //! answer against the published protocol.
 
-use crate::standin::BORN;
+use crate::standin::STARTED_HEADER;
 use bytes::{Bytes, BytesMut};
 use http::{HeaderMap, Request, Response, StatusCode};
 use http_body_util::{BodyExt, Full};
@@ -59,7 +59,7 @@
     /// The endpoint's proof, which names its id.
     pub(super) proof: String,
     /// The start of the lifetime that leaves, in Unix milliseconds.
-    pub(super) born_ms: u64,
+    pub(super) started_ms: u64,
     /// When its caller had the head of the answer.
     pub(super) at: Instant,
 }
@@ -227,7 +227,7 @@
     let text = |name: &str| headers.get(name)?.to_str().ok();
     Some(LeavingAnswer {
         proof: text("x-upstream-signature")?.to_owned(),
-        born_ms: text(BORN)?.parse().ok()?,
+        started_ms: text(STARTED_HEADER)?.parse().ok()?,
         at: Instant::now(),
     })
 }
--- a/dockgate-bench/src/gateway_soak/ending_caller.rs
+++ b/dockgate-bench/src/gateway_soak/ending_caller.rs
@@ -3,7 +3,7 @@
 use super::caller_standin::SoakRoute;
 use crate::gateway_fleet::{GatewayFleet, GatewayProcess};
 use crate::standin::RoutedStandIn;
-use crate::standin::caller::{connect_within, request_with};
+use crate::standin::caller::{connect_within, request_with_body};
 use bytes::Bytes;
 use rand::RngExt;
 use rand::rngs::StdRng;
@@ -76,7 +76,7 @@
         let id = format!("e{number}a{}", calls.len());
         let route = ROUTES[number % ROUTES.len()];
         let events = route.streams().then_some(4);
-        let request = request_with(route.path(), &id, events, ending_body(number));
+        let request = request_with_body(route.path(), &id, events, ending_body(number));
         calls.push(EndingCall { id, box_at });
         let asked = async {
             let mut sender = connect_within(gateways[box_at], PATIENCE).await?;
@@ -100,7 +100,7 @@
 impl EndedEndpoints {
     /// Sets under which requests an endpoint ends.
     pub(super) fn prepare(endpoint: &RoutedStandIn) {
-        (0..ENDING_REQUESTS).for_each(|number| endpoint.set_deadly(&ending_body(number)));
+        (0..ENDING_REQUESTS).for_each(|number| endpoint.add_crash_body(&ending_body(number)));
     }
 
     /// Starts those anew that have been away for long enough.
--- a/dockgate-bench/src/gateway_soak/notice_check.rs
+++ b/dockgate-bench/src/gateway_soak/notice_check.rs
@@ -2,7 +2,7 @@
 
 use super::caller_standin::SoakCall;
 use super::soak_fault::FaultField;
-use crate::standin::{RoutedStandIn, SeenRequest};
+use crate::standin::{ReceivedRequest, RoutedStandIn};
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
@@ -28,17 +28,17 @@
     let mut found = Vec::new();
     for life in lives {
         let proof = format!("proof-of-{}", life.id);
-        let turned_away = life.turned_away();
-        let mut arrived: Vec<SeenRequest> = life.ran();
+        let turned_away = life.rejected();
+        let mut arrived: Vec<ReceivedRequest> = life.ran();
         arrived.extend(turned_away.iter().map(|turned| turned.request.clone()));
         let arrived = arrived.iter();
         let arrived = arrived.filter_map(|seen| Some((seen, *calls_of.get(seen.id.as_str())?)));
-        let arrived: Vec<(&SeenRequest, &SoakCall)> = arrived.collect();
+        let arrived: Vec<(&ReceivedRequest, &SoakCall)> = arrived.collect();
         for (seen, call) in &arrived {
             let told = calls.iter().filter(|told| told.box_at == call.box_at);
             let mut told = told.filter_map(|told| told.leaving.as_ref());
             let told = told.find(|told| {
-                let is_of_life = told.born_ms == life.born_ms && told.proof == proof;
+                let is_of_life = told.started_ms == life.started_ms && told.proof == proof;
                 is_of_life && told.at < call.begun && !has_restarted(call.box_at, told.at, seen.at)
             });
             found.extend(told.map(|told| {
--- a/dockgate-bench/src/gateway_soak/older_copies.rs
+++ b/dockgate-bench/src/gateway_soak/older_copies.rs
@@ -2,7 +2,7 @@
 
 use super::soak_fault::{FaultEnd, FaultField};
 use crate::gateway_fleet::GatewayFleet;
-use crate::standin::{PlatformStandIn, StoreCopy};
+use crate::standin::{PlatformStandIn, StoreSnapshot};
 use rand::RngExt;
 use std::collections::VecDeque;
 use std::ops::Range;
@@ -16,14 +16,14 @@
 /// Older copies of the store, and when what was lost by them was written again.
 #[derive(Default)]
 pub(super) struct StoreCopies {
-    copies: VecDeque<StoreCopy>,
+    copies: VecDeque<StoreSnapshot>,
     written: Vec<Instant>,
 }
 
 impl StoreCopies {
     /// Keeps a copy of the store as it is now.
     pub(super) fn keep(&mut self, store: &PlatformStandIn) {
-        self.copies.push_back(store.copy());
+        self.copies.push_back(store.snapshot());
         self.copies.truncate(KEPT);
     }
 
@@ -43,7 +43,7 @@
         let back = self.draw.random_range(0..=last);
         let lost = self.copies.copies.drain(last - back..).next();
         let Some(copy) = lost else { return };
-        fleet.store.come_back_from(copy);
+        fleet.store.restore(copy);
         let at = self.started.elapsed().as_millis();
         self.told.push(format!(
             "{at} ms: the store comes back from {back} steps ago"
--- a/dockgate-bench/src/gateway_soak/soak_fault.rs
+++ b/dockgate-bench/src/gateway_soak/soak_fault.rs
@@ -5,7 +5,7 @@
 use super::older_copies::StoreCopies;
 use crate::error::BenchError;
 use crate::gateway_fleet::{GatewayFleet, GatewayProcess, KEYS, large_config, route_config};
-use crate::standin::{EndpointManner, RoutedStandIn};
+use crate::standin::{EndpointBehavior, RoutedStandIn};
 use nix::sys::signal::Signal;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -51,16 +51,16 @@
 /// For how long boxes seem to be suspended, in milliseconds: from what is hardly seen to what ends each deadline.
 const AWAY_MS: Range<u64> = 50..6_000;
 
-const MANNERS: [EndpointManner; 9] = [
-    EndpointManner::Loses,
-    EndpointManner::Silent,
-    EndpointManner::Full,
-    EndpointManner::Foreign,
-    EndpointManner::Fails,
-    EndpointManner::NoProof,
-    EndpointManner::Encoded,
-    EndpointManner::CutsAfter(0),
-    EndpointManner::CutsAfter(5),
+const MANNERS: [EndpointBehavior; 9] = [
+    EndpointBehavior::Loses,
+    EndpointBehavior::Silent,
+    EndpointBehavior::Full,
+    EndpointBehavior::Foreign,
+    EndpointBehavior::Fails,
+    EndpointBehavior::NoProof,
+    EndpointBehavior::Encoded,
+    EndpointBehavior::CutsAfter(0),
+    EndpointBehavior::CutsAfter(5),
 ];
 
 /// What ends a fault.
@@ -85,7 +85,7 @@
 /// A lifetime of an endpoint that said that it leaves: another one may have its id by now.
 struct LeavingLife {
     id: String,
-    born_ms: u64,
+    started_ms: u64,
     at: Instant,
 }
 
@@ -93,13 +93,13 @@
     fn new(endpoint: &RoutedStandIn) -> Self {
         Self {
             id: endpoint.id.clone(),
-            born_ms: endpoint.born_ms,
+            started_ms: endpoint.started_ms,
             at: Instant::now(),
         }
     }
 
     fn is_of(&self, endpoint: &RoutedStandIn) -> bool {
-        (self.id.as_str(), self.born_ms) == (endpoint.id.as_str(), endpoint.born_ms)
+        (self.id.as_str(), self.started_ms) == (endpoint.id.as_str(), endpoint.started_ms)
     }
 }
 
@@ -168,20 +168,22 @@
         for end in due {
             self.undo(fleet, end).await?;
         }
-        if self.faults == SoakFaults::OlderCopies {
+        if self.faults == SoakFaults::StoreRestores {
             self.copies.keep(&fleet.store);
         }
         if self.draw.random_ratio(1, ONE_IN) {
             match self.faults {
                 SoakFaults::All => self.begin(fleet, ALL_FAULTS).await?,
                 // Endpoints end by themselves there.
-                SoakFaults::Ending => self.begin(fleet, BOX_AND_STORE_FAULTS).await?,
-                SoakFaults::LateNews => self.delay_news(fleet).await?,
-                SoakFaults::OlderCopies if self.draw.random_bool(0.3) => self.lose_history(fleet),
-                SoakFaults::OlderCopies => self.delay_news(fleet).await?,
-                SoakFaults::Leaving => self.slow_down(fleet).await,
-                SoakFaults::Notices if self.draw.random_bool(0.5) => self.give_notice(fleet),
-                SoakFaults::Notices => self.begin(fleet, BOX_AND_STORE_FAULTS).await?,
+                SoakFaults::CrashingRequests => self.begin(fleet, BOX_AND_STORE_FAULTS).await?,
+                SoakFaults::DelayedUpdates => self.delay_news(fleet).await?,
+                SoakFaults::StoreRestores if self.draw.random_bool(0.3) => self.lose_history(fleet),
+                SoakFaults::StoreRestores => self.delay_news(fleet).await?,
+                SoakFaults::CallerDisconnects => self.slow_down(fleet).await,
+                SoakFaults::EndpointNotices if self.draw.random_bool(0.5) => {
+                    self.give_notice(fleet)
+                }
+                SoakFaults::EndpointNotices => self.begin(fleet, BOX_AND_STORE_FAULTS).await?,
             }
         }
         Ok(())
@@ -203,13 +205,16 @@
                 gateway.kill();
                 gateway.restart()?;
             }
-            FaultEnd::StoreBack => fleet.store.set_out(false),
-            FaultEnd::StoreFast => fleet.store.set_slow(Duration::ZERO),
-            FaultEnd::StoreKeepsReplies => fleet.store.set_loses_replies(false),
-            FaultEnd::Sound(at) => fleet.endpoints[at].set_manner(EndpointManner::Sound),
-            FaultEnd::StoreHears(at) => fleet.doors[at].set_silent(false),
+            FaultEnd::StoreBack => fleet.store.set_unavailable(false),
+            FaultEnd::StoreFast => fleet.store.set_delay(Duration::ZERO),
+            FaultEnd::StoreKeepsReplies => fleet.store.set_drops_replies(false),
+            FaultEnd::Sound(at) => fleet.endpoints[at].set_behavior(EndpointBehavior::Sound),
+            FaultEnd::StoreHears(at) => fleet.store_listeners[at].set_silent(false),
             FaultEnd::End(at) => fleet.endpoints[at].kill(),
-            FaultEnd::Rested => fleet.endpoints.iter().for_each(|each| each.set_rest(None)),
+            FaultEnd::Rested => fleet
+                .endpoints
+                .iter()
+                .for_each(|each| each.set_backoff(None)),
             FaultEnd::WrittenAgain => self.write_again(fleet),
             FaultEnd::Leave(at) => {
                 let (key, _) = fleet.endpoints[at].record("a", "draining");
@@ -256,20 +261,20 @@
                     Some(FaultEnd::Restart(box_at)),
                 )
             }
-            3 if fleet.gateways[box_at].listens_for(Signal::SIGHUP) => {
+            3 if fleet.gateways[box_at].handles_signal(Signal::SIGHUP) => {
                 fleet.gateways[box_at].signal(Signal::SIGHUP);
                 (format!("reload box {box_at}"), lasts, None)
             }
             4 => {
-                fleet.store.set_out(true);
+                fleet.store.set_unavailable(true);
                 ("store away".to_owned(), lasts, Some(FaultEnd::StoreBack))
             }
             5 => {
-                fleet.store.set_slow(Duration::from_millis(300));
+                fleet.store.set_delay(Duration::from_millis(300));
                 ("store slow".to_owned(), lasts, Some(FaultEnd::StoreFast))
             }
             6 => {
-                fleet.store.set_loses_replies(true);
+                fleet.store.set_drops_replies(true);
                 (
                     "store loses replies".to_owned(),
                     lasts,
@@ -286,7 +291,7 @@
                 let what = format!("boxes {boxes:?} are suspended for {away:?}");
                 for at in boxes {
                     self.away[at] += away;
-                    fleet.gateways[at].be_away(self.away[at])?;
+                    fleet.gateways[at].simulate_suspension(self.away[at])?;
                     self.suspended.push(Suspension {
                         box_at: at,
                         at: Instant::now(),
@@ -308,7 +313,7 @@
             }
             9 => {
                 let manner = MANNERS[self.draw.random_range(0..MANNERS.len())];
-                fleet.endpoints[endpoint].set_manner(manner);
+                fleet.endpoints[endpoint].set_behavior(manner);
                 let end = FaultEnd::Sound(endpoint);
                 (format!("endpoint {endpoint}: {manner:?}"), lasts, Some(end))
             }
@@ -374,13 +379,13 @@
         let leaving = self.lives % super::SERVICES.len();
         let (what, end) = match self.draw.random_range(0..4) {
             0 if may_fall_silent => {
-                fleet.doors[box_at].set_silent(true);
+                fleet.store_listeners[box_at].set_silent(true);
                 let lasts = Duration::from_millis(self.draw.random_range(SILENT_MS));
                 let end = (Instant::now() + lasts, FaultEnd::StoreHears(box_at));
                 (format!("the store is silent for box {box_at}"), Some(end))
             }
             1 => {
-                fleet.doors[box_at].drop_watches();
+                fleet.store_listeners[box_at].stall_watches();
                 (format!("watches of box {box_at} stall"), None)
             }
             2 => {
@@ -420,7 +425,7 @@
             }
             2 => {
                 let manner = MANNERS[self.draw.random_range(0..MANNERS.len())];
-                fleet.endpoints[endpoint].set_manner(manner);
+                fleet.endpoints[endpoint].set_behavior(manner);
                 let lasts = Duration::from_millis(self.draw.random_range(LASTS_MS));
                 self.ends
                     .push((Instant::now() + lasts, FaultEnd::Sound(endpoint)));
@@ -452,7 +457,7 @@
                 let part = self.draw.random_range(0.2..1.3);
                 let resting = fleet.endpoints.iter();
                 let resting = resting.filter(|_| self.draw.random_bool(f64::min(part, 1.0)));
-                resting.for_each(|each| each.set_rest(Some(rest)));
+                resting.for_each(|each| each.set_backoff(Some(rest)));
                 let lasts = Duration::from_millis(self.draw.random_range(LASTS_MS));
                 let what = format!("endpoints turn away and ask for {rest:?}");
                 (what, lasts, FaultEnd::Rested)
@@ -487,7 +492,8 @@
     /// Lists the requests that endpoints got long after they had said that they leave, where no box was
     /// disturbed meanwhile.
     pub(super) fn sent_after_leaving(&self, endpoints: &[&RoutedStandIn]) -> Vec<String> {
-        let undisturbed = [SoakFaults::LateNews, SoakFaults::OlderCopies].contains(&self.faults);
+        let undisturbed =
+            [SoakFaults::DelayedUpdates, SoakFaults::StoreRestores].contains(&self.faults);
         let left = self.left.iter().filter(|_| undisturbed);
         let late = left.flat_map(|left| {
             let life = endpoints.iter().find(|life| left.is_of(life));
--- a/dockgate-bench/src/main.rs
+++ b/dockgate-bench/src/main.rs
@@ -230,11 +230,11 @@
             seen.answered,
             seen.refused,
             seen.left,
-            seen.broken.len(),
+            seen.violations.len(),
         );
-        if !seen.broken.is_empty() {
+        if !seen.violations.is_empty() {
             seen.faults.iter().for_each(|fault| println!("  {fault}"));
-            seen.broken
+            seen.violations
                 .iter()
                 .for_each(|what| println!("  broken: {what}"));
             code = ExitCode::from(EXIT_BROKEN);
@@ -254,17 +254,20 @@
             report.answered,
             report.unknown_keys,
             report.killed,
-            report.broken.len(),
+            report.violations.len(),
             report.problems.len(),
         );
     }
-    for report in reports.iter().filter(|report| !report.broken.is_empty()) {
+    for report in reports
+        .iter()
+        .filter(|report| !report.violations.is_empty())
+    {
         let steps = report.steps.iter();
         steps.for_each(|step| println!("{}: {step}", report.name));
-        let broken = report.broken.iter();
+        let broken = report.violations.iter();
         broken.for_each(|what| println!("{}: broken: {what}", report.name));
     }
-    match reports.iter().all(|report| report.broken.is_empty()) {
+    match reports.iter().all(|report| report.violations.is_empty()) {
         true => ExitCode::SUCCESS,
         false => ExitCode::from(EXIT_BROKEN),
     }
--- a/dockgate-bench/src/mixed_fleet.rs
+++ b/dockgate-bench/src/mixed_fleet.rs
@@ -39,7 +39,7 @@
     /// The steps, in order.
     pub steps: Vec<String>,
     /// What should not have been.
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
     /// Lines of level WARN or ERROR, with numbers left out.
     pub problems: BTreeSet<String>,
 }
@@ -55,7 +55,7 @@
     let mut mixed = run_fleet("mixed", [&own, &options.other], options.seed).await?;
     let new = mixed.problems.difference(&alone.problems);
     let new = new.map(|line| format!("logged by a mixed fleet alone: {line}"));
-    mixed.broken.extend(new);
+    mixed.violations.extend(new);
     Ok([alone, mixed])
 }
 
--- a/dockgate-bench/src/mixed_fleet/fleet_run.rs
+++ b/dockgate-bench/src/mixed_fleet/fleet_run.rs
@@ -6,8 +6,8 @@
     BoxRotation, CallKind, CallOutcome, SteadyCall, keep_calling, make_call,
 };
 use crate::error::BenchError;
-use crate::gateway_fleet::{BoxPlan, GatewayFleet, GatewayProcess, KEYS, large_config};
-use crate::standin::caller::{connect_within, request_with};
+use crate::gateway_fleet::{BoxSpec, GatewayFleet, GatewayProcess, KEYS, large_config};
+use crate::standin::caller::{connect_within, request_with_body};
 use bytes::Bytes;
 use nix::sys::signal::Signal;
 use rand::rngs::StdRng;
@@ -100,19 +100,19 @@
     pub(super) async fn start(programs: [&Path; 2], seed: u64) -> Result<Self, BenchError> {
         let domains = DOMAINS.iter();
         let plans = domains.flat_map(|domain| {
-            programs.map(|program| BoxPlan {
+            programs.map(|program| BoxSpec {
                 domain: (*domain).to_owned(),
                 program: program.to_owned(),
             })
         });
-        let plans: Vec<BoxPlan> = plans.collect();
+        let plans: Vec<BoxSpec> = plans.collect();
         let others = plans.iter().enumerate();
         let others = others.map(|(at, _)| programs[(at + 1) % 2].to_owned());
         let others = others.collect();
         let started_ms = unix_ms();
         let fleet = GatewayFleet::start_boxes(&plans, &SERVICES, &mixed_config(1)).await?;
         let endpoints = fleet.endpoints.iter();
-        endpoints.for_each(|endpoint| endpoint.set_takes(TAKES));
+        endpoints.for_each(|endpoint| endpoint.set_processing_time(TAKES));
         let addresses = fleet.gateways.iter().map(GatewayProcess::callers);
         let rotation = Arc::new(BoxRotation::new(addresses.collect()));
         let over = Arc::new(AtomicBool::new(false));
@@ -153,7 +153,7 @@
     }
 
     fn fail(&mut self, what: String) {
-        self.report.broken.push(what);
+        self.report.violations.push(what);
     }
 
     /// Checks that each box knows all others, and could read what they said.
@@ -172,7 +172,7 @@
                 self.fail(format!("box {at} does not know all boxes"));
             }
             let counted = counted.iter().map(|line| format!("box {at}: {line}"));
-            self.report.broken.extend(counted);
+            self.report.violations.extend(counted);
         }
     }
 
@@ -211,7 +211,9 @@
         let domain = DOMAINS[self.draw.random_range(0..DOMAINS.len())];
         self.fleet.add_endpoint_in(domain, &id, service).await?;
         let endpoint = self.fleet.endpoints.last();
-        endpoint.iter().for_each(|added| added.set_takes(TAKES));
+        endpoint
+            .iter()
+            .for_each(|added| added.set_processing_time(TAKES));
         let text = format!(r#""event":"endpoint_ready","endpoint":"{id}""#);
         self.wait_for_logs("does not know a new endpoint", &text)
             .await;
@@ -248,7 +250,9 @@
         for id in &ids {
             self.fleet.add_endpoint_in("b", id, "doomed").await?;
             let endpoint = self.fleet.endpoints.last();
-            endpoint.iter().for_each(|added| added.set_deadly(&DEADLY));
+            endpoint
+                .iter()
+                .for_each(|added| added.add_crash_body(&DEADLY));
             let text = format!(r#""event":"endpoint_ready","endpoint":"{id}""#);
             self.wait_for_logs("does not know a new endpoint", &text)
                 .await;
@@ -256,7 +260,7 @@
         // By one box of each build: the ends add up over both.
         for box_at in [0, 1] {
             let address = self.fleet.gateways[box_at].callers();
-            let request = request_with("/doomed/x", &format!("d{box_at}"), None, DEADLY);
+            let request = request_with_body("/doomed/x", &format!("d{box_at}"), None, DEADLY);
             let sender = connect_within(address, PATIENCE).await;
             if let Some(mut sender) = sender {
                 // It has no answer: its endpoint ends.
@@ -462,7 +466,7 @@
                 outcome => {
                     let reason = reason_of(&logs[call.box_at], &call.id);
                     let reason = reason.unwrap_or_else(|| "nothing logged".to_owned());
-                    self.report.broken.push(format!(
+                    self.report.violations.push(format!(
                         "{} ms: {:?} {} at box {}: {outcome:?}; {reason}",
                         call.begun
                             .saturating_duration_since(self.started)
@@ -486,7 +490,7 @@
             let log = gateway.logged();
             let forbidden = forbidden_lines(&log, &self.downtimes).into_iter();
             let forbidden = forbidden.map(|line| format!("box {at}: {line}"));
-            self.report.broken.extend(forbidden);
+            self.report.violations.extend(forbidden);
             self.report.problems.extend(problem_lines(&log));
         }
         self.report.name = name;
--- a/dockgate-bench/src/standin.rs
+++ b/dockgate-bench/src/standin.rs
@@ -9,9 +9,11 @@
 mod service;
 mod tally;
 
-pub use engine::{EngineRule, EngineStandIn, answer_token};
+pub use engine::{EngineProfile, EngineStandIn, answer_token};
 pub use peer::PeerStandIn;
-pub use platform::{BoxEntry, PlatformCalls, PlatformStandIn, StoreCopy, StoreDoor};
-pub use routed::{BORN, EndpointManner, RoutedStandIn, SeenRequest, TurnedAway};
-pub use service::{ServiceRule, ServiceStandIn};
-pub use tally::{LeaveWatch, RunTally, TallySample};
+pub use platform::{BoxEntry, PlatformCalls, PlatformStandIn, StoreListener, StoreSnapshot};
+pub use routed::{
+    EndpointBehavior, ReceivedRequest, RejectedRequest, RoutedStandIn, STARTED_HEADER,
+};
+pub use service::{ServiceProfile, ServiceStandIn};
+pub use tally::{LateRunCounter, RunTally, TallySample};
--- a/dockgate-bench/src/standin/caller.rs
+++ b/dockgate-bench/src/standin/caller.rs
@@ -44,7 +44,7 @@
 /// Panics where the path or the id cannot stand in a request.
 #[must_use]
 pub fn request(path: &str, id: &str, events: Option<u64>) -> Request<Full<Bytes>> {
-    request_with(path, id, events, Bytes::from_static(b"hello"))
+    request_with_body(path, id, events, Bytes::from_static(b"hello"))
 }
 
 /// Makes the same request with a body.
@@ -53,7 +53,7 @@
 ///
 /// Panics where the path or the id cannot stand in a request.
 #[must_use]
-pub fn request_with(
+pub fn request_with_body(
     path: &str,
     id: &str,
     events: Option<u64>,
--- a/dockgate-bench/src/standin/engine.rs
+++ b/dockgate-bench/src/standin/engine.rs
@@ -1,7 +1,7 @@
 //! A stand-in for a model engine: continuous batching, a prefix cache of limited size, streams.
 
 use super::http::{BrokenOff, StandInBody, answer, serve};
-use super::tally::{LeaveWatch, RunTally};
+use super::tally::{LateRunCounter, RunTally};
 use crate::error::BenchError;
 use bytes::Bytes;
 use dockgate_proto::headers;
@@ -27,7 +27,7 @@
 
 /// How an engine behaves.
 #[derive(Debug, Clone, Copy)]
-pub struct EngineRule {
+pub struct EngineProfile {
     /// Requests that run at once.
     pub slots: usize,
     /// Tokens a second for each stream while the engine is not crowded.
@@ -42,7 +42,7 @@
     pub step: Duration,
 }
 
-impl EngineRule {
+impl EngineProfile {
     /// Makes the rule of an engine with so many slots and tokens a second for a stream.
     pub fn new(slots: usize, stream_rate: f64) -> Self {
         Self {
@@ -106,12 +106,12 @@
 }
 
 struct EngineState {
-    rule: EngineRule,
+    rule: EngineProfile,
     tally: Arc<RunTally>,
     running: AtomicUsize,
     dying: AtomicBool,
     cache: Mutex<PrefixCache>,
-    leave: Arc<LeaveWatch>,
+    leave: Arc<LateRunCounter>,
     stop: CancellationToken,
 }
 
@@ -120,7 +120,7 @@
     /// Where it listens.
     pub address: SocketAddr,
     /// Counts runs that start after the engine was told to leave.
-    pub leave: Arc<LeaveWatch>,
+    pub leave: Arc<LateRunCounter>,
     state: Arc<EngineState>,
 }
 
@@ -130,7 +130,7 @@
     /// # Errors
     ///
     /// Returns an error where no port is free.
-    pub async fn start(rule: EngineRule, tally: Arc<RunTally>) -> Result<Self, BenchError> {
+    pub async fn start(rule: EngineProfile, tally: Arc<RunTally>) -> Result<Self, BenchError> {
         tally.add_slots(rule.slots as isize);
         let state = Arc::new(EngineState {
             rule,
--- a/dockgate-bench/src/standin/platform.rs
+++ b/dockgate-bench/src/standin/platform.rs
@@ -1,7 +1,7 @@
 //! A stand-in for the platform: its key-value store with leases, watches and a history.
 
 mod key_store;
-mod store_door;
+mod store_listener;
 
 use super::http::{BrokenOff, StandInBody, answer, serve};
 use crate::error::BenchError;
@@ -19,11 +19,11 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
-use store_door::DoorState;
+use store_listener::ListenerState;
 use tokio::sync::watch;
 use tokio_util::sync::CancellationToken;
 
-pub use store_door::StoreDoor;
+pub use store_listener::StoreListener;
 
 /// The largest value that is stored, in bytes, as it is written in base64.
 const MOST_BODY: usize = 2 << 20;
@@ -66,7 +66,7 @@
 
 /// The store as it was at some moment.
 #[derive(Debug, Clone)]
-pub struct StoreCopy(KeyStore);
+pub struct StoreSnapshot(KeyStore);
 
 struct PlatformState {
     store: Mutex<KeyStore>,
@@ -119,7 +119,7 @@
             loses_replies: AtomicBool::new(false),
             slow_ms: AtomicU64::new(0),
         });
-        let door = open_door(&state).await?;
+        let door = open_listener(&state).await?;
         let address = door.address;
         Ok(Self { address, state })
     }
@@ -129,8 +129,8 @@
     /// # Errors
     ///
     /// Returns an error where no port is free.
-    pub async fn open_door(&self) -> Result<StoreDoor, BenchError> {
-        open_door(&self.state).await
+    pub async fn open_listener(&self) -> Result<StoreListener, BenchError> {
+        open_listener(&self.state).await
     }
 
     /// Writes a key, as the platform's own programs do.
@@ -155,13 +155,13 @@
     }
 
     /// Returns the store as it is now.
-    pub fn copy(&self) -> StoreCopy {
-        StoreCopy(self.state.store().clone())
+    pub fn snapshot(&self) -> StoreSnapshot {
+        StoreSnapshot(self.state.store().clone())
     }
 
     /// Comes back from an older copy: what was written since is gone, revisions are given out again, and calls that
     /// wait are cut.
-    pub fn come_back_from(&self, copy: StoreCopy) {
+    pub fn restore(&self, copy: StoreSnapshot) {
         self.state.era.fetch_add(1, Ordering::AcqRel);
         self.state.change(|store| *store = copy.0);
     }
@@ -187,17 +187,17 @@
     }
 
     /// Begins or ends an outage: every call is cut off unanswered and has no effect.
-    pub fn set_out(&self, out: bool) {
+    pub fn set_unavailable(&self, out: bool) {
         self.state.out.store(out, Ordering::Release);
     }
 
     /// Begins or ends losing the replies of writes that have taken effect.
-    pub fn set_loses_replies(&self, loses: bool) {
+    pub fn set_drops_replies(&self, loses: bool) {
         self.state.loses_replies.store(loses, Ordering::Release);
     }
 
     /// Sets how much longer every call takes.
-    pub fn set_slow(&self, slow: Duration) {
+    pub fn set_delay(&self, slow: Duration) {
         let slow = slow.as_millis() as u64;
         self.state.slow_ms.store(slow, Ordering::Release);
     }
@@ -229,8 +229,8 @@
     }
 }
 
-async fn open_door(state: &Arc<PlatformState>) -> Result<StoreDoor, BenchError> {
-    let (state, door) = (state.clone(), DoorState::new());
+async fn open_listener(state: &Arc<PlatformState>) -> Result<StoreListener, BenchError> {
+    let (state, door) = (state.clone(), ListenerState::new());
     let met = door.clone();
     let handle = move |request: Request<Incoming>| {
         let (state, door) = (state.clone(), met.clone());
@@ -247,7 +247,7 @@
         }
     };
     let address = serve(handle, CancellationToken::new()).await?;
-    Ok(StoreDoor {
+    Ok(StoreListener {
         address,
         state: door,
     })
@@ -255,7 +255,7 @@
 
 async fn handle(
     state: Arc<PlatformState>,
-    door: &DoorState,
+    door: &ListenerState,
     request: Request<Incoming>,
 ) -> Result<Response<StandInBody>, BrokenOff> {
     let (parts, body) = request.into_parts();
--- a/dockgate-bench/src/standin/platform/store_door.rs
+++ b/dockgate-bench/src/standin/platform/store_listener.rs
@@ -8,14 +8,14 @@
 
 /// What the calls at one address meet.
 #[derive(Debug)]
-pub(super) struct DoorState {
+pub(super) struct ListenerState {
     silent: watch::Sender<bool>,
     /// How often the watches that waited were dropped.
     dropped: AtomicU64,
     watched: Mutex<Option<(Instant, Duration)>>,
 }
 
-impl DoorState {
+impl ListenerState {
     pub(super) fn new() -> Arc<Self> {
         Arc::new(Self {
             silent: watch::channel(false).0,
@@ -46,13 +46,13 @@
 
 /// An address of the store for one caller of it.
 #[derive(Debug)]
-pub struct StoreDoor {
+pub struct StoreListener {
     /// Where the store listens.
     pub address: SocketAddr,
-    pub(super) state: Arc<DoorState>,
+    pub(super) state: Arc<ListenerState>,
 }
 
-impl StoreDoor {
+impl StoreListener {
     /// Begins or ends a silence: calls are taken, carried out, and not answered; those that wait
     /// already are not answered either, ever.
     pub fn set_silent(&self, silent: bool) {
@@ -60,7 +60,7 @@
     }
 
     /// Silences the connections on which watches wait now; whatever is called later is answered.
-    pub fn drop_watches(&self) {
+    pub fn stall_watches(&self) {
         self.state.dropped.fetch_add(1, Ordering::AcqRel);
     }
 
--- a/dockgate-bench/src/standin/platform/tests.rs
+++ b/dockgate-bench/src/standin/platform/tests.rs
@@ -46,7 +46,7 @@
     let (standin, client) = pair().await;
     let watching = client.clone();
     let watch = tokio::spawn(async move { watching.watch("k", 0, WAIT).await });
-    standin.set_loses_replies(true);
+    standin.set_drops_replies(true);
     let value = Bytes::from_static(b"v");
     let lost = client.put("k", value, PutCondition::Absent, None).await;
     assert!(lost.is_err());
@@ -127,9 +127,9 @@
 async fn a_store_that_is_out_says_nothing() {
     let (standin, client) = pair().await;
     standin.set("k", "v");
-    standin.set_out(true);
+    standin.set_unavailable(true);
     assert!(client.get("k").await.is_err());
     assert!(client.list("k").await.is_err());
-    standin.set_out(false);
+    standin.set_unavailable(false);
     assert!(client.get("k").await.unwrap().is_some());
 }
--- a/dockgate-bench/src/standin/routed.rs
+++ b/dockgate-bench/src/standin/routed.rs
@@ -17,7 +17,7 @@
 
 /// How an endpoint treats the requests that it gets.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum EndpointManner {
+pub enum EndpointBehavior {
     /// It answers.
     #[default]
     Sound,
@@ -41,7 +41,7 @@
 
 /// One request as an endpoint got it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct SeenRequest {
+pub struct ReceivedRequest {
     /// The caller's id.
     pub id: String,
     /// Method and target.
@@ -56,9 +56,9 @@
 
 /// A request that an endpoint turned away.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct TurnedAway {
+pub struct RejectedRequest {
     /// The request.
-    pub request: SeenRequest,
+    pub request: ReceivedRequest,
     /// How much rest it asked for.
     pub rest: Duration,
 }
@@ -74,14 +74,14 @@
 
 #[derive(Default)]
 struct RoutedState {
-    manner: Mutex<EndpointManner>,
-    seen: Mutex<Vec<SeenRequest>>,
+    manner: Mutex<EndpointBehavior>,
+    seen: Mutex<Vec<ReceivedRequest>>,
     ends: Mutex<Vec<RunEnd>>,
     unfinished: Mutex<i64>,
-    takes: Mutex<Duration>,
+    processing_time: Mutex<Duration>,
     is_leaving: Mutex<bool>,
     rest: Mutex<Option<Duration>>,
-    turned_away: Mutex<Vec<TurnedAway>>,
+    turned_away: Mutex<Vec<RejectedRequest>>,
     deadly: Mutex<Vec<Bytes>>,
 }
 
@@ -90,13 +90,13 @@
 }
 
 /// The header by which a stand-in tells which lifetime of its id answers.
-pub const BORN: &str = "x-born";
+pub const STARTED_HEADER: &str = "x-born";
 
 /// Which endpoint answers.
 #[derive(Debug, Clone)]
-struct OwnLife {
+struct EndpointIdentity {
     id: String,
-    born_ms: u64,
+    started_ms: u64,
 }
 
 /// An endpoint on a loopback port.
@@ -104,7 +104,7 @@
     /// Its id.
     pub id: String,
     /// When it started, in Unix milliseconds.
-    pub born_ms: u64,
+    pub started_ms: u64,
     /// The service that it belongs to.
     pub service: String,
     /// Where it listens.
@@ -123,17 +123,17 @@
         let state = Arc::new(RoutedState::default());
         let stop = CancellationToken::new();
         let born = SystemTime::now().duration_since(UNIX_EPOCH);
-        let born_ms = born.unwrap_or_default().as_millis() as u64;
-        let own = OwnLife {
+        let started_ms = born.unwrap_or_default().as_millis() as u64;
+        let own = EndpointIdentity {
             id: id.to_owned(),
-            born_ms,
+            started_ms,
         };
         let (handler, end) = (state.clone(), stop.clone());
         let handle = move |request| handle(handler.clone(), own.clone(), end.clone(), request);
         let address = serve(handle, stop.clone()).await?;
         Ok(Self {
             id: id.to_owned(),
-            born_ms,
+            started_ms,
             service: service.to_owned(),
             address,
             state,
@@ -145,7 +145,7 @@
     pub fn record(&self, domain: &str, state: &str) -> (String, String) {
         let value = json!({
             "service": self.service, "address": self.address, "zone": domain, "version": "v1",
-            "capacity": 8, "state": state, "warmup_left_ms": 0, "sequence": 1, "born": self.born_ms,
+            "capacity": 8, "state": state, "warmup_left_ms": 0, "sequence": 1, "born": self.started_ms,
         });
         (
             format!("{}{}", dockgate_platform::ENDPOINTS, self.id),
@@ -154,13 +154,13 @@
     }
 
     /// Sets how it treats requests from now on.
-    pub fn set_manner(&self, manner: EndpointManner) {
+    pub fn set_behavior(&self, manner: EndpointBehavior) {
         *locked(&self.state.manner) = manner;
     }
 
     /// Sets how long a request, or each event of a stream, takes.
-    pub fn set_takes(&self, takes: Duration) {
-        *locked(&self.state.takes) = takes;
+    pub fn set_processing_time(&self, processing_time: Duration) {
+        *locked(&self.state.processing_time) = processing_time;
     }
 
     /// Says in all answers from now on that it leaves, or does not.
@@ -169,12 +169,12 @@
     }
 
     /// Turns all requests away from now on and asks for so much rest, or takes them again.
-    pub fn set_rest(&self, rest: Option<Duration>) {
+    pub fn set_backoff(&self, rest: Option<Duration>) {
         *locked(&self.state.rest) = rest;
     }
 
     /// Adds a body of requests under which it ends as it begins to run them.
-    pub fn set_deadly(&self, body: &Bytes) {
+    pub fn add_crash_body(&self, body: &Bytes) {
         let mut deadly = locked(&self.state.deadly);
         if !deadly.contains(body) {
             deadly.push(body.clone());
@@ -182,7 +182,7 @@
     }
 
     /// Ends under no request any more.
-    pub fn set_harmless(&self) {
+    pub fn clear_crash_bodies(&self) {
         locked(&self.state.deadly).clear();
     }
 
@@ -192,12 +192,12 @@
     }
 
     /// Returns the requests that it ran.
-    pub fn ran(&self) -> Vec<SeenRequest> {
+    pub fn ran(&self) -> Vec<ReceivedRequest> {
         locked(&self.state.seen).clone()
     }
 
     /// Returns the requests that it turned away and asked for rest.
-    pub fn turned_away(&self) -> Vec<TurnedAway> {
+    pub fn rejected(&self) -> Vec<RejectedRequest> {
         locked(&self.state.turned_away).clone()
     }
 
@@ -224,7 +224,7 @@
 }
 
 impl RoutedRun {
-    fn new(state: Arc<RoutedState>, request: SeenRequest) -> Self {
+    fn new(state: Arc<RoutedState>, request: ReceivedRequest) -> Self {
         let id = request.id.clone();
         locked(&state.seen).push(request);
         *locked(&state.unfinished) += 1;
@@ -263,14 +263,14 @@
 
 async fn handle(
     state: Arc<RoutedState>,
-    own: OwnLife,
+    own: EndpointIdentity,
     end: CancellationToken,
     request: Request<Incoming>,
 ) -> Result<Response<StandInBody>, BrokenOff> {
     let mut response = answer_of(&state, &own.id, end, request).await?;
     let is_own = response.status() != StatusCode::MISDIRECTED_REQUEST;
     let headers = response.headers_mut();
-    headers.insert(BORN, HeaderValue::from(own.born_ms));
+    headers.insert(STARTED_HEADER, HeaderValue::from(own.started_ms));
     if is_own && *locked(&state.is_leaving) {
         headers.insert("server-leaving", HeaderValue::from_static("1"));
     }
@@ -301,7 +301,7 @@
         (Some(expected), _) if expected != own => {
             return Ok(not_run(StatusCode::MISDIRECTED_REQUEST));
         }
-        (_, EndpointManner::Full) => return Ok(not_run(StatusCode::SERVICE_UNAVAILABLE)),
+        (_, EndpointBehavior::Full) => return Ok(not_run(StatusCode::SERVICE_UNAVAILABLE)),
         _ => {}
     }
     let last_event = headers
@@ -310,7 +310,7 @@
     let events = headers
         .get("x-token-usage")
         .and_then(|usage| usage.split_once(',')?.1.parse().ok());
-    let seen = SeenRequest {
+    let seen = ReceivedRequest {
         id: id.clone(),
         target: format!("{} {}", parts.method, parts.uri),
         body: body.clone(),
@@ -320,7 +320,7 @@
     let rest = *locked(&state.rest);
     if let Some(rest) = rest {
         let request = seen;
-        locked(&state.turned_away).push(TurnedAway { request, rest });
+        locked(&state.turned_away).push(RejectedRequest { request, rest });
         return ask_for_rest(&id, rest);
     }
     let run = RoutedRun::new(state.clone(), seen);
@@ -328,36 +328,42 @@
         end.cancel();
         return Err(BrokenOff);
     }
-    let takes = *locked(&state.takes);
+    let processing_time = *locked(&state.processing_time);
     match manner {
-        EndpointManner::Loses => return Err(BrokenOff),
-        EndpointManner::Silent => std::future::pending().await,
-        _ if events.is_none() => tokio::time::sleep(takes).await,
+        EndpointBehavior::Loses => return Err(BrokenOff),
+        EndpointBehavior::Silent => std::future::pending().await,
+        _ if events.is_none() => tokio::time::sleep(processing_time).await,
         _ => {}
     }
     let body = match events {
-        Some(events) => event_body(run, manner, takes, last_event.unwrap_or(0), events),
+        Some(events) => event_body(
+            run,
+            manner,
+            processing_time,
+            last_event.unwrap_or(0),
+            events,
+        ),
         None => answer(StatusCode::OK, [b"echo ", &body[..]].concat()).into_body(),
     };
     let mut response = Response::new(body);
     let headers = response.headers_mut();
     let named = match manner {
-        EndpointManner::Foreign => "another",
+        EndpointBehavior::Foreign => "another",
         _ => &id,
     };
     headers.insert(
         "x-request-id",
         HeaderValue::from_str(named).map_err(|_| BrokenOff)?,
     );
-    if manner != EndpointManner::NoProof {
+    if manner != EndpointBehavior::NoProof {
         let proof = HeaderValue::from_str(&format!("proof-of-{own}"));
         headers.insert("x-upstream-signature", proof.map_err(|_| BrokenOff)?);
     }
     match manner {
-        EndpointManner::Encoded => {
+        EndpointBehavior::Encoded => {
             headers.insert(header::CONTENT_ENCODING, HeaderValue::from_static("gzip"));
         }
-        EndpointManner::Fails => *response.status_mut() = StatusCode::INTERNAL_SERVER_ERROR,
+        EndpointBehavior::Fails => *response.status_mut() = StatusCode::INTERNAL_SERVER_ERROR,
         _ => {}
     }
     Ok(response)
@@ -366,20 +372,20 @@
 /// Makes the events after `last` up to `events`, or breaks off inside one.
 fn event_body(
     run: RoutedRun,
-    manner: EndpointManner,
-    takes: Duration,
+    manner: EndpointBehavior,
+    processing_time: Duration,
     last: u64,
     events: u64,
 ) -> StandInBody {
     let cut = match manner {
-        EndpointManner::CutsAfter(count) => Some(last + count),
+        EndpointBehavior::CutsAfter(count) => Some(last + count),
         _ => None,
     };
     let frames = stream::unfold((run, last), move |(run, last)| async move {
         if last >= events {
             return None;
         }
-        tokio::time::sleep(takes).await;
+        tokio::time::sleep(processing_time).await;
         let next = last + 1;
         match cut {
             Some(cut) if last == cut + 1 => Some((Err(BrokenOff), (run, events))),
--- a/dockgate-bench/src/standin/service.rs
+++ b/dockgate-bench/src/standin/service.rs
@@ -1,7 +1,7 @@
 //! A stand-in for a plain service: it takes its time, counts its runs and echoes what it got.
 
 use super::http::{BrokenOff, StandInBody, answer, serve};
-use super::tally::{LeaveWatch, RunTally};
+use super::tally::{LateRunCounter, RunTally};
 use crate::error::BenchError;
 use dockgate_proto::headers;
 use http::{HeaderName, HeaderValue, Request, Response, StatusCode};
@@ -17,11 +17,11 @@
 
 /// How a service behaves.
 #[derive(Debug, Clone, Copy)]
-pub struct ServiceRule {
+pub struct ServiceProfile {
     /// Requests that run at once.
     pub slots: usize,
     /// How long a request takes where its path does not say `/wait/MILLISECONDS`.
-    pub takes: Duration,
+    pub processing_time: Duration,
 }
 
 /// One service on a loopback port.
@@ -29,7 +29,7 @@
     /// Where it listens.
     pub address: SocketAddr,
     /// Counts runs that start after the service was told to leave.
-    pub leave: Arc<LeaveWatch>,
+    pub leave: Arc<LateRunCounter>,
     stop: CancellationToken,
 }
 
@@ -39,10 +39,10 @@
     /// # Errors
     ///
     /// Returns an error where no port is free.
-    pub async fn start(rule: ServiceRule, tally: Arc<RunTally>) -> Result<Self, BenchError> {
+    pub async fn start(rule: ServiceProfile, tally: Arc<RunTally>) -> Result<Self, BenchError> {
         tally.add_slots(rule.slots as isize);
         let stop = CancellationToken::new();
-        let leave = Arc::new(LeaveWatch::default());
+        let leave = Arc::new(LateRunCounter::default());
         let watch = leave.clone();
         let handle = move |request| {
             watch.start();
@@ -75,7 +75,7 @@
 }
 
 async fn handle(
-    rule: ServiceRule,
+    rule: ServiceProfile,
     tally: Arc<RunTally>,
     request: Request<Incoming>,
 ) -> Result<Response<StandInBody>, BrokenOff> {
@@ -96,11 +96,11 @@
     let body = body.collect().await.map_err(|_| BrokenOff)?.to_bytes();
     let path = parts.uri.path();
     let wait = path.strip_prefix("/wait/").and_then(|ms| ms.parse().ok());
-    let takes = wait.map_or(rule.takes, Duration::from_millis);
-    if !takes.is_zero() {
-        tokio::time::sleep(takes).await;
+    let processing_time = wait.map_or(rule.processing_time, Duration::from_millis);
+    if !processing_time.is_zero() {
+        tokio::time::sleep(processing_time).await;
     }
-    tally.give(&workspace, takes.as_secs_f64() * 1_000.0);
+    tally.give(&workspace, processing_time.as_secs_f64() * 1_000.0);
     drop(run);
     let echo = format!("{} {} ", parts.method, parts.uri);
     let mut response = answer(StatusCode::OK, [echo.as_bytes(), &body].concat());
--- a/dockgate-bench/src/standin/tally.rs
+++ b/dockgate-bench/src/standin/tally.rs
@@ -7,12 +7,12 @@
 
 /// Counts runs that a leaving endpoint starts too late.
 #[derive(Debug, Default)]
-pub struct LeaveWatch {
+pub struct LateRunCounter {
     until: Mutex<Option<Instant>>,
     late: AtomicU64,
 }
 
-impl LeaveWatch {
+impl LateRunCounter {
     /// Notes that the endpoint leaves, with the grace in which runs may still start.
     pub fn set(&self, grace: Option<Duration>) {
         *locked(&self.until) = grace.map(|grace| Instant::now() + grace);
--- a/dockgate-bench/tests/drain.rs
+++ b/dockgate-bench/tests/drain.rs
@@ -20,7 +20,7 @@
 
 use dockgate_bench::gateway_fleet::{GatewayFleet, route_config, wait_until};
 use dockgate_bench::standin::caller::{call, request};
-use dockgate_bench::standin::{RoutedStandIn, StoreDoor};
+use dockgate_bench::standin::{RoutedStandIn, StoreListener};
 use dockgate_core::gateway::{EndpointUpdate, ReportedEndpoint, StoreRevision};
 use dockgate_platform::{StoredValue, decode_endpoint, decode_routes};
 use dockgate_proto::StateAnswer;
@@ -94,7 +94,7 @@
 }
 
 /// Returns the boxes that have begun a watch since then.
-fn watching(doors: &[StoreDoor], since: Instant) -> Vec<usize> {
+fn watching(doors: &[StoreListener], since: Instant) -> Vec<usize> {
     let watches = doors.iter().enumerate();
     let watches = watches.filter(|(_, door)| door.watch().is_some_and(|(begun, _)| begun > since));
     watches.map(|(index, _)| index).collect()
@@ -114,19 +114,22 @@
         let value = value.replace("\"v1\"", &format!("\"v{changes}\""));
         fleet.store.set(&key, value);
         tokio::time::sleep(Duration::from_millis(600)).await;
-        watching(&fleet.doors, changed).len() == 2
+        watching(&fleet.store_listeners, changed).len() == 2
     })
     .await;
-    let followers = watching(&fleet.doors, Instant::now() - Duration::from_millis(600));
+    let followers = watching(
+        &fleet.store_listeners,
+        Instant::now() - Duration::from_millis(600),
+    );
     let [first, second] = followers[..] else {
         panic!("two follow it")
     };
     let other = (0..3).find(|index| !followers.contains(index)).unwrap();
-    let ends = [first, second].map(|index| fleet.doors[index].watch().unwrap().1);
+    let ends = [first, second].map(|index| fleet.store_listeners[index].watch().unwrap().1);
     let end = ends.into_iter().min().unwrap();
 
     for index in followers {
-        fleet.doors[index].set_silent(true);
+        fleet.store_listeners[index].set_silent(true);
     }
     let (key, value) = fleet.endpoints[0].record("a", "draining");
     fleet.store.set(&key, value);
@@ -148,10 +151,10 @@
 #[tokio::test]
 async fn a_watch_that_hears_nothing_more_is_made_anew_before_it_is_over() {
     let fleet = start(1).await;
-    let door = &fleet.doors[0];
+    let door = &fleet.store_listeners[0];
     wait_until("the box watches", async || door.watch().is_some()).await;
     let (_, end) = door.watch().unwrap();
-    door.drop_watches();
+    door.stall_watches();
     let (key, value) = fleet.endpoints[0].record("a", "draining");
     fleet.store.set(&key, value);
     let gateway = &fleet.gateways[0];
--- a/dockgate-bench/tests/ending.rs
+++ b/dockgate-bench/tests/ending.rs
@@ -17,7 +17,7 @@
 use bytes::Bytes;
 use dockgate_bench::gateway_fleet::{GatewayFleet, GatewayProcess, start_fleet, wait_until};
 use dockgate_bench::standin::RoutedStandIn;
-use dockgate_bench::standin::caller::{call, request_with};
+use dockgate_bench::standin::caller::{call, request_with_body};
 use http::StatusCode;
 use std::time::Duration;
 
@@ -37,7 +37,7 @@
     async fn start(gateways: usize, service: &str) -> Self {
         let fleet = start_fleet(gateways, &[service; 8]).await;
         let endpoints = fleet.endpoints.iter();
-        endpoints.for_each(|endpoint| endpoint.set_deadly(&DEADLY));
+        endpoints.for_each(|endpoint| endpoint.add_crash_body(&DEADLY));
         Self {
             fleet,
             ended: Vec::new(),
@@ -52,7 +52,7 @@
             }
             let again = RoutedStandIn::start(&endpoint.id, &endpoint.service);
             let again = again.await.expect("loopback has a port");
-            again.set_deadly(&DEADLY);
+            again.add_crash_body(&DEADLY);
             let (key, value) = again.record("a", "ready");
             self.fleet.store.set(&key, value);
             self.ended.push(std::mem::replace(endpoint, again));
@@ -62,7 +62,7 @@
     /// Sends a request to a box; returns its status and what the answer says.
     async fn ask(&self, at: usize, path: &str, id: &str, body: &Bytes) -> (StatusCode, String) {
         let events = path.starts_with("/live/").then_some(3);
-        let request = request_with(path, id, events, body.clone());
+        let request = request_with_body(path, id, events, body.clone());
         let gateways = &self.fleet.gateways;
         let response = call(&gateways[at % gateways.len()], request).await;
         let status = response.status();
@@ -94,7 +94,7 @@
     async fn be_away(&self, time: Duration) {
         for gateway in &self.fleet.gateways {
             let before = gateway.logged().matches("\"woke\"").count();
-            gateway.be_away(time).expect("it is told");
+            gateway.simulate_suspension(time).expect("it is told");
             wait_until("a box has woken", async || {
                 gateway.logged().matches("\"woke\"").count() > before
             })
@@ -194,7 +194,7 @@
     fleet.revive().await;
 
     let sound = fleet.fleet.endpoints.iter();
-    sound.for_each(RoutedStandIn::set_harmless);
+    sound.for_each(RoutedStandIn::clear_crash_bodies);
     fleet.be_away(SECOND_TRIAL).await;
     let answers = fleet.ask_all("second").await;
     let served = answers.iter().filter(|status| **status == StatusCode::OK);
@@ -219,7 +219,7 @@
     assert_eq!(left.map(|left| left.requests.len()), Ok(0));
     fleet.all_hold(0).await;
     let sound = fleet.fleet.endpoints.iter();
-    sound.for_each(RoutedStandIn::set_harmless);
+    sound.for_each(RoutedStandIn::clear_crash_bodies);
     for at in 0..3 {
         let (status, text) = fleet
             .ask(at, "/once/x", &format!("free{at}"), &DEADLY)
--- a/dockgate-bench/tests/fleet.rs
+++ b/dockgate-bench/tests/fleet.rs
@@ -264,9 +264,9 @@
         dockgate_core::ConfigPlan::new(&config, changes).unwrap()
     };
     let (first, second) = (kind("first"), kind("second"));
-    fleet.platform.set_loses_replies(true);
+    fleet.platform.set_drops_replies(true);
     assert!(store.commit(&first, "a", 0).await.is_err());
-    fleet.platform.set_loses_replies(false);
+    fleet.platform.set_drops_replies(false);
     let version = config.version + 1;
     let settled = store.commit(&first, "a", 0).await.unwrap();
     assert_eq!(settled, CommitOutcome::Already(version));
@@ -294,7 +294,7 @@
     assert!(head.snapshot > 0 && head.entries.len() < 70);
 
     for out in [false, true] {
-        fleet.platform.set_out(out);
+        fleet.platform.set_unavailable(out);
         fleet.daemons[1].kill();
         fleet.daemons[1].restart().unwrap();
         let ready = fleet.daemons[1].wait_for("readyz", Duration::from_secs(20));
--- a/dockgate-bench/tests/gateway.rs
+++ b/dockgate-bench/tests/gateway.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use dockgate_bench::gateway_fleet::{KEYS, route_config, start_fleet, wait_until};
-use dockgate_bench::standin::EndpointManner;
+use dockgate_bench::standin::EndpointBehavior;
 use dockgate_bench::standin::caller::{all_events, call, connect, request, text};
 use http::{Request, StatusCode};
 use http_body_util::{BodyExt, Full};
@@ -138,16 +138,16 @@
 }
 
 #[parameterized(
-    loses = { EndpointManner::Loses },
-    foreign = { EndpointManner::Foreign },
-    no_proof = { EndpointManner::NoProof },
-    encoded = { EndpointManner::Encoded },
+    loses = { EndpointBehavior::Loses },
+    foreign = { EndpointBehavior::Foreign },
+    no_proof = { EndpointBehavior::NoProof },
+    encoded = { EndpointBehavior::Encoded },
 )]
 #[test_macro(tokio::test)]
-async fn a_request_that_may_run_once_is_never_sent_again(manner: EndpointManner) {
+async fn a_request_that_may_run_once_is_never_sent_again(manner: EndpointBehavior) {
     let fleet = start_fleet(1, &["plain", "plain"]).await;
     for endpoint in &fleet.endpoints {
-        endpoint.set_manner(manner);
+        endpoint.set_behavior(manner);
     }
     let response = call(&fleet.gateways[0], request("/once/x", "r1", None)).await;
     assert_eq!(
@@ -160,18 +160,18 @@
 }
 
 #[parameterized(
-    loses = { EndpointManner::Loses },
-    foreign = { EndpointManner::Foreign },
-    no_proof = { EndpointManner::NoProof },
-    encoded = { EndpointManner::Encoded },
-    fails = { EndpointManner::Fails },
-    full = { EndpointManner::Full },
-    silent = { EndpointManner::Silent },
+    loses = { EndpointBehavior::Loses },
+    foreign = { EndpointBehavior::Foreign },
+    no_proof = { EndpointBehavior::NoProof },
+    encoded = { EndpointBehavior::Encoded },
+    fails = { EndpointBehavior::Fails },
+    full = { EndpointBehavior::Full },
+    silent = { EndpointBehavior::Silent },
 )]
 #[test_macro(tokio::test)]
-async fn a_repeatable_request_goes_to_another_endpoint(manner: EndpointManner) {
+async fn a_repeatable_request_goes_to_another_endpoint(manner: EndpointBehavior) {
     let fleet = start_fleet(1, &["plain", "plain"]).await;
-    fleet.endpoints[0].set_manner(manner);
+    fleet.endpoints[0].set_behavior(manner);
     for number in 0..6 {
         let response = call(
             &fleet.gateways[0],
@@ -190,7 +190,7 @@
 #[tokio::test]
 async fn a_refusal_is_true_and_says_when_to_come_back() {
     let fleet = start_fleet(1, &["plain"]).await;
-    fleet.endpoints[0].set_manner(EndpointManner::Full);
+    fleet.endpoints[0].set_behavior(EndpointBehavior::Full);
     let response = call(&fleet.gateways[0], request("/once/x", "r1", None)).await;
     assert_eq!(response.status(), StatusCode::SERVICE_UNAVAILABLE);
     assert!(response.headers().contains_key("retry-after"));
@@ -200,7 +200,7 @@
 #[tokio::test]
 async fn a_stream_goes_on_elsewhere_without_a_gap() {
     let fleet = start_fleet(1, &["model", "model"]).await;
-    fleet.endpoints[0].set_manner(EndpointManner::CutsAfter(3));
+    fleet.endpoints[0].set_behavior(EndpointBehavior::CutsAfter(3));
     let mut resumed = 0;
     for number in 0..8 {
         let id = format!("r{number}");
@@ -214,7 +214,7 @@
 #[tokio::test]
 async fn a_stream_that_does_not_begin_is_tried_elsewhere() {
     let fleet = start_fleet(1, &["model", "model"]).await;
-    fleet.endpoints[0].set_manner(EndpointManner::Silent);
+    fleet.endpoints[0].set_behavior(EndpointBehavior::Silent);
     let mut repeated = 0;
     for number in 0..8 {
         let id = format!("r{number}");
@@ -229,7 +229,7 @@
 #[tokio::test]
 async fn a_stream_that_may_not_be_resumed_looks_cut_short() {
     let fleet = start_fleet(1, &["model"]).await;
-    fleet.endpoints[0].set_manner(EndpointManner::CutsAfter(3));
+    fleet.endpoints[0].set_behavior(EndpointBehavior::CutsAfter(3));
     let response = call(&fleet.gateways[0], request("/draft/x", "r1", Some(9))).await;
     assert_eq!(response.status(), StatusCode::OK);
     assert!(
@@ -242,7 +242,7 @@
 #[tokio::test]
 async fn a_silent_endpoint_costs_no_more_than_the_time_of_the_route() {
     let fleet = start_fleet(1, &["plain"]).await;
-    fleet.endpoints[0].set_manner(EndpointManner::Silent);
+    fleet.endpoints[0].set_behavior(EndpointBehavior::Silent);
     let mut short = request("/once/x", "r1", None);
     short
         .headers_mut()
@@ -288,7 +288,7 @@
 #[tokio::test]
 async fn a_box_that_starts_without_the_store_learns_from_another() {
     let mut fleet = start_fleet(2, &["plain"]).await;
-    fleet.store.set_out(true);
+    fleet.store.set_unavailable(true);
     fleet.gateways[0].kill();
     fleet.gateways[0].restart().unwrap();
     let gateway = &fleet.gateways[0];
@@ -425,7 +425,7 @@
 #[tokio::test]
 async fn a_slow_store_delays_a_change_and_loses_none() {
     let fleet = start_fleet(1, &["plain"]).await;
-    fleet.store.set_slow(Duration::from_millis(400));
+    fleet.store.set_delay(Duration::from_millis(400));
     fleet.store.set("op/config", route_config(9, r#""k2""#));
     let gateway = &fleet.gateways[0];
     wait_until("the version is in force", async || {
--- a/dockgate-bench/tests/gateway_soak.rs
+++ b/dockgate-bench/tests/gateway_soak.rs
@@ -1,6 +1,6 @@
 //! A short seeded run of the soak of gateways, and each seed that ever failed.
 
-use dockgate_bench::gateway_fleet::{listens_for, wait_until};
+use dockgate_bench::gateway_fleet::{handles_signal, wait_until};
 use dockgate_bench::gateway_soak::{SoakFaults, SoakOptions, run_soak};
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
@@ -16,16 +16,16 @@
     reloaded_while_starting = { SoakFaults::All, 126 },
     // Boxes that are stopped for most of the time: four requests reached an endpoint over half a second after
     // their callers had left, and 24 were worked on for so long.
-    callers_that_leave = { SoakFaults::Leaving, 2 },
-    endpoints_end = { SoakFaults::Ending, 1 },
-    endpoints_give_notice = { SoakFaults::Notices, 1 },
-    the_store_loses_its_last_seconds = { SoakFaults::OlderCopies, 1 },
+    callers_that_leave = { SoakFaults::CallerDisconnects, 2 },
+    endpoints_end = { SoakFaults::CrashingRequests, 1 },
+    endpoints_give_notice = { SoakFaults::EndpointNotices, 1 },
+    the_store_loses_its_last_seconds = { SoakFaults::StoreRestores, 1 },
 )]
 fn no_promise_breaks(faults: SoakFaults, seed: u64) {
     let runtime = tokio::runtime::Runtime::new().unwrap();
     let lasts_s = match faults {
         // It takes seconds until a box counts as in touch.
-        SoakFaults::Ending => 10,
+        SoakFaults::CrashingRequests => 10,
         _ => 4,
     };
     let options = SoakOptions {
@@ -35,7 +35,7 @@
     };
     let seen = runtime.block_on(run_soak(options)).unwrap();
     assert!(seen.answered > 0, "{seen:?}");
-    assert!(seen.broken.is_empty(), "{seen:#?}");
+    assert!(seen.violations.is_empty(), "{seen:#?}");
 }
 
 /// Soaks that a shell had started ended without a word as the shell did, and the boxes that they had started lived on.
@@ -47,7 +47,7 @@
         .spawn()
         .unwrap();
     wait_until("the soak listens", async || {
-        listens_for(soak.id(), Signal::SIGHUP)
+        handles_signal(soak.id(), Signal::SIGHUP)
     })
     .await;
     kill(Pid::from_raw(soak.id() as i32), Signal::SIGHUP).unwrap();
--- a/dockgate-bench/tests/leaving.rs
+++ b/dockgate-bench/tests/leaving.rs
@@ -13,8 +13,8 @@
 #[tokio::test]
 async fn work_ends_when_its_caller_goes() {
     let fleet = start_fleet(1, &["model", "plain"]).await;
-    fleet.endpoints[0].set_takes(Duration::from_millis(50));
-    fleet.endpoints[1].set_takes(Duration::from_secs(60));
+    fleet.endpoints[0].set_processing_time(Duration::from_millis(50));
+    fleet.endpoints[1].set_processing_time(Duration::from_secs(60));
     for (index, path, events) in [(0, "/live/x", Some(1_000)), (1, "/again/x", None)] {
         let mut sender = connect(fleet.gateways[0].callers()).await;
         let pending = tokio::spawn(async move {
@@ -119,7 +119,7 @@
     let service = if events.is_some() { "model" } else { "plain" };
     let fleet = start_fleet(1, &[service, service]).await;
     for endpoint in &fleet.endpoints {
-        endpoint.set_takes(Duration::from_secs(60));
+        endpoint.set_processing_time(Duration::from_secs(60));
     }
     let working = || {
         fleet
@@ -217,7 +217,7 @@
 #[tokio::test]
 async fn a_caller_that_sends_ahead_and_stays_gets_all_its_answers() {
     let fleet = start_fleet(1, &["plain"]).await;
-    fleet.endpoints[0].set_takes(Duration::from_millis(30));
+    fleet.endpoints[0].set_processing_time(Duration::from_millis(30));
     let mut caller = TcpStream::connect(fleet.gateways[0].callers())
         .await
         .unwrap();
--- a/dockgate-bench/tests/notices.rs
+++ b/dockgate-bench/tests/notices.rs
@@ -19,7 +19,7 @@
 
 use dockgate_bench::gateway_fleet::{GatewayFleet, start_fleet, wait_until};
 use dockgate_bench::standin::caller::{call, request};
-use dockgate_bench::standin::{RoutedStandIn, SeenRequest, TurnedAway};
+use dockgate_bench::standin::{ReceivedRequest, RejectedRequest, RoutedStandIn};
 use futures::future::join_all;
 use http::{HeaderMap, StatusCode};
 use http_body_util::BodyExt;
@@ -116,7 +116,7 @@
     fleet
         .endpoints
         .iter()
-        .for_each(|each| each.set_takes(TAKES));
+        .for_each(|each| each.set_processing_time(TAKES));
     fleet
 }
 
@@ -128,7 +128,7 @@
 
 /// Lists what reached an endpoint although its box had passed an answer on, before the request came, that says it
 /// leaves.
-fn despite_notice(told: &[Vec<Vec<Told>>], ran: &[SeenRequest]) -> Vec<String> {
+fn despite_notice(told: &[Vec<Vec<Told>>], ran: &[ReceivedRequest]) -> Vec<String> {
     let after = told.iter().flat_map(|rounds| {
         let is_told = |round: &&Vec<Told>| round.iter().any(Told::leaves);
         let told = rounds.iter().skip_while(move |round| !is_told(round));
@@ -203,7 +203,7 @@
 }
 
 /// Lists what an endpoint turned away of a box half a second and more after the first, until that asked-for rest ended.
-fn in_rest(turned_away: &[TurnedAway], at: usize) -> Vec<String> {
+fn in_rest(turned_away: &[RejectedRequest], at: usize) -> Vec<String> {
     const SLACK: Duration = Duration::from_millis(500);
     let of_box = format!("r{at}");
     let seen = turned_away.iter().map(|turned| &turned.request);
@@ -220,7 +220,7 @@
 async fn rests_as_long_as_it_asks(path: &str, service: &str) {
     let fleet = start(3, &[service; 4]).await;
     let resting = &fleet.endpoints[0];
-    resting.set_rest(Some(REST));
+    resting.set_backoff(Some(REST));
     let mut first = 0;
     let mut told = Vec::new();
     wait_until(
@@ -228,7 +228,7 @@
         async || {
             told.extend(ask_all(&fleet, path, first).await);
             first += ROUNDS;
-            let turned_away = resting.turned_away();
+            let turned_away = resting.rejected();
             let oldest = turned_away.first();
             let is_heard = oldest.is_some_and(|oldest| oldest.request.at.elapsed() > REST / 2);
             is_heard && (0..3).all(|at| count_from(&turned_away, at) > 0)
@@ -236,7 +236,7 @@
     )
     .await;
     for at in 0..3 {
-        let late = in_rest(&resting.turned_away(), at);
+        let late = in_rest(&resting.rejected(), at);
         assert!(late.len() <= MOST_IN_REST, "box {at} sent {late:?}");
     }
     let unserved = unserved(&told);
@@ -244,7 +244,7 @@
 }
 
 /// Counts what an endpoint got from a box.
-fn count_from(turned_away: &[TurnedAway], at: usize) -> usize {
+fn count_from(turned_away: &[RejectedRequest], at: usize) -> usize {
     let of_box = format!("r{at}");
     let seen = turned_away.iter().map(|turned| &turned.request);
     seen.filter(|seen| seen.id.starts_with(&of_box)).count()
@@ -267,7 +267,7 @@
     const LEAST_S: f64 = 1.0;
     let fleet = start(1, &["plain"; 2]).await;
     let endpoints = fleet.endpoints.iter();
-    endpoints.for_each(|each| each.set_rest(Some(REST)));
+    endpoints.for_each(|each| each.set_backoff(Some(REST)));
     ask(&fleet, 0, "/again/x", "first".to_owned()).await;
     let told = ask_in_rounds(&fleet, 0, "/again/x", 0).await;
     for told in told.iter().flatten() {
@@ -275,8 +275,8 @@
         assert!(told.retry_after() > Some(LEAST_S), "{told:?}");
     }
     for endpoint in &fleet.endpoints {
-        assert_eq!(endpoint.turned_away().len(), 1);
-        endpoint.set_rest(None);
+        assert_eq!(endpoint.rejected().len(), 1);
+        endpoint.set_backoff(None);
     }
     wait_until("it is served again", async || {
         ask(&fleet, 0, "/again/x", "after".to_owned())
--- a/dockgate-bench/tests/older_copy.rs
+++ b/dockgate-bench/tests/older_copy.rs
@@ -64,7 +64,7 @@
     fleet
         .endpoints
         .iter()
-        .for_each(|each| each.set_takes(takes));
+        .for_each(|each| each.set_processing_time(takes));
     fleet
 }
 
@@ -89,10 +89,10 @@
 #[test_macro(tokio::test)]
 async fn who_leaves_after_it_gets_nothing_more(gateways: usize, lost: usize, made: usize) {
     let fleet = start(gateways).await;
-    let copy = fleet.store.copy();
+    let copy = fleet.store.snapshot();
     change(&fleet, lost);
     tokio::time::sleep(REWRITE).await;
-    fleet.store.come_back_from(copy);
+    fleet.store.restore(copy);
     change(&fleet, made);
     (0..3).for_each(|at| write(&fleet, at, "ready"));
     tokio::time::sleep(REWRITE).await;
@@ -105,11 +105,11 @@
 #[tokio::test]
 async fn who_said_just_before_that_it_leaves_gets_nothing_in_between() {
     let fleet = start(3).await;
-    let copy = fleet.store.copy();
+    let copy = fleet.store.snapshot();
     write(&fleet, 0, "draining");
     tokio::time::sleep(REWRITE).await;
     assert_eq!(reached(&fleet, 0, "before").await, 0);
-    fleet.store.come_back_from(copy);
+    fleet.store.restore(copy);
     all_know(&fleet).await;
     assert_eq!(reached(&fleet, 0, "between").await, 0);
     (0..3).for_each(|at| write(&fleet, at, ["draining", "ready", "ready"][at]));
@@ -121,12 +121,12 @@
 #[tokio::test]
 async fn who_had_left_just_before_gets_nothing_in_between() {
     let fleet = start(3).await;
-    let copy = fleet.store.copy();
+    let copy = fleet.store.snapshot();
     let (key, _) = fleet.endpoints[0].record("a", "ready");
     fleet.store.remove(&key);
     tokio::time::sleep(SETTLED).await;
     assert_eq!(reached(&fleet, 0, "before").await, 0);
-    fleet.store.come_back_from(copy);
+    fleet.store.restore(copy);
     all_know(&fleet).await;
     (1..3).for_each(|at| write(&fleet, at, "ready"));
     assert_eq!(reached(&fleet, 0, "between").await, 0);
@@ -139,11 +139,11 @@
 #[tokio::test]
 async fn who_had_begun_just_before_serves_on() {
     let mut fleet = start(3).await;
-    let copy = fleet.store.copy();
+    let copy = fleet.store.snapshot();
     fleet.add_endpoint("young", "plain").await.unwrap();
     tokio::time::sleep(REWRITE).await;
     assert!(reached(&fleet, 3, "before").await > 0);
-    fleet.store.come_back_from(copy);
+    fleet.store.restore(copy);
     all_know(&fleet).await;
     assert!(reached(&fleet, 3, "between").await > 0);
     (0..4).for_each(|at| write(&fleet, at, "ready"));
@@ -155,7 +155,7 @@
 #[tokio::test]
 async fn a_configuration_that_the_store_has_lost_stays_in_force() {
     let fleet = start(3).await;
-    let copy = fleet.store.copy();
+    let copy = fleet.store.snapshot();
     fleet
         .store
         .set(dockgate_platform::ROUTES, route_config(5, KEYS));
@@ -169,7 +169,7 @@
         }
     };
     in_force(5).await;
-    fleet.store.come_back_from(copy);
+    fleet.store.restore(copy);
     all_know(&fleet).await;
     tokio::time::sleep(REWRITE).await;
     in_force(5).await;
--- a/dockgate-bench/tests/records.rs
+++ b/dockgate-bench/tests/records.rs
@@ -2,7 +2,7 @@
 
 use dockgate_bench::gateway_fleet::{GatewayFleet, start_fleet, wait_until};
 use dockgate_bench::standin::caller::{call, request, text};
-use dockgate_bench::standin::{EndpointManner, RoutedStandIn};
+use dockgate_bench::standin::{EndpointBehavior, RoutedStandIn};
 use dockgate_platform::ENDPOINTS;
 use http::StatusCode;
 use serde_json::json;
@@ -17,7 +17,7 @@
 #[tokio::test]
 async fn an_endpoint_that_starts_again_under_its_id_is_used_from_the_first_moment() {
     let fleet = start_fleet(3, &["plain"]).await;
-    fleet.endpoints[0].set_manner(EndpointManner::Loses);
+    fleet.endpoints[0].set_behavior(EndpointBehavior::Loses);
     for number in 0..8 {
         let status = status_of(&fleet, 0, &format!("r{number}")).await;
         assert_eq!(status, StatusCode::BAD_GATEWAY);
@@ -26,7 +26,7 @@
     let again = RoutedStandIn::start("life-0", "plain").await.unwrap();
     let (key, value) = again.record("a", "ready");
     fleet.store.set(&key, value);
-    let born = format!(r#""endpoint":"life-0","born_ms":{},"#, again.born_ms);
+    let born = format!(r#""endpoint":"life-0","born_ms":{},"#, again.started_ms);
     for (at, gateway) in fleet.gateways.iter().enumerate() {
         wait_until("the new life is known", async || {
             gateway.logged().contains(&born)
@@ -47,7 +47,7 @@
     let (key, value) = again.record("a", "ready");
     assert_eq!(before_key, key);
     fleet.store.set(&key, value);
-    let born = format!(r#""endpoint":"life-0","born_ms":{},"#, again.born_ms);
+    let born = format!(r#""endpoint":"life-0","born_ms":{},"#, again.started_ms);
     for gateway in &fleet.gateways {
         wait_until("the new life is known", async || {
             gateway.logged().contains(&born)
--- a/dockgate-bench/tests/stopping.rs
+++ b/dockgate-bench/tests/stopping.rs
@@ -1,7 +1,7 @@
 //! Signals: boxes that are told to stop, or to read their settings again.
 
 use dockgate_bench::gateway_fleet::{start_fleet, wait_until};
-use dockgate_bench::standin::EndpointManner;
+use dockgate_bench::standin::EndpointBehavior;
 use dockgate_bench::standin::caller::{all_events, call, connect, request, text};
 use http::StatusCode;
 use nix::sys::signal::Signal;
@@ -10,7 +10,7 @@
 #[tokio::test]
 async fn a_stop_cuts_nothing_and_takes_nothing_that_it_cannot_finish() {
     let mut fleet = start_fleet(1, &["model"]).await;
-    fleet.endpoints[0].set_takes(Duration::from_millis(30));
+    fleet.endpoints[0].set_processing_time(Duration::from_millis(30));
     let address = fleet.gateways[0].callers();
     let mut kept = connect(address).await;
     let mut streaming = connect(address).await;
@@ -43,7 +43,7 @@
 #[tokio::test]
 async fn a_stopping_box_takes_nothing_that_may_outlast_it() {
     let fleet = start_fleet(1, &["plain"]).await;
-    fleet.endpoints[0].set_manner(EndpointManner::Silent);
+    fleet.endpoints[0].set_behavior(EndpointBehavior::Silent);
     let mut kept = connect(fleet.gateways[0].callers()).await;
     fleet.gateways[0].signal(Signal::SIGTERM);
     let gateway = &fleet.gateways[0];
@@ -94,7 +94,7 @@
     let mut fleet = start_fleet(1, &["plain"]).await;
     let gateway = &mut fleet.gateways[0];
     gateway.kill();
-    gateway.restart_signalled(Signal::SIGHUP).unwrap();
+    gateway.restart_with_signal(Signal::SIGHUP).unwrap();
     wait_until("the box is ready", async || gateway.is_ready().await).await;
     assert!(!gateway.has_ended());
 }
--- a/dockgate-bench/tests/suspended.rs
+++ b/dockgate-bench/tests/suspended.rs
@@ -10,7 +10,7 @@
 
 use dockgate_bench::gateway_fleet::{start_fleet, wait_until};
 use dockgate_bench::standin::caller::{call, request, text};
-use dockgate_bench::standin::{EndpointManner, RoutedStandIn};
+use dockgate_bench::standin::{EndpointBehavior, RoutedStandIn};
 use http::StatusCode;
 use std::time::Duration;
 
@@ -24,7 +24,7 @@
     let fleet = start_fleet(1, &["plain", "plain"]).await;
     let endpoints = &fleet.endpoints;
     let silent = endpoints.iter();
-    silent.for_each(|endpoint| endpoint.set_manner(EndpointManner::Silent));
+    silent.for_each(|endpoint| endpoint.set_behavior(EndpointBehavior::Silent));
     let gateway = &fleet.gateways[0];
     let answer = call(gateway, request("/again/x", "r", None));
     let suspended = async {
@@ -34,8 +34,8 @@
         .await;
         let idle = endpoints.iter().find(|endpoint| endpoint.ran().is_empty());
         let next = idle.expect("one has it, and there are two");
-        next.set_manner(EndpointManner::Sound);
-        gateway.be_away(AWAY).unwrap();
+        next.set_behavior(EndpointBehavior::Sound);
+        gateway.simulate_suspension(AWAY).unwrap();
         next
     };
     let (answer, next) = tokio::join!(answer, suspended);
@@ -52,7 +52,7 @@
     let fleet = start_fleet(1, &["plain", "plain"]).await;
     let gateway = &fleet.gateways[0];
     for endpoint in &fleet.endpoints {
-        endpoint.set_manner(EndpointManner::Silent);
+        endpoint.set_behavior(EndpointBehavior::Silent);
     }
     let over = async {
         let answer = call(gateway, request("/once/x", "over", None)).await;
@@ -61,10 +61,12 @@
     let later = async {
         wait_until("an endpoint has it", async || fleet.runs_of("over") == 1).await;
         for endpoint in &fleet.endpoints {
-            endpoint.set_manner(EndpointManner::Sound);
-            endpoint.set_takes(Duration::from_secs(1));
+            endpoint.set_behavior(EndpointBehavior::Sound);
+            endpoint.set_processing_time(Duration::from_secs(1));
         }
-        gateway.be_away(Duration::from_millis(DEADLINE_MS)).unwrap();
+        gateway
+            .simulate_suspension(Duration::from_millis(DEADLINE_MS))
+            .unwrap();
         // What comes before it knows is as old as it was away.
         wait_until("the box knows", async || {
             gateway.logged().contains("\"woke\"")
@@ -89,7 +91,7 @@
         panic!("there are two")
     };
     let suspended = &fleet.gateways[0];
-    fleet.doors[0].set_silent(true);
+    fleet.store_listeners[0].set_silent(true);
     let (key, value) = leaving.record("a", "draining");
     fleet.store.set(&key, value);
     for other in &fleet.gateways[1..] {
@@ -100,7 +102,9 @@
         })
         .await;
     }
-    suspended.be_away(Duration::from_secs(6)).unwrap();
+    suspended
+        .simulate_suspension(Duration::from_secs(6))
+        .unwrap();
     wait_until("the box knows", async || {
         suspended.logged().contains("\"woke\"")
     })
