--- a/dockgate-bench/src/gateway_fleet.rs
+++ b/dockgate-bench/src/gateway_fleet.rs
@@ -1,4 +1,4 @@
-//! Gateways as real processes on loopback, with stand-ins of the platform and of endpoints.
+//! Fleets of gateway processes on loopback, with stand-ins for the platform and the endpoints.
 
 use crate::error::BenchError;
 use crate::fleet::{daemon_program, fetch};
@@ -18,60 +18,59 @@
 use std::time::{Duration, Instant};
 use tempfile::TempDir;
 
-const CALLERS: u16 = 7_101;
-const READINESS: u16 = 7_102;
-const STATE: u16 = 7_103;
-const PEERS: u16 = 7_104;
-const METRICS: u16 = 7_105;
-/// How long something may take that is waited for.
-const PATIENCE: Duration = Duration::from_secs(20);
-/// How often it is looked at.
-const LOOK: Duration = Duration::from_millis(20);
-
-/// The keys that callers of a small fleet use.
+const CALLERS_PORT: u16 = 7_101;
+const READINESS_PORT: u16 = 7_102;
+const STATE_PORT: u16 = 7_103;
+const PEERS_PORT: u16 = 7_104;
+const METRICS_PORT: u16 = 7_105;
+/// Time after which a wait fails.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
+/// Interval at which a condition is checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+
+/// The API keys of the default configuration.
 pub const KEYS: &str = r#""k1","k2""#;
 
-/// Where a fleet claims its loopback network.
-const CLAIM: u16 = 7_100;
+/// The port that a fleet binds to claim its loopback network.
+const CLAIM_PORT: u16 = 7_100;
 
-/// A loopback network of a fleet's own, so that fleets beside each other do not meet, be they of this
-/// process or of another.
+/// A loopback network used by one fleet only, among all fleets of all processes.
 struct FleetNetwork {
     number: u8,
-    /// Held for as long as the fleet lives.
+    /// Keeps the network claimed until it is dropped.
     _claim: TcpListener,
 }
 
 impl FleetNetwork {
-    /// Claims a network that no other fleet has.
+    /// Claims an unused network.
     fn claim() -> Result<Self, BenchError> {
         const NUMBERS: std::ops::Range<u8> = 20..220;
         let first = rand::random_range(NUMBERS);
         let numbers = (first..NUMBERS.end).chain(NUMBERS.start..first);
-        let claimed = numbers.filter_map(|number| {
-            let claim = TcpListener::bind((Ipv4Addr::new(127, number, 0, 1), CLAIM)).ok()?;
+        let claims = numbers.filter_map(|number| {
+            let claim = TcpListener::bind((Ipv4Addr::new(127, number, 0, 1), CLAIM_PORT)).ok()?;
             Some(Self {
                 number,
                 _claim: claim,
             })
         });
-        claimed.into_iter().next().ok_or_else(|| {
+        claims.into_iter().next().ok_or_else(|| {
             let cause = std::io::Error::other("all are in use");
             BenchError::Io("claim", "a loopback network".to_owned(), cause)
         })
     }
 }
 
-/// What tells one box of a fleet from the others when it is started.
+/// The parameters of one box of a fleet.
 #[derive(Debug, Clone)]
 pub struct BoxSpec {
     /// Its failure domain.
     pub domain: String,
-    /// The program that it runs.
+    /// Its daemon program.
     pub program: PathBuf,
 }
 
-/// One gateway.
+/// A gateway process.
 pub struct GatewayProcess {
     program: PathBuf,
     ip: Ipv4Addr,
@@ -85,150 +84,154 @@
         SocketAddr::new(IpAddr::V4(self.ip), port)
     }
 
-    /// Returns its address, which all its ports share.
+    /// Returns its IP address.
     pub const fn ip(&self) -> Ipv4Addr {
         self.ip
     }
 
-    /// Returns the program that it runs.
+    /// Returns its daemon program.
     pub fn program(&self) -> &Path {
         &self.program
     }
 
-    /// Sets the program that it runs from its next start on.
+    /// Sets the daemon program for its next start.
     pub fn set_program(&mut self, program: &Path) {
         self.program = program.to_owned();
     }
 
-    /// Returns where it takes callers.
+    /// Returns the address on which it accepts callers.
     pub const fn callers(&self) -> SocketAddr {
-        self.at(CALLERS)
+        self.at(CALLERS_PORT)
     }
 
-    /// Starts it anew, with no memory.
+    /// Starts a new process with the same settings.
     ///
     /// # Errors
     ///
-    /// Returns an error where it cannot be started.
+    /// Returns an error if it cannot be started.
     pub fn restart(&mut self) -> Result<(), BenchError> {
-        let failed = |cause| BenchError::Io("start", self.settings.display().to_string(), cause);
+        let io_error = |cause| BenchError::Io("start", self.settings.display().to_string(), cause);
         let log = File::options()
             .create(true)
             .append(true)
             .open(&self.log)
-            .map_err(failed)?;
-        let errors = log.try_clone().map_err(failed)?;
+            .map_err(io_error)?;
+        let errors = log.try_clone().map_err(io_error)?;
         let child = Command::new(&self.program)
             .arg("--settings")
             .arg(&self.settings)
-            .env("DOCKGATE_AWAY_FILE", self.away_file())
+            .env("DOCKGATE_AWAY_FILE", self.suspension_file())
             .stdin(Stdio::null())
             .stdout(log)
             .stderr(errors)
             .spawn()
-            .map_err(failed)?;
+            .map_err(io_error)?;
         self.child = Some(child);
         Ok(())
     }
 
-    /// Starts it anew, and sends it a signal while it waits for the first byte of its settings.
+    /// Starts a new process and sends it a signal before it can read its settings.
     ///
     /// # Errors
     ///
-    /// Returns an error where it cannot be started.
+    /// Returns an error if it cannot be started.
     pub fn restart_with_signal(&mut self, signal: Signal) -> Result<(), BenchError> {
         let settings = self.settings.clone();
-        let failed = |cause| BenchError::Io("hold", settings.display().to_string(), cause);
-        let kept = settings.with_extension("kept");
-        std::fs::rename(&settings, &kept).map_err(failed)?;
-        let text = std::fs::read(&kept).map_err(failed)?;
-        mkfifo(&settings, Mode::S_IRUSR | Mode::S_IWUSR).map_err(|cause| failed(cause.into()))?;
+        let io_error = |cause| BenchError::Io("hold", settings.display().to_string(), cause);
+        let hidden = settings.with_extension("kept");
+        std::fs::rename(&settings, &hidden).map_err(io_error)?;
+        let text = std::fs::read(&hidden).map_err(io_error)?;
+        mkfifo(&settings, Mode::S_IRUSR | Mode::S_IWUSR).map_err(|cause| io_error(cause.into()))?;
         self.restart()?;
-        // Opens when the process reads; a signal is dealt with before the read goes on.
+        // Opens once the process reads; the signal is handled before the read continues.
         let mut pipe = File::options()
             .write(true)
             .open(&settings)
-            .map_err(failed)?;
+            .map_err(io_error)?;
         self.signal(signal);
-        std::fs::rename(&kept, &settings).map_err(failed)?;
-        pipe.write_all(&text).map_err(failed)
+        std::fs::rename(&hidden, &settings).map_err(io_error)?;
+        pipe.write_all(&text).map_err(io_error)
     }
 
-    fn away_file(&self) -> PathBuf {
+    fn suspension_file(&self) -> PathBuf {
         self.settings.with_extension("away")
     }
 
-    /// Lets it seem to have been suspended for so long, all in all: its clock that counts a suspension is put
-    /// forward, its steady one and its timers are not. Builds for tests alone listen to this.
+    /// Sets the total time for which it appears to have been suspended.
+    ///
+    /// The clock that counts suspensions is advanced; the monotonic clock and timers are not. Only test builds
+    /// support this.
     ///
     /// # Errors
     ///
-    /// Returns an error where the file that says so cannot be written.
+    /// Returns an error if the file with the total cannot be written.
     pub fn simulate_suspension(&self, time: Duration) -> Result<(), BenchError> {
-        // Written beside and moved, so that it is never read half.
-        let file = self.away_file();
+        // Renamed into place, so that it is never read partially.
+        let file = self.suspension_file();
         let written = file.with_extension("away-new");
         write(&written, &time.as_millis().to_string())?;
         std::fs::rename(&written, &file)
             .map_err(|cause| BenchError::Io("rename", file.display().to_string(), cause))
     }
 
-    /// Sends it a signal.
+    /// Sends it a signal, if it runs.
     pub fn signal(&self, signal: Signal) {
         if let Some(child) = &self.child {
-            // One that has ended is not there to be signalled.
+            // The process may have exited.
             let _ = kill(Pid::from_raw(child.id() as i32), signal);
         }
     }
 
-    /// Tells whether its program listens for a signal yet: before its first instruction nothing can.
+    /// Returns whether its process has installed a handler for a signal.
     pub fn handles_signal(&self, signal: Signal) -> bool {
         let child = self.child.as_ref();
         child.is_some_and(|child| handles_signal(child.id(), signal))
     }
 
-    /// Kills it.
+    /// Kills its process.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
-            // It may have ended by itself.
+            // The process may have exited.
             let _ = child.kill();
             let _ = child.wait();
         }
     }
 
-    /// Tells whether it has ended.
+    /// Returns whether its process has exited.
     pub fn has_ended(&mut self) -> bool {
         let child = self.child.as_mut();
         child.is_none_or(|child| matches!(child.try_wait(), Ok(Some(_))))
     }
 
-    /// Returns what it has logged.
+    /// Returns its log so far.
     pub fn logged(&self) -> String {
         std::fs::read_to_string(&self.log).unwrap_or_default()
     }
 
-    /// Tells whether it says that it is ready.
+    /// Returns whether its readiness check succeeds.
     pub async fn is_ready(&self) -> bool {
-        let answer = fetch(self.at(READINESS), "-/readyz").await;
+        let answer = fetch(self.at(READINESS_PORT), "-/readyz").await;
         answer.is_some_and(|answer| answer.starts_with("HTTP/1.1 200"))
     }
 
-    /// Asks it for the requests in quarantine, after one was released where that is wanted.
+    /// Releases a request from quarantine, if one is named, and returns the requests in quarantine.
     ///
     /// # Errors
     ///
-    /// Returns what it says where it refuses, or that it does not answer.
+    /// Returns the text of the error if it refuses or does not answer.
     pub async fn quarantine(&self, release: Option<String>) -> Result<QuarantineAnswer, String> {
-        let client = HttpClientBuilder::default().build(format!("http://{}", self.at(STATE)));
+        let client = HttpClientBuilder::default().build(format!("http://{}", self.at(STATE_PORT)));
         let client = client.map_err(|error| error.to_string())?;
         let request = QuarantineRequest { release };
         let answer = client.request(methods::QUARANTINE, rpc_params![request]);
         answer.await.map_err(|error| error.to_string())
     }
 
-    /// Returns what it counts.
+    /// Returns its metrics, or an empty text if it does not answer.
     pub async fn metrics(&self) -> String {
-        fetch(self.at(METRICS), "metrics").await.unwrap_or_default()
+        fetch(self.at(METRICS_PORT), "metrics")
+            .await
+            .unwrap_or_default()
     }
 }
 
@@ -238,7 +241,7 @@
     }
 }
 
-/// Tells whether a process listens for a signal.
+/// Returns whether a process has installed a handler for a signal.
 pub fn handles_signal(process: u32, signal: Signal) -> bool {
     let status = std::fs::read_to_string(format!("/proc/{process}/status"));
     let status = status.unwrap_or_default();
@@ -247,27 +250,29 @@
     caught.is_some_and(|mask| mask & (1 << (signal as u64 - 1)) != 0)
 }
 
-/// Waits until something holds.
+/// Waits until a condition holds.
 ///
 /// # Panics
 ///
-/// Panics, naming what was waited for, where it does not hold in time.
+/// Panics with a description of the condition if it does not hold in time.
 pub async fn wait_until<F: AsyncFnMut() -> bool>(what: &str, mut holds: F) {
     let started = Instant::now();
     while !holds().await {
-        assert!(started.elapsed() < PATIENCE, "waited in vain: {what}");
-        tokio::time::sleep(LOOK).await;
+        assert!(started.elapsed() < WAIT_TIMEOUT, "timed out: {what}");
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Makes a configuration. Routes: `/once/` may run once, `/again/` may be repeated, `/live/` streams and may be resumed,
-/// `/draft/` streams and may not.
+/// Returns a configuration.
+///
+/// Its routes: `/once/` is not idempotent, `/again/` is idempotent, `/live/` is a resumable stream, and `/draft/`
+/// is a stream that cannot be resumed.
 #[must_use]
 pub fn route_config(version: u64, keys: &str) -> String {
-    let route = |name: &str, kind: &str, service: &str, more: &str| {
+    let route = |name: &str, kind: &str, service: &str, extra: &str| {
         format!(
             r#"{{"name":"{name}","host":"h.example","path_prefix":"/{name}/","type":"{kind}",
-            "service":"{service}","timeout_ms":4000,"target_latency_ms":500,"priority":1{more}}}"#
+            "service":"{service}","timeout_ms":4000,"target_latency_ms":500,"priority":1{extra}}}"#
         )
     };
     let routes = [
@@ -297,10 +302,10 @@
     )
 }
 
-/// Makes the same configuration with so many more routes, which nobody calls.
+/// Returns the same configuration with `extra_routes` unused routes.
 #[must_use]
-pub fn large_config(version: u64, keys: &str, more: usize) -> String {
-    let routes = (0..more).map(|number| {
+pub fn large_config(version: u64, keys: &str, extra_routes: usize) -> String {
+    let routes = (0..extra_routes).map(|number| {
         format!(
             r#"{{"name":"more-{number}","host":"more.example","path_prefix":"/more-{number}/",
             "type":"idempotent","service":"plain","timeout_ms":4000,"target_latency_ms":500,
@@ -312,55 +317,55 @@
     config.replacen("\"routes\":[", &format!("\"routes\":[{routes}"), 1)
 }
 
-/// Starts gateways and an endpoint of each of the `services`, with the usual routes, as version 3.
+/// Starts gateways and one endpoint per entry of `services`, with version 3 of the default configuration.
 ///
 /// # Panics
 ///
-/// Panics where something cannot be started.
+/// Panics if something cannot be started.
 pub async fn start_fleet(gateways: usize, services: &[&str]) -> GatewayFleet {
     let started = GatewayFleet::start(gateways, services, &route_config(3, KEYS)).await;
-    started.expect("loopback has room for a fleet")
+    started.expect("a fleet starts on loopback")
 }
 
 /// A fleet of gateways.
 pub struct GatewayFleet {
-    /// The platform's store.
+    /// The stand-in for the platform.
     pub store: PlatformStandIn,
-    /// Where each gateway reaches the store.
+    /// The store listener of each gateway.
     pub store_listeners: Vec<StoreListener>,
     /// The gateways.
     pub gateways: Vec<GatewayProcess>,
-    /// The endpoints, those of the start in failure domain `a`.
+    /// The endpoints; the initial ones are in failure domain `a`.
     pub endpoints: Vec<RoutedStandIn>,
     network: FleetNetwork,
     folder: TempDir,
 }
 
 impl GatewayFleet {
-    /// Starts gateways and endpoints; `services` names the service of each endpoint.
+    /// Starts gateways in failure domain `a`, and one endpoint per entry of `services`.
     ///
     /// # Errors
     ///
-    /// Returns an error where something cannot be started.
+    /// Returns an error if something cannot be started.
     pub async fn start(
         gateways: usize,
         services: &[&str],
         config: &str,
     ) -> Result<Self, BenchError> {
-        let plan = BoxSpec {
+        let spec = BoxSpec {
             domain: "a".to_owned(),
             program: daemon_program()?,
         };
-        Self::start_boxes(&vec![plan; gateways], services, config).await
+        Self::start_boxes(&vec![spec; gateways], services, config).await
     }
 
-    /// Starts a gateway by each plan, and endpoints; `services` names the service of each endpoint.
+    /// Starts one gateway per spec, and one endpoint per entry of `services`.
     ///
     /// # Errors
     ///
-    /// Returns an error where something cannot be started.
+    /// Returns an error if something cannot be started.
     pub async fn start_boxes(
-        plans: &[BoxSpec],
+        specs: &[BoxSpec],
         services: &[&str],
         config: &str,
     ) -> Result<Self, BenchError> {
@@ -383,19 +388,19 @@
                 .await?;
         }
         let network = fleet.network.number;
-        let ips: Vec<Ipv4Addr> = (1..=plans.len() as u8)
+        let ips: Vec<Ipv4Addr> = (1..=specs.len() as u8)
             .map(|number| Ipv4Addr::new(127, network, 0, number))
             .collect();
-        for (index, plan) in plans.iter().enumerate() {
-            let door = fleet.store.open_listener().await?;
-            let process = fleet.start_gateway(index, plan, &ips, door.address)?;
-            fleet.store_listeners.push(door);
+        for (index, spec) in specs.iter().enumerate() {
+            let listener = fleet.store.open_listener().await?;
+            let process = fleet.start_gateway(index, spec, &ips, listener.address)?;
+            fleet.store_listeners.push(listener);
             fleet.gateways.push(process);
         }
         for gateway in &fleet.gateways {
             wait_until("a gateway is ready", async || gateway.is_ready().await).await;
             let count = services.len();
-            wait_until("a gateway knows the endpoints", async || {
+            wait_until("a gateway lists the endpoints", async || {
                 gateway.logged().matches("endpoint_ready").count() >= count
                     || gateway.logged().contains(&format!("\"count\":{count},"))
             })
@@ -404,20 +409,20 @@
         Ok(fleet)
     }
 
-    /// Adds an endpoint to a service.
+    /// Starts an endpoint of a service in failure domain `a`.
     ///
     /// # Errors
     ///
-    /// Returns an error where no port is free.
+    /// Returns an error if no port is free.
     pub async fn add_endpoint(&mut self, id: &str, service: &str) -> Result<(), BenchError> {
         self.add_endpoint_in("a", id, service).await
     }
 
-    /// Adds an endpoint in a failure domain to a service.
+    /// Starts an endpoint of a service in a failure domain.
     ///
     /// # Errors
     ///
-    /// Returns an error where no port is free.
+    /// Returns an error if no port is free.
     pub async fn add_endpoint_in(
         &mut self,
         domain: &str,
@@ -431,39 +436,42 @@
         Ok(())
     }
 
-    /// Starts a box beside the first gateway, to which it says that it knows what is in `answer`.
+    /// Starts a stand-in for a box that announces the state in `answer` to the first gateway.
     ///
     /// # Errors
     ///
-    /// Returns an error where it cannot listen.
+    /// Returns an error if it cannot listen.
     pub async fn start_peer(&self, answer: StateAnswer) -> Result<PeerStandIn, BenchError> {
         const HOST: u8 = 200;
         let ip = IpAddr::from([127, self.network.number, 0, HOST]);
-        let own = SocketAddr::new(ip, PEERS);
-        let to = self.gateways[0].at(PEERS);
-        PeerStandIn::start(own, SocketAddr::new(ip, STATE), to, answer).await
+        let own = SocketAddr::new(ip, PEERS_PORT);
+        let to = self.gateways[0].at(PEERS_PORT);
+        PeerStandIn::start(own, SocketAddr::new(ip, STATE_PORT), to, answer).await
     }
 
     fn start_gateway(
         &self,
         index: usize,
-        plan: &BoxSpec,
+        spec: &BoxSpec,
         ips: &[Ipv4Addr],
         store: SocketAddr,
     ) -> Result<GatewayProcess, BenchError> {
-        let (ip, domain) = (ips[index], &plan.domain);
-        let seeds: Vec<String> = ips.iter().map(|seed| format!("{seed}:{STATE}")).collect();
+        let (ip, domain) = (ips[index], &spec.domain);
+        let seeds: Vec<String> = ips
+            .iter()
+            .map(|seed| format!("{seed}:{STATE_PORT}"))
+            .collect();
         let text = format!(
-            "[box]\nname = box-{index}\ndomain = {domain}\n\n[listen]\ncallers = {ip}:{CALLERS}\n\
-             readiness = {ip}:{READINESS}\nstate = {ip}:{STATE}\npeers = {ip}:{PEERS}\n\
-             metrics = {ip}:{METRICS}\n\n[platform]\nstore = {store}\n\n[gateway]\nseeds = {}\n\
+            "[box]\nname = box-{index}\ndomain = {domain}\n\n[listen]\ncallers = {ip}:{CALLERS_PORT}\n\
+             readiness = {ip}:{READINESS_PORT}\nstate = {ip}:{STATE_PORT}\npeers = {ip}:{PEERS_PORT}\n\
+             metrics = {ip}:{METRICS_PORT}\n\n[platform]\nstore = {store}\n\n[gateway]\nseeds = {}\n\
              stop_grace_s = 4\nboxes = {}\ndescriptors = 300\n",
             seeds.join(","),
             seeds.len(),
         );
         let path = |ending: &str| self.folder.path().join(format!("box-{index}.{ending}"));
         let mut process = GatewayProcess {
-            program: plan.program.clone(),
+            program: spec.program.clone(),
             ip,
             settings: path("ini"),
             log: path("log"),
@@ -474,7 +482,7 @@
         Ok(process)
     }
 
-    /// Returns how often a request ran, over all endpoints.
+    /// Returns how often a request ran on all endpoints together.
     pub fn runs_of(&self, id: &str) -> usize {
         let runs = self.endpoints.iter().flat_map(RoutedStandIn::ran);
         runs.filter(|run| run.id == id).count()
--- a/dockgate-bench/src/gateway_soak.rs
+++ b/dockgate-bench/src/gateway_soak.rs
@@ -1,54 +1,56 @@
-//! A randomised soak of gateways: real processes, callers that never stop, faults that overlap.
+//! A randomised soak test of gateways: real processes under constant load and overlapping faults.
 //!
-//! The seed decides the faults and their times; what callers and endpoints saw is checked as it is
-//! seen, and once more when all is over. A fault is undone by itself, so that any number may stand
-//! at once.
+//! The seed decides the faults and their times. Answers are checked as they arrive, and the records of
+//! callers and endpoints are compared at the end. Each fault is undone separately, so any number of them
+//! may overlap.
 
-mod caller_standin;
-mod ending_caller;
-mod leaving_caller;
+mod crashing_caller;
+mod disconnecting_caller;
+mod fault_injector;
 mod notice_check;
-mod older_copies;
-mod soak_fault;
+mod soak_call;
+mod store_snapshots;
 
 use crate::error::BenchError;
 use crate::gateway_fleet::{GatewayFleet, GatewayProcess, KEYS, route_config};
 use crate::standin::RoutedStandIn;
-use caller_standin::{SoakCall, SoakRoute, keep_calling};
 use clap::ValueEnum;
-use ending_caller::{ENDING_REQUESTS, EndedEndpoints, EndingCall, keep_returning, sent_in_vain};
-use leaving_caller::{LeavingSeen, keep_leaving, measure_own_lag};
+use crashing_caller::{
+    CRASHING_REQUESTS, CrashedEndpoints, CrashingCall, excess_sends, run_crashing_caller,
+};
+use disconnecting_caller::{DisconnectReport, measure_own_lag, run_disconnecting_caller};
+use fault_injector::FaultInjector;
 use notice_check::sent_despite_notices;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
-use soak_fault::FaultField;
+use soak_call::{SoakCall, SoakRoute, run_soak_caller};
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 use tokio::task::JoinHandle;
 
-/// How many gateways run.
+/// Number of gateways.
 const GATEWAYS: usize = 3;
 /// The service of each endpoint.
 const SERVICES: [&str; 5] = ["plain", "plain", "model", "model", "model"];
-/// How many callers there are.
+/// Number of callers that wait for their answers.
 const CALLERS: usize = 9;
-/// How many callers there are besides that leave, where they are looked at.
-const LEAVERS: u64 = 60;
-/// How long an event takes there: a stream goes on for well beyond what its caller stays.
-const EVENT_TAKES: Duration = Duration::from_millis(90);
-/// How soon a gateway must be ready when all faults are undone.
-const READY_AGAIN: Duration = Duration::from_secs(12);
-/// How many lines of its log are told of one that is not.
-const LAST_LINES: usize = 12;
-/// How often the next fault may begin.
-const STEP: Duration = Duration::from_millis(50);
+/// Number of callers that disconnect early, in runs of [`SoakFaults::CallerDisconnects`].
+const DISCONNECTING_CALLERS: u64 = 60;
+/// Time per stream event in those runs, so that streams outlast their callers.
+const EVENT_INTERVAL: Duration = Duration::from_millis(90);
+/// Time within which a gateway must be ready after all faults are undone.
+const READY_TIMEOUT: Duration = Duration::from_secs(12);
+/// Number of log lines reported for a gateway that is not ready.
+const LOG_TAIL_LINES: usize = 12;
+/// Interval at which a fault may begin or end.
+const STEP_INTERVAL: Duration = Duration::from_millis(50);
 
-/// For how long callers go on when all faults are undone.
-const SETTLED: Duration = Duration::from_secs(2);
+/// Time for which callers continue after all faults are undone.
+const SETTLE_TIME: Duration = Duration::from_secs(2);
 
-/// Which faults are caused.
+/// The faults of a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, ValueEnum)]
 pub enum SoakFaults {
     /// Faults of boxes, endpoints and the store, all mixed.
@@ -76,212 +78,242 @@
     StoreRestores,
 }
 
-/// What to run.
+/// The options of a soak run.
 #[derive(Debug, Clone, Copy)]
 pub struct SoakOptions {
-    /// Decides the faults and the requests.
+    /// Seed of the faults and the requests.
     pub seed: u64,
-    /// For how long faults are caused.
-    pub lasts: Duration,
-    /// Which ones.
+    /// Time for which faults are injected.
+    pub duration: Duration,
+    /// The faults to inject.
     pub faults: SoakFaults,
 }
 
-/// What came of a run.
+/// The result of a soak run.
 #[derive(Debug, Clone, Default)]
 pub struct SoakReport {
-    /// Requests made.
+    /// Number of requests, without those of callers that disconnect.
     pub calls: usize,
-    /// Requests whose callers left.
-    pub left: usize,
-    /// Those that got their whole answer.
+    /// Number of requests whose callers disconnected.
+    pub disconnects: usize,
+    /// Number of requests that were answered in full.
     pub answered: usize,
-    /// Those that were refused as not run.
+    /// Number of requests that were refused as not run.
     pub refused: usize,
-    /// The faults, in order.
+    /// The injected faults, in order.
     pub faults: Vec<String>,
-    /// What was promised and not kept.
+    /// Violations of the gateway's guarantees.
     pub violations: Vec<String>,
 }
 
-/// Runs one seed.
+/// Runs one seed and checks the result.
 ///
 /// # Errors
 ///
-/// Returns an error where a stand-in or a gateway cannot be started.
+/// Returns an error if a stand-in or a gateway cannot be started.
 pub async fn run_soak(options: SoakOptions) -> Result<SoakReport, BenchError> {
     let mut fleet = GatewayFleet::start(GATEWAYS, &SERVICES, &route_config(1, KEYS)).await?;
-    let over = Arc::new(AtomicBool::new(false));
+    let stop = Arc::new(AtomicBool::new(false));
     let addresses: Vec<_> = fleet.gateways.iter().map(GatewayProcess::callers).collect();
     let callers = (0..CALLERS as u64).map(|number| {
-        let draw = StdRng::seed_from_u64(options.seed.wrapping_mul(1_000) + number);
-        tokio::spawn(keep_calling(number, draw, addresses.clone(), over.clone()))
+        let rng = StdRng::seed_from_u64(options.seed.wrapping_mul(1_000) + number);
+        tokio::spawn(run_soak_caller(
+            number,
+            rng,
+            addresses.clone(),
+            stop.clone(),
+        ))
     });
     let callers: Vec<_> = callers.collect();
-    let leavers = match options.faults {
-        SoakFaults::CallerDisconnects => LEAVERS,
+    let disconnecting = match options.faults {
+        SoakFaults::CallerDisconnects => DISCONNECTING_CALLERS,
         _ => 0,
     };
-    if leavers > 0 {
+    if disconnecting > 0 {
         let endpoints = fleet.endpoints.iter();
-        endpoints.for_each(|endpoint| endpoint.set_processing_time(EVENT_TAKES));
+        endpoints.for_each(|endpoint| endpoint.set_processing_time(EVENT_INTERVAL));
     }
-    let leavers = (0..leavers).map(|number| {
-        let draw =
-            StdRng::seed_from_u64(options.seed.wrapping_mul(1_000) + CALLERS as u64 + number);
-        tokio::spawn(keep_leaving(number, draw, addresses.clone(), over.clone()))
+    let disconnecting = (0..disconnecting).map(|number| {
+        let rng = StdRng::seed_from_u64(options.seed.wrapping_mul(1_000) + CALLERS as u64 + number);
+        tokio::spawn(run_disconnecting_caller(
+            number,
+            rng,
+            addresses.clone(),
+            stop.clone(),
+        ))
     });
-    let leavers: Vec<_> = leavers.collect();
-    let ending = match options.faults {
-        SoakFaults::CrashingRequests => ENDING_REQUESTS,
+    let disconnecting: Vec<_> = disconnecting.collect();
+    let crashing = match options.faults {
+        SoakFaults::CrashingRequests => CRASHING_REQUESTS,
         _ => 0,
     };
-    if ending > 0 {
-        fleet.endpoints.iter().for_each(EndedEndpoints::prepare);
+    if crashing > 0 {
+        fleet.endpoints.iter().for_each(CrashedEndpoints::prepare);
     }
-    let ending = (0..ending).map(|number| {
-        let draw = StdRng::seed_from_u64(options.seed.wrapping_mul(2_000) + number as u64);
-        tokio::spawn(keep_returning(
+    let crashing = (0..crashing).map(|number| {
+        let rng = StdRng::seed_from_u64(options.seed.wrapping_mul(2_000) + number as u64);
+        tokio::spawn(run_crashing_caller(
             number,
-            draw,
+            rng,
             addresses.clone(),
-            over.clone(),
+            stop.clone(),
         ))
     });
-    let ending: Vec<_> = ending.collect();
-    let mut ended = EndedEndpoints::default();
-    let mut draw = StdRng::seed_from_u64(options.seed);
-    let own_lag = tokio::spawn(measure_own_lag(over.clone()));
+    let crashing: Vec<_> = crashing.collect();
+    let mut crashed = CrashedEndpoints::default();
+    let mut rng = StdRng::seed_from_u64(options.seed);
+    let own_lag = tokio::spawn(measure_own_lag(stop.clone()));
 
-    let mut field = FaultField::new(options.seed, options.faults);
+    let mut injector = FaultInjector::new(options.seed, options.faults);
     let started = Instant::now();
-    while started.elapsed() < options.lasts {
-        field.step(&mut fleet).await?;
-        ended.step(&mut fleet, &mut draw).await;
-        tokio::time::sleep(STEP).await;
+    while started.elapsed() < options.duration {
+        injector.step(&mut fleet).await?;
+        crashed.step(&mut fleet, &mut rng).await;
+        tokio::time::sleep(STEP_INTERVAL).await;
     }
-    field.undo_all(&mut fleet).await?;
-    let idle = unready(&fleet).await;
-    // What callers ask from here on is asked of a fleet that is whole.
-    let settled = Instant::now() + SETTLED;
-    while Instant::now() < settled {
-        ended.step(&mut fleet, &mut draw).await;
-        tokio::time::sleep(STEP).await;
+    injector.undo_all(&mut fleet).await?;
+    let not_ready = boxes_not_ready(&fleet).await;
+    // From here on the fleet is healthy, so the last requests must be answered.
+    let settle_end = Instant::now() + SETTLE_TIME;
+    while Instant::now() < settle_end {
+        crashed.step(&mut fleet, &mut rng).await;
+        tokio::time::sleep(STEP_INTERVAL).await;
     }
-    over.store(true, Ordering::Release);
-    let mut broken = idle;
-    let calls = joined(callers, &mut broken).await;
-    let mut leaving = LeavingSeen::default();
-    leaving.extend(joined(leavers, &mut broken).await);
-    let returns = joined(ending, &mut broken).await;
-    let lives = ended.ended().iter().chain(&fleet.endpoints);
-    let lives: Vec<&RoutedStandIn> = lives.collect();
+    stop.store(true, Ordering::Release);
+    let mut violations = not_ready;
+    let calls = join_callers(callers, &mut violations).await;
+    let mut disconnects = DisconnectReport::default();
+    disconnects.extend(join_callers(disconnecting, &mut violations).await);
+    let crash_calls = join_callers(crashing, &mut violations).await;
+    let all_endpoints = crashed.crashed().iter().chain(&fleet.endpoints);
+    let all_endpoints: Vec<&RoutedStandIn> = all_endpoints.collect();
     if options.faults == SoakFaults::CrashingRequests {
-        let disturbed = &field.disturbed;
-        broken.extend(sent_in_vain(&returns, &lives, disturbed, &fleet.gateways));
+        let disturbances = &injector.disturbances;
+        violations.extend(excess_sends(
+            &crash_calls,
+            &all_endpoints,
+            disturbances,
+            &fleet.gateways,
+        ));
     }
-    broken.extend(sent_despite_notices(&calls, &lives, &field));
-    leaving.note_own_lag(own_lag.await.unwrap_or_default());
-    Ok(report(&lives, &calls, &returns, &leaving, field, broken))
+    violations.extend(sent_despite_notices(&calls, &all_endpoints, &injector));
+    disconnects.set_own_lag(own_lag.await.unwrap_or_default());
+    Ok(report(
+        &all_endpoints,
+        &calls,
+        &crash_calls,
+        &disconnects,
+        injector,
+        violations,
+    ))
 }
 
-/// Waits for callers, and returns all that they made; one that ended by itself is a fault of the soak.
-async fn joined<T>(callers: Vec<JoinHandle<Vec<T>>>, broken: &mut Vec<String>) -> Vec<T> {
-    let mut made = Vec::new();
+/// Waits for callers and returns their calls; a caller that panicked is reported as a violation.
+async fn join_callers<T>(callers: Vec<JoinHandle<Vec<T>>>, violations: &mut Vec<String>) -> Vec<T> {
+    let mut calls = Vec::new();
     for caller in callers {
         match caller.await {
-            Ok(calls) => made.extend(calls),
-            Err(error) => broken.push(format!("a caller ended: {error}")),
+            Ok(made) => calls.extend(made),
+            Err(error) => violations.push(format!("a caller ended: {error}")),
         }
     }
-    made
+    calls
 }
 
-/// Waits until every gateway is ready; says of each that is not in time what it logged last.
-async fn unready(fleet: &GatewayFleet) -> Vec<String> {
+/// Waits until every gateway is ready; reports the last log lines of each that is not in time.
+async fn boxes_not_ready(fleet: &GatewayFleet) -> Vec<String> {
     let started = Instant::now();
-    let mut idle = Vec::new();
-    for (box_at, gateway) in fleet.gateways.iter().enumerate() {
-        while !gateway.is_ready().await && started.elapsed() < READY_AGAIN {
-            tokio::time::sleep(STEP).await;
+    let mut not_ready = Vec::new();
+    for (box_index, gateway) in fleet.gateways.iter().enumerate() {
+        while !gateway.is_ready().await && started.elapsed() < READY_TIMEOUT {
+            tokio::time::sleep(STEP_INTERVAL).await;
         }
         if !gateway.is_ready().await {
             let logged = gateway.logged();
             let lines: Vec<&str> = logged.lines().collect();
-            let last = lines[lines.len().saturating_sub(LAST_LINES)..].join("\n    ");
-            idle.push(format!(
-                "box {box_at} is not ready again; it logged last\n    {last}"
+            let last = lines[lines.len().saturating_sub(LOG_TAIL_LINES)..].join("\n    ");
+            not_ready.push(format!(
+                "box {box_index} is not ready after the faults; last log lines:\n    {last}"
             ));
         }
     }
-    idle
+    not_ready
 }
 
-/// Checks what endpoints ran against what callers were told.
+/// Compares the requests that endpoints ran with the answers that callers received.
 fn report(
-    lives: &[&RoutedStandIn],
+    all_endpoints: &[&RoutedStandIn],
     calls: &[SoakCall],
-    returns: &[EndingCall],
-    leaving: &LeavingSeen,
-    field: FaultField,
-    mut broken: Vec<String>,
+    crash_calls: &[CrashingCall],
+    disconnects: &DisconnectReport,
+    injector: FaultInjector,
+    mut violations: Vec<String>,
 ) -> SoakReport {
     let mut runs: HashMap<String, usize> = HashMap::new();
-    for run in lives.iter().flat_map(|endpoint| endpoint.ran()) {
+    for run in all_endpoints.iter().flat_map(|endpoint| endpoint.ran()) {
         *runs.entry(run.id).or_default() += 1;
     }
     for call in calls {
         let ran = runs.get(&call.id).copied().unwrap_or(0);
-        let most = call.route.most_runs();
-        broken.extend(
-            call.broken
+        let max_runs = call.route.max_runs();
+        violations.extend(
+            call.violations
                 .iter()
-                .map(|what| format!("{}: {what}", call.id)),
+                .map(|violation| format!("{}: {violation}", call.id)),
         );
         if call.refused && ran > 0 {
-            broken.push(format!(
-                "{}: refused as not run, and ran {ran} times",
+            violations.push(format!(
+                "{}: refused as not run, but ran {ran} times",
                 call.id
             ));
         }
-        if ran > most {
-            broken.push(format!("{}: ran {ran} times of {most}", call.id));
+        if ran > max_runs {
+            violations.push(format!(
+                "{}: ran {ran} times, at most {max_runs} allowed",
+                call.id
+            ));
         }
         runs.remove(&call.id);
     }
-    for call in leaving.calls() {
+    for call in disconnects.calls() {
         let ran = runs.remove(&call.id).unwrap_or(0);
-        let most = call.route.most_runs();
-        if ran > most {
-            broken.push(format!("{}: ran {ran} times of {most}", call.id));
+        let max_runs = call.route.max_runs();
+        if ran > max_runs {
+            violations.push(format!(
+                "{}: ran {ran} times, at most {max_runs} allowed",
+                call.id
+            ));
         }
     }
-    for call in returns {
+    for call in crash_calls {
         runs.remove(call.id());
     }
-    broken.extend(leaving.outlived(lives, &field.slow));
-    broken.extend(
+    violations.extend(disconnects.late_work(all_endpoints, &injector.slow));
+    violations.extend(
         runs.keys()
-            .map(|id| format!("{id}: ran, and nobody asked for it")),
+            .map(|id| format!("{id}: ran, but no caller sent it")),
     );
-    broken.extend(field.sent_after_leaving(lives));
-    let late = calls.iter().filter(|call| call.is_last).collect::<Vec<_>>();
-    if !late.iter().any(|call| call.answered) {
-        broken.push("nothing is answered after all faults were undone".to_owned());
+    violations.extend(injector.sent_after_drain(all_endpoints));
+    let final_calls = calls
+        .iter()
+        .filter(|call| call.is_final)
+        .collect::<Vec<_>>();
+    if !final_calls.iter().any(|call| call.answered) {
+        violations.push("no request was answered after all faults were undone".to_owned());
     }
     SoakReport {
         calls: calls.len(),
-        left: leaving.calls().len(),
+        disconnects: disconnects.calls().len(),
         answered: calls.iter().filter(|call| call.answered).count(),
         refused: calls.iter().filter(|call| call.refused).count(),
-        faults: field.told,
-        violations: broken,
+        faults: injector.fault_log,
+        violations,
     }
 }
 
 impl SoakRoute {
-    /// Returns how many endpoints may run one request of it.
-    const fn most_runs(self) -> usize {
+    /// Returns the maximum number of endpoints that may run one request of this route.
+    const fn max_runs(self) -> usize {
         match self {
             Self::Once | Self::Draft => 1,
             Self::Again | Self::Live => 2,
--- /dev/null
+++ b/dockgate-bench/src/gateway_soak/fault_injector.rs
@@ -0,0 +1,554 @@
+//! Injects faults from outside the gateways, and undoes them after a while.
+
+use super::SoakFaults;
+use super::crashing_caller::Disturbance;
+use super::store_snapshots::StoreSnapshots;
+use crate::error::BenchError;
+use crate::gateway_fleet::{GatewayFleet, GatewayProcess, KEYS, large_config, route_config};
+use crate::standin::{EndpointBehavior, RoutedStandIn};
+use nix::sys::signal::Signal;
+use rand::rngs::StdRng;
+use rand::{RngExt, SeedableRng};
+use std::ops::Range;
+use std::time::{Duration, Instant};
+
+/// Average number of steps per fault.
+const STEPS_PER_FAULT: u32 = 7;
+/// Duration of a fault, in milliseconds.
+const FAULT_MS: Range<u64> = 150..1_800;
+/// Time after which a stopped gateway is restarted; longer than its `stop_grace_s`.
+const STOP_TIME: Duration = Duration::from_millis(4_500);
+/// Maximum number of endpoints that are replaced.
+const MAX_REPLACEMENTS: usize = 6;
+/// Time between an endpoint's drain and its end.
+const DRAIN_TIME: Duration = Duration::from_millis(2_500);
+/// The same where requests that arrive after the drain are checked.
+const CHECKED_DRAIN_TIME: Duration = Duration::from_secs(6);
+/// Time after a drain within which requests must stop arriving; the default of the settings.
+const DRAIN_DEADLINE: Duration = Duration::from_secs(2);
+/// Time for which the store does not answer a box, in milliseconds.
+const UNANSWERED_MS: Range<u64> = 1_000..9_000;
+/// Time for which a box runs intermittently.
+const SLOW_TIME: Duration = Duration::from_millis(2_500);
+/// Length of each pause of an intermittent box, in milliseconds.
+const STOPPED_MS: Range<u64> = 20..900;
+/// Time for which it runs between two pauses, in milliseconds.
+const RUNNING_MS: Range<u64> = 2..30;
+/// Time for which an endpoint that announces in its answers that it leaves keeps running, in milliseconds.
+const NOTICE_MS: Range<u64> = 500..5_000;
+/// Backoff that endpoints ask for, in milliseconds.
+const BACKOFF_MS: Range<u64> = 600..4_000;
+/// Number of unused routes in a large configuration.
+const EXTRA_ROUTES: usize = 4_000;
+
+/// Maximum delay with which a fault is undone.
+const MAX_UNDO_DELAY: Duration = Duration::from_millis(200);
+/// Numbers of the faults in [`FaultInjector::begin`].
+const ALL_FAULTS: Range<u32> = 0..11;
+/// Numbers of the faults of boxes and of the store.
+const BOX_AND_STORE_FAULTS: Range<u32> = 0..8;
+/// Length of a simulated suspension, in milliseconds; the longest exceed every deadline.
+const SUSPENSION_MS: Range<u64> = 50..6_000;
+
+const BEHAVIORS: [EndpointBehavior; 9] = [
+    EndpointBehavior::Loses,
+    EndpointBehavior::Silent,
+    EndpointBehavior::Full,
+    EndpointBehavior::Foreign,
+    EndpointBehavior::Fails,
+    EndpointBehavior::NoProof,
+    EndpointBehavior::Encoded,
+    EndpointBehavior::CutsAfter(0),
+    EndpointBehavior::CutsAfter(5),
+];
+
+/// How a fault is undone.
+#[derive(Debug, Clone, Copy)]
+pub(super) enum FaultReversal {
+    Continue(usize),
+    Restart(usize),
+    EndOutage,
+    ResetDelay,
+    KeepReplies,
+    ResetBehavior(usize),
+    RemoveEndpoint(usize),
+    AnswerAgain(usize),
+    /// Ends an endpoint and leaves its record behind.
+    EndEndpoint(usize),
+    /// Makes endpoints accept requests again.
+    ResetBackoff,
+    /// Writes the lost records of the operator and the endpoints again.
+    RewriteStore,
+}
+
+/// An endpoint lifetime that was drained; a later one may have the same id.
+struct DrainedEndpoint {
+    id: String,
+    started_ms: u64,
+    at: Instant,
+}
+
+impl DrainedEndpoint {
+    fn new(endpoint: &RoutedStandIn) -> Self {
+        Self {
+            id: endpoint.id.clone(),
+            started_ms: endpoint.started_ms,
+            at: Instant::now(),
+        }
+    }
+
+    fn matches(&self, endpoint: &RoutedStandIn) -> bool {
+        (self.id.as_str(), self.started_ms) == (endpoint.id.as_str(), endpoint.started_ms)
+    }
+}
+
+/// A simulated suspension: the clock of one box was advanced.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct Suspension {
+    pub(super) box_index: usize,
+    pub(super) at: Instant,
+    pub(super) duration: Duration,
+}
+
+/// Injects faults and keeps track of those that are active.
+pub(super) struct FaultInjector {
+    pub(super) rng: StdRng,
+    faults: SoakFaults,
+    /// The endpoints that were drained.
+    drained: Vec<DrainedEndpoint>,
+    pub(super) reversals: Vec<(Instant, FaultReversal)>,
+    /// Older snapshots of the store.
+    pub(super) snapshots: StoreSnapshots,
+    /// Periods in which a box ran intermittently.
+    pub(super) slow: Vec<(Instant, Instant)>,
+    /// Total simulated suspension of each box.
+    total_suspensions: [Duration; super::GATEWAYS],
+    /// The simulated suspensions.
+    pub(super) suspensions: Vec<Suspension>,
+    /// Periods in which boxes or the store were disturbed.
+    pub(super) disturbances: Vec<Disturbance>,
+    pub(super) started: Instant,
+    /// The newest configuration that was written.
+    pub(super) config: String,
+    version: u64,
+    replacements: usize,
+    /// The injected faults with their times.
+    pub(super) fault_log: Vec<String>,
+}
+
+impl FaultInjector {
+    pub(super) fn new(seed: u64, faults: SoakFaults) -> Self {
+        Self {
+            rng: StdRng::seed_from_u64(seed),
+            faults,
+            drained: Vec::new(),
+            reversals: Vec::new(),
+            snapshots: StoreSnapshots::default(),
+            slow: Vec::new(),
+            total_suspensions: [Duration::ZERO; super::GATEWAYS],
+            suspensions: Vec::new(),
+            disturbances: Vec::new(),
+            started: Instant::now(),
+            config: route_config(1, KEYS),
+            version: 1,
+            replacements: 0,
+            fault_log: Vec::new(),
+        }
+    }
+
+    /// Undoes the faults that are due, and may begin another one.
+    pub(super) async fn step(&mut self, fleet: &mut GatewayFleet) -> Result<(), BenchError> {
+        let now = Instant::now();
+        let due: Vec<FaultReversal> = self
+            .reversals
+            .extract_if(.., |(at, _)| *at <= now)
+            .map(|(_, end)| end)
+            .collect();
+        for end in due {
+            self.undo(fleet, end).await?;
+        }
+        if self.faults == SoakFaults::StoreRestores {
+            self.snapshots.take(&fleet.store);
+        }
+        if self.rng.random_ratio(1, STEPS_PER_FAULT) {
+            match self.faults {
+                SoakFaults::All => self.begin(fleet, ALL_FAULTS).await?,
+                // The requests crash the endpoints in these runs.
+                SoakFaults::CrashingRequests => self.begin(fleet, BOX_AND_STORE_FAULTS).await?,
+                SoakFaults::DelayedUpdates => self.delay_updates(fleet).await?,
+                SoakFaults::StoreRestores if self.rng.random_bool(0.3) => self.restore_store(fleet),
+                SoakFaults::StoreRestores => self.delay_updates(fleet).await?,
+                SoakFaults::CallerDisconnects => self.begin_slow_fault(fleet).await,
+                SoakFaults::EndpointNotices if self.rng.random_bool(0.5) => {
+                    self.begin_notice_fault(fleet)
+                }
+                SoakFaults::EndpointNotices => self.begin(fleet, BOX_AND_STORE_FAULTS).await?,
+            }
+        }
+        Ok(())
+    }
+
+    /// Undoes all active faults.
+    pub(super) async fn undo_all(&mut self, fleet: &mut GatewayFleet) -> Result<(), BenchError> {
+        for (_, end) in std::mem::take(&mut self.reversals) {
+            self.undo(fleet, end).await?;
+        }
+        Ok(())
+    }
+
+    async fn undo(
+        &mut self,
+        fleet: &mut GatewayFleet,
+        end: FaultReversal,
+    ) -> Result<(), BenchError> {
+        match end {
+            FaultReversal::Continue(box_index) => fleet.gateways[box_index].signal(Signal::SIGCONT),
+            FaultReversal::Restart(box_index) => {
+                let gateway = &mut fleet.gateways[box_index];
+                gateway.kill();
+                gateway.restart()?;
+            }
+            FaultReversal::EndOutage => fleet.store.set_unavailable(false),
+            FaultReversal::ResetDelay => fleet.store.set_delay(Duration::ZERO),
+            FaultReversal::KeepReplies => fleet.store.set_drops_replies(false),
+            FaultReversal::ResetBehavior(at) => {
+                fleet.endpoints[at].set_behavior(EndpointBehavior::Sound)
+            }
+            FaultReversal::AnswerAgain(at) => fleet.store_listeners[at].set_silent(false),
+            FaultReversal::EndEndpoint(at) => fleet.endpoints[at].kill(),
+            FaultReversal::ResetBackoff => fleet
+                .endpoints
+                .iter()
+                .for_each(|each| each.set_backoff(None)),
+            FaultReversal::RewriteStore => self.rewrite_store(fleet),
+            FaultReversal::RemoveEndpoint(at) => {
+                let (key, _) = fleet.endpoints[at].record("a", "draining");
+                fleet.store.remove(&key);
+                fleet.endpoints[at].kill();
+            }
+        }
+        Ok(())
+    }
+
+    async fn begin(
+        &mut self,
+        fleet: &mut GatewayFleet,
+        kinds: Range<u32>,
+    ) -> Result<(), BenchError> {
+        let duration = Duration::from_millis(self.rng.random_range(FAULT_MS));
+        let box_index = self.rng.random_range(0..fleet.gateways.len());
+        let endpoint = self.rng.random_range(0..super::SERVICES.len());
+        let is_up = !self.reversals.iter().any(|(_, end)| {
+            matches!(end,
+                FaultReversal::Restart(at) | FaultReversal::Continue(at) if *at == box_index)
+        });
+        let (what, duration, end) = match self.rng.random_range(kinds) {
+            0 if is_up => {
+                fleet.gateways[box_index].signal(Signal::SIGSTOP);
+                (
+                    format!("pause box {box_index}"),
+                    duration,
+                    Some(FaultReversal::Continue(box_index)),
+                )
+            }
+            1 if is_up => {
+                fleet.gateways[box_index].kill();
+                (
+                    format!("kill box {box_index}"),
+                    duration,
+                    Some(FaultReversal::Restart(box_index)),
+                )
+            }
+            2 if is_up => {
+                fleet.gateways[box_index].signal(Signal::SIGTERM);
+                (
+                    format!("stop box {box_index}"),
+                    STOP_TIME,
+                    Some(FaultReversal::Restart(box_index)),
+                )
+            }
+            3 if fleet.gateways[box_index].handles_signal(Signal::SIGHUP) => {
+                fleet.gateways[box_index].signal(Signal::SIGHUP);
+                (format!("reload box {box_index}"), duration, None)
+            }
+            4 => {
+                fleet.store.set_unavailable(true);
+                (
+                    "store unavailable".to_owned(),
+                    duration,
+                    Some(FaultReversal::EndOutage),
+                )
+            }
+            5 => {
+                fleet.store.set_delay(Duration::from_millis(300));
+                (
+                    "store slow".to_owned(),
+                    duration,
+                    Some(FaultReversal::ResetDelay),
+                )
+            }
+            6 => {
+                fleet.store.set_drops_replies(true);
+                (
+                    "store drops replies".to_owned(),
+                    duration,
+                    Some(FaultReversal::KeepReplies),
+                )
+            }
+            // Suspends one box, or all of them.
+            7 => {
+                let duration = Duration::from_millis(self.rng.random_range(SUSPENSION_MS));
+                let boxes = match self.rng.random_bool(0.3) {
+                    true => 0..fleet.gateways.len(),
+                    false => box_index..box_index + 1,
+                };
+                let what = format!("suspend boxes {boxes:?} for {duration:?}");
+                for at in boxes {
+                    self.total_suspensions[at] += duration;
+                    fleet.gateways[at].simulate_suspension(self.total_suspensions[at])?;
+                    self.suspensions.push(Suspension {
+                        box_index: at,
+                        at: Instant::now(),
+                        duration,
+                    });
+                }
+                (what, Duration::ZERO, None)
+            }
+            8 => {
+                fleet.store.forget_history();
+                self.version += self.rng.random_range(1..4);
+                let config = route_config(self.version, KEYS);
+                fleet.store.set(dockgate_platform::ROUTES, config);
+                (
+                    format!("store history lost, configuration {}", self.version),
+                    duration,
+                    None,
+                )
+            }
+            9 => {
+                let behavior = BEHAVIORS[self.rng.random_range(0..BEHAVIORS.len())];
+                fleet.endpoints[endpoint].set_behavior(behavior);
+                let end = FaultReversal::ResetBehavior(endpoint);
+                (
+                    format!("endpoint {endpoint}: {behavior:?}"),
+                    duration,
+                    Some(end),
+                )
+            }
+            _ if self.replacements < MAX_REPLACEMENTS => {
+                self.replace(fleet, endpoint).await?;
+                (
+                    format!("drain endpoint {endpoint}"),
+                    DRAIN_TIME,
+                    Some(FaultReversal::RemoveEndpoint(endpoint)),
+                )
+            }
+            _ => return Ok(()),
+        };
+        let at = self.started.elapsed().as_millis();
+        self.fault_log.push(format!("{at} ms: {what}"));
+        if let Some(end) = end {
+            self.record_disturbance(end, duration);
+            self.reversals.push((Instant::now() + duration, end));
+        }
+        Ok(())
+    }
+
+    fn record_disturbance(&mut self, end: FaultReversal, duration: Duration) {
+        let box_index = match end {
+            FaultReversal::Continue(at) | FaultReversal::Restart(at) => Some(at),
+            FaultReversal::EndOutage | FaultReversal::ResetDelay | FaultReversal::KeepReplies => {
+                None
+            }
+            _ => return,
+        };
+        let from = Instant::now();
+        self.disturbances.push(Disturbance {
+            from,
+            until: from + duration + MAX_UNDO_DELAY,
+            box_index,
+            restarts: matches!(end, FaultReversal::Restart(_)),
+        });
+    }
+
+    /// Starts another endpoint of the same service, and drains this one.
+    async fn replace(
+        &mut self,
+        fleet: &mut GatewayFleet,
+        endpoint: usize,
+    ) -> Result<(), BenchError> {
+        self.replacements += 1;
+        let service = fleet.endpoints[endpoint].service.clone();
+        let name = format!("again-{}", self.replacements);
+        fleet.add_endpoint(&name, &service).await?;
+        let (key, value) = fleet.endpoints[endpoint].record("a", "draining");
+        fleet.store.set(&key, value);
+        self.drained
+            .push(DrainedEndpoint::new(&fleet.endpoints[endpoint]));
+        Ok(())
+    }
+
+    /// Begins a fault that delays updates. The store keeps answering at least one box.
+    async fn delay_updates(&mut self, fleet: &mut GatewayFleet) -> Result<(), BenchError> {
+        let box_index = self.rng.random_range(0..fleet.gateways.len());
+        let silent = self.reversals.iter().filter_map(|(_, end)| match end {
+            FaultReversal::AnswerAgain(at) => Some(*at),
+            _ => None,
+        });
+        let silent: Vec<usize> = silent.collect();
+        let may_be_silenced =
+            !silent.contains(&box_index) && silent.len() + 1 < fleet.gateways.len();
+        let drained = self.replacements % super::SERVICES.len();
+        let (what, end) = match self.rng.random_range(0..4) {
+            0 if may_be_silenced => {
+                fleet.store_listeners[box_index].set_silent(true);
+                let duration = Duration::from_millis(self.rng.random_range(UNANSWERED_MS));
+                let end = (
+                    Instant::now() + duration,
+                    FaultReversal::AnswerAgain(box_index),
+                );
+                (format!("store does not answer box {box_index}"), Some(end))
+            }
+            1 => {
+                fleet.store_listeners[box_index].stall_watches();
+                (format!("stall the watches of box {box_index}"), None)
+            }
+            2 => {
+                self.version += 1;
+                self.config = large_config(self.version, KEYS, EXTRA_ROUTES);
+                fleet
+                    .store
+                    .set(dockgate_platform::ROUTES, self.config.clone());
+                (format!("large configuration {}", self.version), None)
+            }
+            _ if self.replacements < super::SERVICES.len() => {
+                self.replace(fleet, drained).await?;
+                let end = (
+                    Instant::now() + CHECKED_DRAIN_TIME,
+                    FaultReversal::RemoveEndpoint(drained),
+                );
+                (format!("drain endpoint {drained}"), Some(end))
+            }
+            _ => return Ok(()),
+        };
+        let at = self.started.elapsed().as_millis();
+        self.fault_log.push(format!("{at} ms: {what}"));
+        self.reversals.extend(end);
+        Ok(())
+    }
+
+    /// Begins a fault that slows down the handling of requests: an intermittent box, a failing endpoint, or a
+    /// large configuration.
+    async fn begin_slow_fault(&mut self, fleet: &GatewayFleet) {
+        let box_index = self.rng.random_range(0..fleet.gateways.len());
+        let endpoint = self.rng.random_range(0..super::SERVICES.len());
+        let at = self.started.elapsed().as_millis();
+        let what = match self.rng.random_range(0..4) {
+            0 | 1 => {
+                let stopped = self.rng.random_range(STOPPED_MS);
+                let running = self.rng.random_range(RUNNING_MS);
+                self.run_intermittently(&fleet.gateways[box_index], stopped, running)
+                    .await;
+                format!(
+                    "alternately pause box {box_index} for {stopped} ms and run it for {running} ms"
+                )
+            }
+            2 => {
+                let behavior = BEHAVIORS[self.rng.random_range(0..BEHAVIORS.len())];
+                fleet.endpoints[endpoint].set_behavior(behavior);
+                let duration = Duration::from_millis(self.rng.random_range(FAULT_MS));
+                self.reversals.push((
+                    Instant::now() + duration,
+                    FaultReversal::ResetBehavior(endpoint),
+                ));
+                format!("endpoint {endpoint}: {behavior:?}")
+            }
+            _ => {
+                self.version += 1;
+                let config = large_config(self.version, KEYS, EXTRA_ROUTES);
+                fleet.store.set(dockgate_platform::ROUTES, config);
+                format!("large configuration {}", self.version)
+            }
+        };
+        self.fault_log.push(format!("{at} ms: {what}"));
+    }
+
+    /// Makes an endpoint announce in its answers that it leaves, or makes some endpoints ask for a backoff.
+    fn begin_notice_fault(&mut self, fleet: &GatewayFleet) {
+        let endpoint = self.rng.random_range(0..super::SERVICES.len());
+        let at = self.started.elapsed().as_millis();
+        let (what, duration, end) = match self.rng.random_bool(0.4) {
+            true if !self.is_ending(endpoint) => {
+                fleet.endpoints[endpoint].set_leaving(true);
+                let duration = Duration::from_millis(self.rng.random_range(NOTICE_MS));
+                let what = format!("endpoint {endpoint} announces in its answers that it leaves");
+                (what, duration, FaultReversal::EndEndpoint(endpoint))
+            }
+            _ => {
+                let backoff = Duration::from_millis(self.rng.random_range(BACKOFF_MS));
+                let ratio = self.rng.random_range(0.2..1.3);
+                let rejecting = fleet.endpoints.iter();
+                let rejecting = rejecting.filter(|_| self.rng.random_bool(f64::min(ratio, 1.0)));
+                rejecting.for_each(|each| each.set_backoff(Some(backoff)));
+                let duration = Duration::from_millis(self.rng.random_range(FAULT_MS));
+                let what =
+                    format!("endpoints reject requests and ask for a backoff of {backoff:?}");
+                (what, duration, FaultReversal::ResetBackoff)
+            }
+        };
+        self.fault_log.push(format!("{at} ms: {what}"));
+        self.reversals.push((Instant::now() + duration, end));
+    }
+
+    fn is_ending(&self, endpoint: usize) -> bool {
+        let mut reversals = self.reversals.iter();
+        reversals.any(|(_, end)| matches!(end, FaultReversal::EndEndpoint(at) if *at == endpoint))
+    }
+
+    /// Pauses and continues a box alternately for a while.
+    async fn run_intermittently(
+        &mut self,
+        gateway: &GatewayProcess,
+        stopped_ms: u64,
+        running_ms: u64,
+    ) {
+        let from = Instant::now();
+        while from.elapsed() < SLOW_TIME {
+            gateway.signal(Signal::SIGSTOP);
+            tokio::time::sleep(Duration::from_millis(stopped_ms)).await;
+            gateway.signal(Signal::SIGCONT);
+            tokio::time::sleep(Duration::from_millis(running_ms)).await;
+        }
+        self.slow.push((from, Instant::now()));
+    }
+
+    /// Returns whether an endpoint was drained.
+    pub(super) fn is_drained(&self, endpoint: &RoutedStandIn) -> bool {
+        self.drained.iter().any(|drained| drained.matches(endpoint))
+    }
+
+    /// Lists the requests that reached endpoints too long after they were drained, for runs in which no box is
+    /// disturbed.
+    pub(super) fn sent_after_drain(&self, endpoints: &[&RoutedStandIn]) -> Vec<String> {
+        let undisturbed =
+            [SoakFaults::DelayedUpdates, SoakFaults::StoreRestores].contains(&self.faults);
+        let drained = self.drained.iter().filter(|_| undisturbed);
+        let late = drained.flat_map(|drained| {
+            let endpoint = endpoints.iter().find(|endpoint| drained.matches(endpoint));
+            let ran = endpoint.into_iter().flat_map(|endpoint| endpoint.ran());
+            let late = ran.filter(|run| {
+                // A store that was restored does not know the drain until it is written again.
+                let drained_at = self.snapshots.last_rewrite(run.at).max(Some(drained.at));
+                drained_at.is_some_and(|drained_at| run.at > drained_at + DRAIN_DEADLINE)
+            });
+            late.map(move |run| {
+                let after = run.at - drained.at;
+                format!(
+                    "{}: reached {} {after:?} after its drain",
+                    run.id, drained.id
+                )
+            })
+        });
+        late.collect()
+    }
+}
--- a/dockgate-bench/src/gateway_soak/caller_standin.rs
+++ b/dockgate-bench/src/gateway_soak/soak_call.rs
@@ -1,5 +1,4 @@
-//! A stand-in of a caller on the users' platform: it makes one request after another, and checks each
-//! answer against the published protocol.
+//! The requests of a caller that waits for each answer and checks it against the published protocol.
 
 use crate::standin::STARTED_HEADER;
 use bytes::{Bytes, BytesMut};
@@ -16,16 +15,16 @@
 use std::time::{Duration, Instant};
 use tokio::net::TcpStream;
 
-/// How long a caller waits for an answer, in milliseconds.
+/// Deadline that a caller sends with a request, in milliseconds.
 const BUDGET_MS: u64 = 3_000;
-/// How much longer it waits in truth, before it takes the answer for lost.
-const PATIENCE: Duration = Duration::from_millis(BUDGET_MS + 2_000);
-/// How many events a stream has.
+/// Time after which a caller considers the answer lost.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(BUDGET_MS + 2_000);
+/// Number of events in a stream.
 const EVENTS: u64 = 12;
-/// How long a caller rests between requests.
-const REST: Duration = Duration::from_millis(25);
-/// A caller's last requests, made of a fleet that is whole again.
-const LAST: usize = 3;
+/// Pause of a caller between requests.
+const PAUSE: Duration = Duration::from_millis(25);
+/// Number of requests that a caller makes after the faults are undone.
+const FINAL_CALLS: usize = 3;
 
 /// The route of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -53,87 +52,90 @@
     }
 }
 
-/// An answer that says that its endpoint leaves.
+/// An answer that announces that its endpoint leaves.
 #[derive(Debug, Clone)]
 pub(super) struct LeavingAnswer {
-    /// The endpoint's proof, which names its id.
+    /// The endpoint's proof, which contains its id.
     pub(super) proof: String,
-    /// The start of the lifetime that leaves, in Unix milliseconds.
+    /// When the endpoint started, in Unix milliseconds.
     pub(super) started_ms: u64,
-    /// When its caller had the head of the answer.
+    /// When its caller received the head of the answer.
     pub(super) at: Instant,
 }
 
-/// One request, and what its caller saw.
+/// One request and its result.
 #[derive(Debug, Clone)]
 pub(super) struct SoakCall {
     pub(super) id: String,
     pub(super) route: SoakRoute,
-    /// The box that it was made at.
-    pub(super) box_at: usize,
-    /// When it was made.
-    pub(super) begun: Instant,
-    /// Its answer said that an endpoint leaves.
+    /// The index of the box that received it.
+    pub(super) box_index: usize,
+    /// When it was sent.
+    pub(super) started: Instant,
+    /// The announcement in its answer that the endpoint leaves.
     pub(super) leaving: Option<LeavingAnswer>,
-    /// It got its whole answer.
+    /// Whether it was answered in full.
     pub(super) answered: bool,
-    /// It was told that it has not run.
+    /// Whether it was refused as not run.
     pub(super) refused: bool,
-    /// It was one of its caller's last.
-    pub(super) is_last: bool,
-    /// What was wrong with its answer.
-    pub(super) broken: Vec<String>,
+    /// Whether it was sent after all faults were undone.
+    pub(super) is_final: bool,
+    /// What is wrong with its answer.
+    pub(super) violations: Vec<String>,
 }
 
-/// A connection on which the last request was answered.
+/// An idle connection that can be reused.
 struct KeptConnection {
     sender: SendRequest<Full<Bytes>>,
-    box_at: usize,
+    box_index: usize,
 }
 
-/// Makes requests until it is told that all is over, and a few more.
-pub(super) async fn keep_calling(
+/// Makes requests until `stop` is set, and [`FINAL_CALLS`] more.
+pub(super) async fn run_soak_caller(
     number: u64,
-    mut draw: StdRng,
+    mut rng: StdRng,
     gateways: Vec<SocketAddr>,
-    over: Arc<AtomicBool>,
+    stop: Arc<AtomicBool>,
 ) -> Vec<SoakCall> {
     let mut calls = Vec::new();
     let mut kept: Option<KeptConnection> = None;
-    let mut last = 0;
-    while last < LAST {
-        let is_last = over.load(Ordering::Acquire);
-        last += usize::from(is_last);
-        let route = SoakRoute::ALL[draw.random_range(0..SoakRoute::ALL.len())];
+    let mut final_calls = 0;
+    while final_calls < FINAL_CALLS {
+        let is_final = stop.load(Ordering::Acquire);
+        final_calls += usize::from(is_final);
+        let route = SoakRoute::ALL[rng.random_range(0..SoakRoute::ALL.len())];
         let id = format!("r{number}a{}", calls.len());
-        let box_at = draw.random_range(0..gateways.len());
-        // Half of the requests go over a connection that was kept, for as long as it lasts.
-        let used = kept.take().filter(|_| draw.random_bool(0.5));
-        let box_at = used.as_ref().map_or(box_at, |used| used.box_at);
+        let box_index = rng.random_range(0..gateways.len());
+        // Half of the requests reuse the last connection, if it is still open.
+        let reused = kept.take().filter(|_| rng.random_bool(0.5));
+        let box_index = reused.as_ref().map_or(box_index, |reused| reused.box_index);
         let mut call = SoakCall {
             id,
             route,
-            box_at,
-            begun: Instant::now(),
+            box_index,
+            started: Instant::now(),
             leaving: None,
             answered: false,
             refused: false,
-            is_last,
-            broken: Vec::new(),
+            is_final,
+            violations: Vec::new(),
         };
-        let sender = used.map(|used| used.sender);
-        let sender =
-            tokio::time::timeout(PATIENCE, make(&mut call, sender, gateways[box_at])).await;
+        let sender = reused.map(|reused| reused.sender);
+        let sender = tokio::time::timeout(
+            ANSWER_TIMEOUT,
+            send_call(&mut call, sender, gateways[box_index]),
+        )
+        .await;
         let sender = sender.ok().flatten();
-        kept = sender.map(|sender| KeptConnection { sender, box_at });
+        kept = sender.map(|sender| KeptConnection { sender, box_index });
         calls.push(call);
-        tokio::time::sleep(REST).await;
+        tokio::time::sleep(PAUSE).await;
     }
     calls
 }
 
-/// Makes one request; returns the connection where it can be used again.
-async fn make(
+/// Sends one request; returns the connection if it can be reused.
+async fn send_call(
     call: &mut SoakCall,
     kept: Option<SendRequest<Full<Bytes>>>,
     gateway: SocketAddr,
@@ -147,9 +149,9 @@
             sender
         }
     };
-    // A connection that ends without an answer says nothing of the request.
+    // A connection that closes without an answer does not violate the protocol.
     let response = sender.send_request(request(call)).await.ok()?;
-    check(call, response).await;
+    check_answer(call, response).await;
     Some(sender)
 }
 
@@ -171,15 +173,16 @@
     builder.body(body).expect("a request made of constants")
 }
 
-/// Notes what an answer says, and what is wrong with it.
-async fn check(call: &mut SoakCall, response: Response<Incoming>) {
+/// Records the result of an answer and its violations of the protocol.
+async fn check_answer(call: &mut SoakCall, response: Response<Incoming>) {
     let status = response.status();
     let header = |name: &str| response.headers().get(name).cloned();
-    let named = header("x-request-id").is_some_and(|id| id.as_bytes() == call.id.as_bytes());
-    let proven = header("x-upstream-signature").is_some();
-    let returns = header("retry-after").is_some();
-    call.leaving = leaving(response.headers());
-    let (read, whole) = read(response).await;
+    let has_request_id =
+        header("x-request-id").is_some_and(|id| id.as_bytes() == call.id.as_bytes());
+    let has_proof = header("x-upstream-signature").is_some();
+    let has_retry_after = header("retry-after").is_some();
+    call.leaving = leaving_answer(response.headers());
+    let (body, is_complete) = read_body(response).await;
     let expected: Vec<u8> = match call.route.streams() {
         true => (1..=EVENTS)
             .flat_map(|id| format!("id: {id}\ndata: token {id}\n\n").into_bytes())
@@ -188,41 +191,40 @@
     };
     match status {
         StatusCode::OK => {
-            call.answered = whole && read[..] == expected[..];
+            call.answered = is_complete && body[..] == expected[..];
             let problems = [
-                (!named, "an answer with another id"),
-                (!proven, "a success without proof"),
+                (!has_request_id, "the answer has another request id"),
+                (!has_proof, "the success has no proof"),
                 (
-                    !expected.starts_with(&read),
-                    "events are missing, doubled or mixed",
+                    !expected.starts_with(&body),
+                    "the body is not a prefix of the expected one",
                 ),
                 (
-                    whole && read[..] != expected[..],
-                    "cut short, and looks whole",
+                    is_complete && body[..] != expected[..],
+                    "the body is truncated without an error",
                 ),
             ];
             let problems = problems.iter().filter(|(found, _)| *found);
-            call.broken
+            call.violations
                 .extend(problems.map(|(_, what)| (*what).to_owned()));
         }
         StatusCode::TOO_MANY_REQUESTS
         | StatusCode::SERVICE_UNAVAILABLE
         | StatusCode::REQUEST_TIMEOUT => {
             call.refused = true;
-            if !returns {
-                call.broken
-                    .push(format!("{status} does not say when to come back"));
+            if !has_retry_after {
+                call.violations.push(format!("{status} has no Retry-After"));
             }
         }
         StatusCode::BAD_GATEWAY
         | StatusCode::GATEWAY_TIMEOUT
         | StatusCode::INTERNAL_SERVER_ERROR => {}
-        _ => call.broken.push(format!("answered with {status}")),
+        _ => call.violations.push(format!("unexpected status {status}")),
     }
 }
 
-/// Reads from the head of an answer that its endpoint leaves.
-fn leaving(headers: &HeaderMap) -> Option<LeavingAnswer> {
+/// Returns the announcement that the endpoint leaves, if the headers contain one.
+fn leaving_answer(headers: &HeaderMap) -> Option<LeavingAnswer> {
     headers.get("server-leaving")?;
     let text = |name: &str| headers.get(name)?.to_str().ok();
     Some(LeavingAnswer {
@@ -232,8 +234,8 @@
     })
 }
 
-/// Reads a body as far as it comes; tells whether it ended as one that is whole.
-async fn read(response: Response<Incoming>) -> (Bytes, bool) {
+/// Reads a body up to its end or an error; returns whether it ended without an error.
+async fn read_body(response: Response<Incoming>) -> (Bytes, bool) {
     let mut body = response.into_body();
     let mut read = BytesMut::new();
     loop {
--- a/dockgate-bench/src/main.rs
+++ b/dockgate-bench/src/main.rs
@@ -212,14 +212,14 @@
 
 async fn soak(
     seeds: Range<u64>,
-    lasts: Duration,
+    duration: Duration,
     faults: SoakFaults,
 ) -> Result<ExitCode, BenchError> {
     let mut code = ExitCode::SUCCESS;
     for seed in seeds {
         let seen = run_soak(SoakOptions {
             seed,
-            lasts,
+            duration,
             faults,
         })
         .await?;
@@ -229,7 +229,7 @@
             seen.calls,
             seen.answered,
             seen.refused,
-            seen.left,
+            seen.disconnects,
             seen.violations.len(),
         );
         if !seen.violations.is_empty() {
--- a/dockgate-bench/src/standin/routed.rs
+++ b/dockgate-bench/src/standin/routed.rs
@@ -59,8 +59,8 @@
 pub struct RejectedRequest {
     /// The request.
     pub request: ReceivedRequest,
-    /// How much rest it asked for.
-    pub rest: Duration,
+    /// The backoff that it asked for.
+    pub backoff: Duration,
 }
 
 /// The end of a run, whether it was answered or broken off.
@@ -80,8 +80,8 @@
     unfinished: Mutex<i64>,
     processing_time: Mutex<Duration>,
     is_leaving: Mutex<bool>,
-    rest: Mutex<Option<Duration>>,
-    turned_away: Mutex<Vec<RejectedRequest>>,
+    backoff: Mutex<Option<Duration>>,
+    rejected: Mutex<Vec<RejectedRequest>>,
     deadly: Mutex<Vec<Bytes>>,
 }
 
@@ -168,9 +168,9 @@
         *locked(&self.state.is_leaving) = is_leaving;
     }
 
-    /// Turns all requests away from now on and asks for so much rest, or takes them again.
-    pub fn set_backoff(&self, rest: Option<Duration>) {
-        *locked(&self.state.rest) = rest;
+    /// Turns all requests away from now on and asks for so much backoff, or takes them again.
+    pub fn set_backoff(&self, backoff: Option<Duration>) {
+        *locked(&self.state.backoff) = backoff;
     }
 
     /// Adds a body of requests under which it ends as it begins to run them.
@@ -196,9 +196,9 @@
         locked(&self.state.seen).clone()
     }
 
-    /// Returns the requests that it turned away and asked for rest.
+    /// Returns the requests that it turned away and asked for backoff.
     pub fn rejected(&self) -> Vec<RejectedRequest> {
-        locked(&self.state.turned_away).clone()
+        locked(&self.state.rejected).clone()
     }
 
     /// Returns the runs that have ended.
@@ -249,11 +249,11 @@
     response
 }
 
-/// Turns a request away, and asks for so much rest.
-fn ask_for_rest(id: &str, rest: Duration) -> Result<Response<StandInBody>, BrokenOff> {
+/// Turns a request away, and asks for so much backoff.
+fn reject_with_backoff(id: &str, backoff: Duration) -> Result<Response<StandInBody>, BrokenOff> {
     let mut response = not_run(StatusCode::SERVICE_UNAVAILABLE);
     let headers = response.headers_mut();
-    let seconds = rest.as_secs_f64().to_string();
+    let seconds = backoff.as_secs_f64().to_string();
     let seconds = HeaderValue::from_str(&seconds).map_err(|_| BrokenOff)?;
     headers.insert(header::RETRY_AFTER, seconds);
     let id = HeaderValue::from_str(id).map_err(|_| BrokenOff)?;
@@ -317,11 +317,11 @@
         headers,
         at: Instant::now(),
     };
-    let rest = *locked(&state.rest);
-    if let Some(rest) = rest {
+    let backoff = *locked(&state.backoff);
+    if let Some(backoff) = backoff {
         let request = seen;
-        locked(&state.turned_away).push(RejectedRequest { request, rest });
-        return ask_for_rest(&id, rest);
+        locked(&state.rejected).push(RejectedRequest { request, backoff });
+        return reject_with_backoff(&id, backoff);
     }
     let run = RoutedRun::new(state.clone(), seen);
     if locked(&state.deadly).contains(&body) {
--- a/dockgate-bench/tests/gateway_soak.rs
+++ b/dockgate-bench/tests/gateway_soak.rs
@@ -30,7 +30,7 @@
     };
     let options = SoakOptions {
         seed,
-        lasts: Duration::from_secs(lasts_s),
+        duration: Duration::from_secs(lasts_s),
         faults,
     };
     let seen = runtime.block_on(run_soak(options)).unwrap();
