--- a/dockgate-bench/src/gap.rs
+++ b/dockgate-bench/src/gap.rs
@@ -1,24 +1,24 @@
-//! The fairness gap: how far apart the service of backlogged workspaces drifts.
+//! The fairness gap: the maximum difference in service between backlogged workspaces.
 
 use std::collections::{BTreeMap, HashMap};
 
-/// One workspace at one moment.
+/// The service of one workspace at one point in time.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ServicePoint {
-    /// Service units given so far, for a share of one.
+    /// Service units received so far, divided by the share.
     pub level: f64,
-    /// Whether it has been backlogged since the last moment.
+    /// Whether it has been backlogged since the last point.
     pub backlogged: bool,
 }
 
-/// How far the service of two workspaces drifted since both were backlogged.
+/// Range of the difference in service between two workspaces since both are backlogged.
 #[derive(Debug, Clone, Copy, Default)]
 struct PairDrift {
-    least: f64,
-    most: f64,
+    min: f64,
+    max: f64,
 }
 
-/// Follows the service of every pair of backlogged workspaces in one pool.
+/// Tracks the service of every pair of backlogged workspaces in one pool.
 #[derive(Debug, Default)]
 pub struct GapMeter {
     pairs: HashMap<(String, String), PairDrift>,
@@ -29,7 +29,7 @@
 }
 
 impl GapMeter {
-    /// Takes in a moment; `seconds` have passed since the last one.
+    /// Adds a sample of all workspaces, `seconds` after the last one.
     pub fn add(&mut self, points: BTreeMap<String, ServicePoint>, seconds: f64) {
         let backlogged: Vec<(&String, &ServicePoint)> = points
             .iter()
@@ -38,14 +38,14 @@
         let mut pairs = HashMap::new();
         for (index, (a, first)) in backlogged.iter().enumerate() {
             for (b, second) in &backlogged[index + 1..] {
-                let apart = first.level - second.level;
+                let difference = first.level - second.level;
                 let key = ((*a).clone(), (*b).clone());
                 let known = self.pairs.get(&key);
                 let drift = PairDrift {
-                    least: known.map_or(apart, |known| known.least.min(apart)),
-                    most: known.map_or(apart, |known| known.most.max(apart)),
+                    min: known.map_or(difference, |known| known.min.min(difference)),
+                    max: known.map_or(difference, |known| known.max.max(difference)),
                 };
-                self.worst = self.worst.max(drift.most - drift.least);
+                self.worst = self.worst.max(drift.max - drift.min);
                 pairs.insert(key, drift);
             }
         }
@@ -59,12 +59,12 @@
         self.last = points;
     }
 
-    /// Returns the worst gap, in service units for a share of one.
+    /// Returns the worst gap, in service units divided by the share.
     pub const fn worst_level(&self) -> f64 {
         self.worst
     }
 
-    /// Returns what a backlogged workspace gets a second, for a share of one.
+    /// Returns the service units per second of a backlogged workspace, divided by the share.
     pub fn fair_rate(&self) -> f64 {
         match self.backlogged_seconds > 0.0 {
             true => self.backlogged_level / self.backlogged_seconds,
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Returns the worst gap in seconds of a backlogged workspace's fair rate.
+    /// Returns the worst gap in seconds of service at the fair rate.
     pub fn worst_seconds(&self) -> f64 {
         match self.fair_rate() {
             rate if rate > 0.0 => self.worst / rate,
--- a/dockgate-bench/src/gap/tests.rs
+++ b/dockgate-bench/src/gap/tests.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn drift_counts_while_both_are_backlogged() {
+fn gap_covers_periods_in_which_both_workspaces_are_backlogged() {
     let mut meter = GapMeter::default();
     meter.add(points(&[(0.0, true), (100.0, true)]), 1.0);
     meter.add(points(&[(10.0, true), (110.0, true)]), 1.0);
@@ -27,12 +27,12 @@
     assert_eq!(
         meter.worst_level(),
         5.0,
-        "an idle workspace saves nothing up"
+        "an idle period is not part of the gap"
     );
 }
 
 #[test]
-fn seconds_are_of_the_fair_rate() {
+fn gap_in_seconds_is_relative_to_the_fair_rate() {
     let mut meter = GapMeter::default();
     meter.add(points(&[(0.0, true), (0.0, true)]), 1.0);
     meter.add(points(&[(12.0, true), (8.0, true)]), 1.0);
--- a/dockgate-bench/src/mixed_fleet.rs
+++ b/dockgate-bench/src/mixed_fleet.rs
@@ -1,8 +1,7 @@
-//! A fleet in which half of the boxes run another build, under steady callers.
+//! A compatibility test of two builds: half of the boxes run another build, under constant load.
 //!
-//! The boxes are disturbed as in everyday work: configurations and endpoints change, boxes are killed, stopped as
-//! planned, and started by the other build on what the first one left. What only one build would do is told from what
-//! the two cannot do together by a first run of the same seed with one build alone.
+//! Configurations and endpoints change, boxes are killed and stopped gracefully, and each build is started on the
+//! settings and stored records of the other. A run of the same seed with one build alone serves as the baseline.
 
 mod fleet_log;
 mod fleet_run;
@@ -14,47 +13,47 @@
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 
-/// What to run.
+/// The options of a run.
 #[derive(Debug, Clone)]
 pub struct MixedOptions {
-    /// The daemon of the other build.
+    /// The daemon program of the other build.
     pub other: PathBuf,
-    /// Decides what is disturbed, and the requests.
+    /// Seed of the disturbances and the requests.
     pub seed: u64,
 }
 
-/// What came of a fleet.
+/// The result of one fleet.
 #[derive(Debug, Clone, Default)]
 pub struct MixedReport {
-    /// Which builds ran.
+    /// A label for the builds that ran.
     pub name: &'static str,
-    /// Requests made.
+    /// Number of requests.
     pub calls: usize,
-    /// Those that got their whole answer.
+    /// Number of requests that were answered in full.
     pub answered: usize,
-    /// Those with an unknown key that were refused as such.
+    /// Number of requests with an unknown key that were rejected as expected.
     pub unknown_keys: usize,
-    /// Those whose box was killed while they were there.
+    /// Number of requests that were cut because their box was killed.
     pub killed: usize,
     /// The steps, in order.
     pub steps: Vec<String>,
-    /// What should not have been.
+    /// Violations of the expected behavior.
     pub violations: Vec<String>,
-    /// Lines of level WARN or ERROR, with numbers left out.
+    /// Log lines of level WARN or ERROR, with digits masked.
     pub problems: BTreeSet<String>,
 }
 
-/// Runs a fleet of this build alone, then a mixed one.
+/// Runs a fleet of this build alone, then a mixed fleet.
 ///
 /// # Errors
 ///
-/// Returns an error where a stand-in or a gateway cannot be started.
+/// Returns an error if a stand-in or a gateway cannot be started.
 pub async fn run_mixed(options: &MixedOptions) -> Result<[MixedReport; 2], BenchError> {
     let own = daemon_program()?;
     let alone = run_fleet("one build", [&own, &own], options.seed).await?;
     let mut mixed = run_fleet("mixed", [&own, &options.other], options.seed).await?;
     let new = mixed.problems.difference(&alone.problems);
-    let new = new.map(|line| format!("logged by a mixed fleet alone: {line}"));
+    let new = new.map(|line| format!("logged by the mixed fleet only: {line}"));
     mixed.violations.extend(new);
     Ok([alone, mixed])
 }
@@ -73,8 +72,8 @@
     run.quarantine_request().await?;
     run.kill_boxes().await?;
     run.stop_boxes().await?;
-    run.exchange_programs().await?;
+    run.swap_programs().await?;
     run.change_configs(1).await;
-    run.restart_all_exchanged().await?;
+    run.restart_all_swapped().await?;
     Ok(run.finish(name).await)
 }
--- a/dockgate-bench/src/mixed_fleet/steady_caller.rs
+++ b/dockgate-bench/src/mixed_fleet/steady_caller.rs
@@ -1,4 +1,4 @@
-//! Callers that make one request after the other at boxes that are in rotation, and check each answer.
+//! Callers that send requests to the boxes in rotation and check each answer.
 
 use crate::standin::caller::{all_events, connect_within, request};
 use bytes::Bytes;
@@ -12,14 +12,14 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// How many events a stream has.
+/// Number of events in a stream.
 const EVENTS: u64 = 12;
-/// How long a caller waits for a whole answer: its budget of 3 s, and some more.
-const PATIENCE: Duration = Duration::from_secs(5);
-/// How long a caller pauses between requests.
+/// Time after which a caller gives up; longer than the deadline that it sends.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
+/// Pause of a caller between requests.
 const PAUSE: Duration = Duration::from_millis(20);
 
-/// What a caller asks for.
+/// The kind of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum CallKind {
     Once,
@@ -64,103 +64,106 @@
     }
 }
 
-/// What a caller got.
+/// The result of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) enum CallOutcome {
-    /// The whole answer, or the refusal that its key is due.
+    /// The expected answer, or the expected rejection of its key.
     AsExpected,
-    /// Another status than is due.
+    /// An unexpected status.
     Status(StatusCode),
-    /// Another body than is due.
+    /// An unexpected body.
     Wrong(String),
-    /// No whole answer.
+    /// No complete answer.
     Cut(&'static str),
 }
 
-/// One request, and what its caller got.
+/// One request and its result.
 #[derive(Debug, Clone)]
 pub(super) struct SteadyCall {
     pub(super) id: String,
     pub(super) kind: CallKind,
-    pub(super) box_at: usize,
-    pub(super) begun: Instant,
+    pub(super) box_index: usize,
+    pub(super) started: Instant,
     pub(super) ended: Instant,
     pub(super) outcome: CallOutcome,
 }
 
-/// Which boxes callers are sent to, as a balancer would that asks them whether they are ready.
+/// The boxes that receive requests, like the targets of a load balancer with health checks.
 pub(super) struct BoxRotation {
     boxes: Vec<SocketAddr>,
-    is_in: Mutex<Vec<bool>>,
+    in_rotation: Mutex<Vec<bool>>,
 }
 
 impl BoxRotation {
     pub(super) fn new(boxes: Vec<SocketAddr>) -> Self {
-        let is_in = Mutex::new(vec![true; boxes.len()]);
-        Self { boxes, is_in }
+        let in_rotation = Mutex::new(vec![true; boxes.len()]);
+        Self { boxes, in_rotation }
     }
 
     fn locked(&self) -> MutexGuard<'_, Vec<bool>> {
-        self.is_in.lock().unwrap_or_else(PoisonError::into_inner)
+        self.in_rotation
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub(super) fn set(&self, box_at: usize, is_in: bool) {
-        self.locked()[box_at] = is_in;
+    pub(super) fn set(&self, box_index: usize, in_rotation: bool) {
+        self.locked()[box_index] = in_rotation;
     }
 
-    fn draw(&self, draw: &mut StdRng) -> usize {
-        let is_in = self.locked();
-        let boxes = (0..is_in.len()).filter(|at| is_in[*at]);
+    fn pick(&self, rng: &mut StdRng) -> usize {
+        let in_rotation = self.locked();
+        let boxes = (0..in_rotation.len()).filter(|at| in_rotation[*at]);
         let boxes: Vec<usize> = boxes.collect();
-        boxes[draw.random_range(0..boxes.len())]
+        boxes[rng.random_range(0..boxes.len())]
     }
 }
 
-/// A connection that is kept for further requests.
+/// An idle connection that may be reused.
 pub(super) type KeptConnection = Option<SendRequest<Full<Bytes>>>;
 
-/// Makes requests until all is over, and keeps a connection to each box, as a balancer does.
-pub(super) async fn keep_calling(
+/// Makes requests until `stop` is set, with one persistent connection per box.
+pub(super) async fn run_steady_caller(
     number: usize,
-    mut draw: StdRng,
+    mut rng: StdRng,
     rotation: Arc<BoxRotation>,
-    over: Arc<AtomicBool>,
+    stop: Arc<AtomicBool>,
 ) -> Vec<SteadyCall> {
     let mut calls = Vec::new();
     let boxes = rotation.boxes.iter();
     let mut kept: Vec<KeptConnection> = boxes.map(|_| None).collect();
-    while !over.load(Ordering::Acquire) {
-        let kind = CallKind::ALL[draw.random_range(0..CallKind::ALL.len())];
-        let box_at = rotation.draw(&mut draw);
+    while !stop.load(Ordering::Acquire) {
+        let kind = CallKind::ALL[rng.random_range(0..CallKind::ALL.len())];
+        let box_index = rotation.pick(&mut rng);
         let id = format!("r{number}a{}", calls.len());
-        let address = rotation.boxes[box_at];
-        calls.push(make_call(&mut kept[box_at], address, box_at, kind, id).await);
+        let address = rotation.boxes[box_index];
+        calls.push(make_call(&mut kept[box_index], address, box_index, kind, id).await);
         tokio::time::sleep(PAUSE).await;
     }
     calls
 }
 
-/// Makes one request, on a kept connection where it is still open.
+/// Makes one request, on the kept connection if it is still open.
 pub(super) async fn make_call(
     kept: &mut KeptConnection,
     address: SocketAddr,
-    box_at: usize,
+    box_index: usize,
     kind: CallKind,
     id: String,
 ) -> SteadyCall {
-    let begun = Instant::now();
-    let outcome = tokio::time::timeout(PATIENCE, outcome_of(kept, address, kind, &id)).await;
+    let started = Instant::now();
+    let outcome =
+        tokio::time::timeout(ANSWER_TIMEOUT, send_request(kept, address, kind, &id)).await;
     SteadyCall {
         id,
         kind,
-        box_at,
-        begun,
+        box_index,
+        started,
         ended: Instant::now(),
-        outcome: outcome.unwrap_or(CallOutcome::Cut("no whole answer in time")),
+        outcome: outcome.unwrap_or(CallOutcome::Cut("no complete answer in time")),
     }
 }
 
-async fn outcome_of(
+async fn send_request(
     kept: &mut KeptConnection,
     address: SocketAddr,
     kind: CallKind,
@@ -173,7 +176,7 @@
         open = None;
     }
     if open.is_none() {
-        open = connect_within(address, PATIENCE).await;
+        open = connect_within(address, ANSWER_TIMEOUT).await;
     }
     let Some(mut sender) = open else {
         return CallOutcome::Cut("no connection");
@@ -182,10 +185,10 @@
         return CallOutcome::Cut("no answer");
     };
     let status = response.status();
-    let names_id = response.headers().get("x-request-id");
-    let names_id = names_id.is_some_and(|named| named.as_bytes() == id.as_bytes());
+    let request_id = response.headers().get("x-request-id");
+    let has_request_id = request_id.is_some_and(|named| named.as_bytes() == id.as_bytes());
     let Ok(body) = response.into_body().collect().await else {
-        return CallOutcome::Cut("broken off");
+        return CallOutcome::Cut("connection closed during the body");
     };
     let body = body.to_bytes();
     *kept = Some(sender);
@@ -195,7 +198,7 @@
         (_, StatusCode::OK) => {
             let expected = kind.events().map(all_events);
             let expected = expected.unwrap_or_else(|| "echo hello".to_owned());
-            match names_id && body == expected.as_bytes() {
+            match has_request_id && body == expected.as_bytes() {
                 true => CallOutcome::AsExpected,
                 false => CallOutcome::Wrong(String::from_utf8_lossy(&body).into_owned()),
             }
--- a/dockgate-bench/src/relay.rs
+++ b/dockgate-bench/src/relay.rs
@@ -1,4 +1,4 @@
-//! Relays between failure domains: they delay, count bytes, and can be cut.
+//! TCP relays that add delay, count bytes, and can be cut.
 
 use crate::error::BenchError;
 use bytes::BytesMut;
@@ -12,14 +12,14 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::Instant;
 
-const CHUNK: usize = 16 << 10;
+const CHUNK_BYTES: usize = 16 << 10;
 
-/// Bytes that passed a set of relays, both ways.
+/// Number of bytes that passed a set of relays, in both directions.
 #[derive(Debug, Clone, Default)]
 pub struct ByteCount(Arc<AtomicU64>);
 
 impl ByteCount {
-    /// Returns the bytes so far.
+    /// Returns the number of bytes so target_stream.
     pub fn total(&self) -> u64 {
         self.0.load(Ordering::Relaxed)
     }
@@ -29,10 +29,10 @@
     }
 }
 
-/// A relay in front of one address.
+/// A relay to one address.
 #[derive(Debug)]
 pub struct LinkRelay {
-    /// Where the relay listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
     cut: watch::Sender<bool>,
 }
@@ -42,7 +42,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error where no port is free.
+    /// Returns an error if no port is free.
     pub async fn start(
         target: SocketAddr,
         delay: Duration,
@@ -56,45 +56,45 @@
         let (cut, is_cut) = watch::channel(false);
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                // A cut relay drops the connection, as a firewall that resets does.
+                // A cut relay closes new connections.
                 if !*is_cut.borrow() {
                     let (count, is_cut) = (count.clone(), is_cut.clone());
-                    tokio::spawn(pass(stream, target, delay, count, is_cut));
+                    tokio::spawn(relay_connection(stream, target, delay, count, is_cut));
                 }
             }
         });
         Ok(Self { address, cut })
     }
 
-    /// Cuts the relay, open connections too, or heals it.
+    /// Cuts the relay and its open connections, or restores it.
     pub fn set_cut(&self, cut: bool) {
         self.cut.send_replace(cut);
     }
 }
 
-async fn pass(
-    near: TcpStream,
+async fn relay_connection(
+    client: TcpStream,
     target: SocketAddr,
     delay: Duration,
     count: ByteCount,
     mut is_cut: watch::Receiver<bool>,
 ) {
-    let Ok(far) = TcpStream::connect(target).await else {
+    let Ok(target_stream) = TcpStream::connect(target).await else {
         return;
     };
-    let _ = (near.set_nodelay(true), far.set_nodelay(true));
-    let (near_read, near_write) = near.into_split();
-    let (far_read, far_write) = far.into_split();
-    let there = one_way(near_read, far_write, delay, count.clone());
-    let back = one_way(far_read, near_write, delay, count);
+    let _ = (client.set_nodelay(true), target_stream.set_nodelay(true));
+    let (client_read, client_write) = client.into_split();
+    let (target_read, target_write) = target_stream.into_split();
+    let there = forward(client_read, target_write, delay, count.clone());
+    let back = forward(target_read, client_write, delay, count);
     tokio::select! {
         _ = async { tokio::join!(there, back) } => {}
         _ = is_cut.wait_for(|cut| *cut) => {}
     }
 }
 
-/// Passes bytes one way, each piece after the delay.
-async fn one_way(
+/// Forwards bytes in one direction, each chunk after the delay.
+async fn forward(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
     delay: Duration,
@@ -103,22 +103,22 @@
     let (sender, mut receiver) = mpsc::channel::<(Instant, BytesMut)>(256);
     let read = async move {
         loop {
-            let mut piece = BytesMut::with_capacity(CHUNK);
-            match from.read_buf(&mut piece).await {
+            let mut chunk = BytesMut::with_capacity(CHUNK_BYTES);
+            match from.read_buf(&mut chunk).await {
                 Ok(0) | Err(_) => return,
                 Ok(read) => count.add(read),
             }
-            if sender.send((Instant::now() + delay, piece)).await.is_err() {
+            if sender.send((Instant::now() + delay, chunk)).await.is_err() {
                 return;
             }
         }
     };
     let write = async move {
-        while let Some((due, piece)) = receiver.recv().await {
+        while let Some((due, chunk)) = receiver.recv().await {
             if !delay.is_zero() {
                 tokio::time::sleep_until(due).await;
             }
-            if to.write_all(&piece).await.is_err() {
+            if to.write_all(&chunk).await.is_err() {
                 return;
             }
         }
--- a/dockgate-bench/src/standin.rs
+++ b/dockgate-bench/src/standin.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for model engines, plain services and the platform's key-value service.
+//! Stand-ins for model engines, plain services, routed endpoints, boxes and the platform.
 
 pub mod caller;
 mod engine;
--- a/dockgate-bench/src/standin/routed.rs
+++ b/dockgate-bench/src/standin/routed.rs
@@ -1,5 +1,5 @@
-//! A stand-in for an endpoint of the users' platform: it speaks the published protocol, counts what
-//! it runs, and fails in the ways that it is told to.
+//! A stand-in for a routed endpoint that speaks the published protocol, records the requests that it
+//! runs, and can be made to fail.
 
 use super::http::{BrokenOff, StandInBody, answer, serve};
 use crate::error::BenchError;
@@ -15,46 +15,46 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use tokio_util::sync::CancellationToken;
 
-/// How an endpoint treats the requests that it gets.
+/// How an endpoint handles requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum EndpointBehavior {
-    /// It answers.
+    /// Answers correctly.
     #[default]
     Sound,
-    /// It refuses without running, as when it is full.
+    /// Refuses the request without running it, as a full endpoint does.
     Full,
-    /// It runs the request and its answer is lost.
+    /// Runs the request and loses the answer.
     Loses,
-    /// It runs the request and answers with the id of another one.
+    /// Runs the request and answers with another request id.
     Foreign,
-    /// It runs the request and answers without its proof.
+    /// Runs the request and answers without a proof.
     NoProof,
-    /// It runs the request and answers with an encoded body.
+    /// Runs the request and answers with a content encoding.
     Encoded,
-    /// It runs the request and fails.
+    /// Runs the request and answers with an error.
     Fails,
-    /// It takes the request and says nothing.
+    /// Accepts the request and never answers.
     Silent,
-    /// It breaks its streams off after this many events, inside the next one.
+    /// Cuts streams within the event after this many events.
     CutsAfter(u64),
 }
 
-/// One request as an endpoint got it.
+/// A request as an endpoint received it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReceivedRequest {
-    /// The caller's id.
+    /// The request id.
     pub id: String,
-    /// Method and target.
+    /// The method and target.
     pub target: String,
     /// The body.
     pub body: Bytes,
     /// All headers, as text.
     pub headers: BTreeMap<String, String>,
-    /// When it came.
+    /// When it was received.
     pub at: Instant,
 }
 
-/// A request that an endpoint turned away.
+/// A request that an endpoint rejected with a backoff.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RejectedRequest {
     /// The request.
@@ -63,10 +63,10 @@
     pub backoff: Duration,
 }
 
-/// The end of a run, whether it was answered or broken off.
+/// The end of a run, answered or aborted.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RunEnd {
-    /// The caller's id.
+    /// The request id.
     pub id: String,
     /// When it ended.
     pub at: Instant,
@@ -74,32 +74,32 @@
 
 #[derive(Default)]
 struct RoutedState {
-    manner: Mutex<EndpointBehavior>,
-    seen: Mutex<Vec<ReceivedRequest>>,
+    behavior: Mutex<EndpointBehavior>,
+    received: Mutex<Vec<ReceivedRequest>>,
     ends: Mutex<Vec<RunEnd>>,
     unfinished: Mutex<i64>,
     processing_time: Mutex<Duration>,
     is_leaving: Mutex<bool>,
     backoff: Mutex<Option<Duration>>,
     rejected: Mutex<Vec<RejectedRequest>>,
-    deadly: Mutex<Vec<Bytes>>,
+    crash_bodies: Mutex<Vec<Bytes>>,
 }
 
 fn locked<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// The header by which a stand-in tells which lifetime of its id answers.
+/// The header with the start time of the endpoint that answers, in Unix milliseconds.
 pub const STARTED_HEADER: &str = "x-born";
 
-/// Which endpoint answers.
+/// The id and start time of an endpoint.
 #[derive(Debug, Clone)]
 struct EndpointIdentity {
     id: String,
     started_ms: u64,
 }
 
-/// An endpoint on a loopback port.
+/// A routed endpoint on a loopback port.
 pub struct RoutedStandIn {
     /// Its id.
     pub id: String,
@@ -107,29 +107,29 @@
     pub started_ms: u64,
     /// The service that it belongs to.
     pub service: String,
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
     state: Arc<RoutedState>,
     stop: CancellationToken,
 }
 
 impl RoutedStandIn {
-    /// Starts an endpoint that answers.
+    /// Starts an endpoint that answers correctly.
     ///
     /// # Errors
     ///
-    /// Returns an error where no port is free.
+    /// Returns an error if no port is free.
     pub async fn start(id: &str, service: &str) -> Result<Self, BenchError> {
         let state = Arc::new(RoutedState::default());
         let stop = CancellationToken::new();
         let born = SystemTime::now().duration_since(UNIX_EPOCH);
         let started_ms = born.unwrap_or_default().as_millis() as u64;
-        let own = EndpointIdentity {
+        let identity = EndpointIdentity {
             id: id.to_owned(),
             started_ms,
         };
         let (handler, end) = (state.clone(), stop.clone());
-        let handle = move |request| handle(handler.clone(), own.clone(), end.clone(), request);
+        let handle = move |request| handle(handler.clone(), identity.clone(), end.clone(), request);
         let address = serve(handle, stop.clone()).await?;
         Ok(Self {
             id: id.to_owned(),
@@ -141,7 +141,7 @@
         })
     }
 
-    /// Returns the key and value of its record in the store.
+    /// Returns the key and value of its store record.
     pub fn record(&self, domain: &str, state: &str) -> (String, String) {
         let value = json!({
             "service": self.service, "address": self.address, "zone": domain, "version": "v1",
@@ -153,17 +153,17 @@
         )
     }
 
-    /// Sets how it treats requests from now on.
-    pub fn set_behavior(&self, manner: EndpointBehavior) {
-        *locked(&self.state.manner) = manner;
+    /// Sets how it handles requests from now on.
+    pub fn set_behavior(&self, behavior: EndpointBehavior) {
+        *locked(&self.state.behavior) = behavior;
     }
 
-    /// Sets how long a request, or each event of a stream, takes.
+    /// Sets the time that a request, or each event of a stream, takes.
     pub fn set_processing_time(&self, processing_time: Duration) {
         *locked(&self.state.processing_time) = processing_time;
     }
 
-    /// Says in all answers from now on that it leaves, or does not.
+    /// Sets whether its answers announce that it leaves.
     pub fn set_leaving(&self, is_leaving: bool) {
         *locked(&self.state.is_leaving) = is_leaving;
     }
@@ -173,27 +173,27 @@
         *locked(&self.state.backoff) = backoff;
     }
 
-    /// Adds a body of requests under which it ends as it begins to run them.
+    /// Makes it crash when it starts to run a request with this body.
     pub fn add_crash_body(&self, body: &Bytes) {
-        let mut deadly = locked(&self.state.deadly);
-        if !deadly.contains(body) {
-            deadly.push(body.clone());
+        let mut crash_bodies = locked(&self.state.crash_bodies);
+        if !crash_bodies.contains(body) {
+            crash_bodies.push(body.clone());
         }
     }
 
-    /// Ends under no request any more.
+    /// Stops it from crashing on any request.
     pub fn clear_crash_bodies(&self) {
-        locked(&self.state.deadly).clear();
+        locked(&self.state.crash_bodies).clear();
     }
 
-    /// Tells whether it has ended.
+    /// Returns whether it was killed or has crashed.
     pub fn has_ended(&self) -> bool {
         self.stop.is_cancelled()
     }
 
     /// Returns the requests that it ran.
     pub fn ran(&self) -> Vec<ReceivedRequest> {
-        locked(&self.state.seen).clone()
+        locked(&self.state.received).clone()
     }
 
     /// Returns the requests that it turned away and asked for backoff.
@@ -206,18 +206,18 @@
         locked(&self.state.ends).clone()
     }
 
-    /// Returns how many requests it works on.
+    /// Returns the number of requests that it is running.
     pub fn working(&self) -> i64 {
         *locked(&self.state.unfinished)
     }
 
-    /// Dies: every connection is cut and nothing listens any more.
+    /// Stops listening and cuts all connections.
     pub fn kill(&self) {
         self.stop.cancel();
     }
 }
 
-/// A run that is under way; dropping it notes its end.
+/// A run in progress; its end is recorded on drop.
 struct RoutedRun {
     state: Arc<RoutedState>,
     id: String,
@@ -226,7 +226,7 @@
 impl RoutedRun {
     fn new(state: Arc<RoutedState>, request: ReceivedRequest) -> Self {
         let id = request.id.clone();
-        locked(&state.seen).push(request);
+        locked(&state.received).push(request);
         *locked(&state.unfinished) += 1;
         Self { state, id }
     }
@@ -263,14 +263,14 @@
 
 async fn handle(
     state: Arc<RoutedState>,
-    own: EndpointIdentity,
+    identity: EndpointIdentity,
     end: CancellationToken,
     request: Request<Incoming>,
 ) -> Result<Response<StandInBody>, BrokenOff> {
-    let mut response = answer_of(&state, &own.id, end, request).await?;
+    let mut response = answer_of(&state, &identity.id, end, request).await?;
     let is_own = response.status() != StatusCode::MISDIRECTED_REQUEST;
     let headers = response.headers_mut();
-    headers.insert(STARTED_HEADER, HeaderValue::from(own.started_ms));
+    headers.insert(STARTED_HEADER, HeaderValue::from(identity.started_ms));
     if is_own && *locked(&state.is_leaving) {
         headers.insert("server-leaving", HeaderValue::from_static("1"));
     }
@@ -279,7 +279,7 @@
 
 async fn answer_of(
     state: &Arc<RoutedState>,
-    own: &str,
+    own_id: &str,
     end: CancellationToken,
     request: Request<Incoming>,
 ) -> Result<Response<StandInBody>, BrokenOff> {
@@ -294,11 +294,11 @@
             )
         })
         .collect();
-    let manner = *locked(&state.manner);
+    let behavior = *locked(&state.behavior);
     let id = headers.get("x-request-id").cloned().unwrap_or_default();
-    match (headers.get("x-expected-instance"), manner) {
+    match (headers.get("x-expected-instance"), behavior) {
         _ if id.is_empty() => return Ok(not_run(StatusCode::BAD_REQUEST)),
-        (Some(expected), _) if expected != own => {
+        (Some(expected), _) if expected != own_id => {
             return Ok(not_run(StatusCode::MISDIRECTED_REQUEST));
         }
         (_, EndpointBehavior::Full) => return Ok(not_run(StatusCode::SERVICE_UNAVAILABLE)),
@@ -310,7 +310,7 @@
     let events = headers
         .get("x-token-usage")
         .and_then(|usage| usage.split_once(',')?.1.parse().ok());
-    let seen = ReceivedRequest {
+    let received = ReceivedRequest {
         id: id.clone(),
         target: format!("{} {}", parts.method, parts.uri),
         body: body.clone(),
@@ -319,17 +319,17 @@
     };
     let backoff = *locked(&state.backoff);
     if let Some(backoff) = backoff {
-        let request = seen;
+        let request = received;
         locked(&state.rejected).push(RejectedRequest { request, backoff });
         return reject_with_backoff(&id, backoff);
     }
-    let run = RoutedRun::new(state.clone(), seen);
-    if locked(&state.deadly).contains(&body) {
+    let run = RoutedRun::new(state.clone(), received);
+    if locked(&state.crash_bodies).contains(&body) {
         end.cancel();
         return Err(BrokenOff);
     }
     let processing_time = *locked(&state.processing_time);
-    match manner {
+    match behavior {
         EndpointBehavior::Loses => return Err(BrokenOff),
         EndpointBehavior::Silent => std::future::pending().await,
         _ if events.is_none() => tokio::time::sleep(processing_time).await,
@@ -338,7 +338,7 @@
     let body = match events {
         Some(events) => event_body(
             run,
-            manner,
+            behavior,
             processing_time,
             last_event.unwrap_or(0),
             events,
@@ -347,19 +347,19 @@
     };
     let mut response = Response::new(body);
     let headers = response.headers_mut();
-    let named = match manner {
+    let answered_id = match behavior {
         EndpointBehavior::Foreign => "another",
         _ => &id,
     };
     headers.insert(
         "x-request-id",
-        HeaderValue::from_str(named).map_err(|_| BrokenOff)?,
+        HeaderValue::from_str(answered_id).map_err(|_| BrokenOff)?,
     );
-    if manner != EndpointBehavior::NoProof {
-        let proof = HeaderValue::from_str(&format!("proof-of-{own}"));
+    if behavior != EndpointBehavior::NoProof {
+        let proof = HeaderValue::from_str(&format!("proof-of-{own_id}"));
         headers.insert("x-upstream-signature", proof.map_err(|_| BrokenOff)?);
     }
-    match manner {
+    match behavior {
         EndpointBehavior::Encoded => {
             headers.insert(header::CONTENT_ENCODING, HeaderValue::from_static("gzip"));
         }
@@ -369,15 +369,15 @@
     Ok(response)
 }
 
-/// Makes the events after `last` up to `events`, or breaks off inside one.
+/// Streams the events after `last` up to `events`, or cuts the stream within one of them.
 fn event_body(
     run: RoutedRun,
-    manner: EndpointBehavior,
+    behavior: EndpointBehavior,
     processing_time: Duration,
     last: u64,
     events: u64,
 ) -> StandInBody {
-    let cut = match manner {
+    let cut = match behavior {
         EndpointBehavior::CutsAfter(count) => Some(last + count),
         _ => None,
     };
