--- a/dockgate-bench/src/fault.rs
+++ b/dockgate-bench/src/fault.rs
@@ -213,16 +213,16 @@
     /// Notes that the endpoint leaves; runs that start after the grace are counted.
     pub fn set_leaving(&self, grace: Option<Duration>) {
         match self {
-            Self::Engine(engine) => engine.leave.set(grace),
-            Self::Service(service) => service.leave.set(grace),
+            Self::Engine(engine) => engine.late_runs.set_leaving(grace),
+            Self::Service(service) => service.late_runs.set_leaving(grace),
         }
     }
 
     /// Returns how many runs started after the grace.
     pub fn late_starts(&self) -> u64 {
         match self {
-            Self::Engine(engine) => engine.leave.late(),
-            Self::Service(service) => service.leave.late(),
+            Self::Engine(engine) => engine.late_runs.count(),
+            Self::Service(service) => service.late_runs.count(),
         }
     }
 }
--- a/dockgate-bench/src/gateway_fleet.rs
+++ b/dockgate-bench/src/gateway_fleet.rs
@@ -159,8 +159,8 @@
 
     /// Sets the total time for which it appears to have been suspended.
     ///
-    /// The clock that counts suspensions is advanced; the monotonic clock and timers are not. Only test builds
-    /// support this.
+    /// The clock that counts suspensions is advanced; the monotonic clock and timers are not. Only
+    /// test builds support this.
     ///
     /// # Errors
     ///
@@ -265,8 +265,8 @@
 
 /// Returns a configuration.
 ///
-/// Its routes: `/once/` is not idempotent, `/again/` is idempotent, `/live/` is a resumable stream, and `/draft/`
-/// is a stream that cannot be resumed.
+/// Its routes: `/once/` is not idempotent, `/again/` is idempotent, `/live/` is a resumable stream,
+/// and `/draft/` is a stream that cannot be resumed.
 #[must_use]
 pub fn route_config(version: u64, keys: &str) -> String {
     let route = |name: &str, kind: &str, service: &str, extra: &str| {
@@ -317,7 +317,8 @@
     config.replacen("\"routes\":[", &format!("\"routes\":[{routes}"), 1)
 }
 
-/// Starts gateways and one endpoint per entry of `services`, with version 3 of the default configuration.
+/// Starts gateways and one endpoint per entry of `services`, with version 3 of the default
+/// configuration.
 ///
 /// # Panics
 ///
--- a/dockgate-bench/src/gateway_soak.rs
+++ b/dockgate-bench/src/gateway_soak.rs
@@ -1,8 +1,8 @@
 //! A randomised soak test of gateways: real processes under constant load and overlapping faults.
 //!
-//! The seed decides the faults and their times. Answers are checked as they arrive, and the records of
-//! callers and endpoints are compared at the end. Each fault is undone separately, so any number of them
-//! may overlap.
+//! The seed decides the faults and their times. Answers are checked as they arrive, and the records
+//! of callers and endpoints are compared at the end. Each fault is undone separately, so any number
+//! of them may overlap.
 
 mod crashing_caller;
 mod disconnecting_caller;
@@ -56,24 +56,28 @@
     /// Faults of boxes, endpoints and the store, all mixed.
     #[default]
     All,
-    /// Delayed updates while endpoints leave: the store does not answer some boxes, watches stall and
-    /// configurations are large. Boxes are left alone, so each must learn in time which endpoints leave.
+    /// Delayed updates while endpoints leave: the store does not answer some boxes, watches stall
+    /// and configurations are large. Boxes are left alone, so each must learn in time which
+    /// endpoints leave.
     #[value(name = "late-news")]
     DelayedUpdates,
-    /// Requests that crash the endpoint that runs them and are sent repeatedly, while boxes are killed, stopped
-    /// and paused, and the store is unavailable. Connected boxes send each of them only a few times.
+    /// Requests that crash the endpoint that runs them and are sent repeatedly, while boxes are
+    /// killed, stopped and paused, and the store is unavailable. Connected boxes send each of them
+    /// only a few times.
     #[value(name = "ending")]
     CrashingRequests,
-    /// Callers that disconnect early, many with pipelined requests, while boxes are stopped and continued in
-    /// turn, endpoints fail and configurations are large. Nothing reaches an endpoint for a caller that is gone.
+    /// Callers that disconnect early, many with pipelined requests, while boxes are stopped and
+    /// continued in turn, endpoints fail and configurations are large. Nothing reaches an endpoint
+    /// for a caller that is gone.
     #[value(name = "leaving")]
     CallerDisconnects,
-    /// Endpoints that announce only in their answers that they leave, and restart under the same id, or reject
-    /// requests and ask for a backoff, while boxes are killed, stopped and paused, and the store is unavailable.
-    #[value(name = "notices")]
-    EndpointNotices,
-    /// A store that is restored from older snapshots, while updates are delayed and endpoints leave. Boxes are
-    /// left alone: each must learn in time which endpoints leave, and callers are not affected.
+    /// Endpoints that announce only in their answers that they leave, and restart under the same
+    /// id, or reject requests and ask for a backoff, while boxes are killed, stopped and paused,
+    /// and the store is unavailable.
+    Notices,
+    /// A store that is restored from older snapshots, while updates are delayed and endpoints
+    /// leave. Boxes are left alone: each must learn in time which endpoints leave, and callers are
+    /// not affected.
     #[value(name = "older-copies")]
     StoreRestores,
 }
--- a/dockgate-bench/src/gateway_soak/crashing_caller.rs
+++ b/dockgate-bench/src/gateway_soak/crashing_caller.rs
@@ -26,8 +26,8 @@
 const DOWNTIME_MS: Range<u64> = 100..1_500;
 /// Number of crashes after which a request is known to cause them.
 const CRASHES_TO_QUARANTINE: usize = 3;
-/// Time after the last of them within which connected boxes stop sending the request. A box counts as
-/// connected once it has been undisturbed for this long.
+/// Time after the last of them within which connected boxes stop sending the request. A box counts
+/// as connected once it has been undisturbed for this long.
 const SYNC_TIME: Duration = Duration::from_secs(3);
 /// Maximum number of times that each request is sent after that.
 const MAX_LATE_SENDS: usize = 3;
@@ -139,8 +139,8 @@
     }
 }
 
-/// Lists crashing requests that connected boxes kept sending after they were identified, and other requests that
-/// were quarantined by mistake.
+/// Lists crashing requests that connected boxes kept sending after they were identified, and other
+/// requests that were quarantined by mistake.
 pub(super) fn excess_sends(
     calls: &[CrashingCall],
     endpoints: &[&RoutedStandIn],
--- a/dockgate-bench/src/gateway_soak/disconnecting_caller.rs
+++ b/dockgate-bench/src/gateway_soak/disconnecting_caller.rs
@@ -19,8 +19,8 @@
 const PAUSE: Duration = Duration::from_millis(15);
 /// Time within which a connection must open.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time after a disconnect within which the request may still reach an endpoint or run there, not counting the
-/// scheduling lag of this process.
+/// Time after a disconnect within which the request may still reach an endpoint or run there, not
+/// counting the scheduling lag of this process.
 const CANCEL_DEADLINE: Duration = Duration::from_millis(500);
 /// Interval at which the scheduling lag of this process is measured.
 const LAG_INTERVAL: Duration = Duration::from_millis(10);
@@ -66,8 +66,8 @@
         &self.calls
     }
 
-    /// Lists requests that reached endpoints, or still ran there, too long after their callers disconnected. Runs
-    /// are checked only outside the `slow` periods of boxes.
+    /// Lists requests that reached endpoints, or still ran there, too long after their callers
+    /// disconnected. Runs are checked only outside the `slow` periods of boxes.
     pub(super) fn late_work(
         &self,
         endpoints: &[&RoutedStandIn],
--- a/dockgate-bench/src/gateway_soak/fault_injector.rs
+++ b/dockgate-bench/src/gateway_soak/fault_injector.rs
@@ -34,7 +34,8 @@
 const STOPPED_MS: Range<u64> = 20..900;
 /// Time for which it runs between two pauses, in milliseconds.
 const RUNNING_MS: Range<u64> = 2..30;
-/// Time for which an endpoint that announces in its answers that it leaves keeps running, in milliseconds.
+/// Time for which an endpoint that announces in its answers that it leaves keeps running, in
+/// milliseconds.
 const NOTICE_MS: Range<u64> = 500..5_000;
 /// Backoff that endpoints ask for, in milliseconds.
 const BACKOFF_MS: Range<u64> = 600..4_000;
@@ -70,7 +71,7 @@
     EndOutage,
     ResetDelay,
     KeepReplies,
-    ResetBehavior(usize),
+    Recover(usize),
     RemoveEndpoint(usize),
     AnswerAgain(usize),
     /// Ends an endpoint and leaves its record behind.
@@ -179,10 +180,8 @@
                 SoakFaults::StoreRestores if self.rng.random_bool(0.3) => self.restore_store(fleet),
                 SoakFaults::StoreRestores => self.delay_updates(fleet).await?,
                 SoakFaults::CallerDisconnects => self.begin_slow_fault(fleet).await,
-                SoakFaults::EndpointNotices if self.rng.random_bool(0.5) => {
-                    self.begin_notice_fault(fleet)
-                }
-                SoakFaults::EndpointNotices => self.begin(fleet, BOX_AND_STORE_FAULTS).await?,
+                SoakFaults::Notices if self.rng.random_bool(0.5) => self.begin_notice(fleet),
+                SoakFaults::Notices => self.begin(fleet, BOX_AND_STORE_FAULTS).await?,
             }
         }
         Ok(())
@@ -211,9 +210,7 @@
             FaultReversal::EndOutage => fleet.store.set_unavailable(false),
             FaultReversal::ResetDelay => fleet.store.set_delay(Duration::ZERO),
             FaultReversal::KeepReplies => fleet.store.set_drops_replies(false),
-            FaultReversal::ResetBehavior(at) => {
-                fleet.endpoints[at].set_behavior(EndpointBehavior::Sound)
-            }
+            FaultReversal::Recover(at) => fleet.endpoints[at].set_behavior(EndpointBehavior::Sound),
             FaultReversal::AnswerAgain(at) => fleet.store_listeners[at].set_silent(false),
             FaultReversal::EndEndpoint(at) => fleet.endpoints[at].kill(),
             FaultReversal::ResetBackoff => fleet
@@ -328,7 +325,7 @@
             9 => {
                 let behavior = BEHAVIORS[self.rng.random_range(0..BEHAVIORS.len())];
                 fleet.endpoints[endpoint].set_behavior(behavior);
-                let end = FaultReversal::ResetBehavior(endpoint);
+                let end = FaultReversal::Recover(endpoint);
                 (
                     format!("endpoint {endpoint}: {behavior:?}"),
                     duration,
@@ -437,8 +434,8 @@
         Ok(())
     }
 
-    /// Begins a fault that slows down the handling of requests: an intermittent box, a failing endpoint, or a
-    /// large configuration.
+    /// Begins a fault that slows down the handling of requests: an intermittent box, a failing
+    /// endpoint, or a large configuration.
     async fn begin_slow_fault(&mut self, fleet: &GatewayFleet) {
         let box_index = self.rng.random_range(0..fleet.gateways.len());
         let endpoint = self.rng.random_range(0..super::SERVICES.len());
@@ -457,10 +454,8 @@
                 let behavior = BEHAVIORS[self.rng.random_range(0..BEHAVIORS.len())];
                 fleet.endpoints[endpoint].set_behavior(behavior);
                 let duration = Duration::from_millis(self.rng.random_range(FAULT_MS));
-                self.reversals.push((
-                    Instant::now() + duration,
-                    FaultReversal::ResetBehavior(endpoint),
-                ));
+                self.reversals
+                    .push((Instant::now() + duration, FaultReversal::Recover(endpoint)));
                 format!("endpoint {endpoint}: {behavior:?}")
             }
             _ => {
@@ -473,8 +468,9 @@
         self.fault_log.push(format!("{at} ms: {what}"));
     }
 
-    /// Makes an endpoint announce in its answers that it leaves, or makes some endpoints ask for a backoff.
-    fn begin_notice_fault(&mut self, fleet: &GatewayFleet) {
+    /// Makes an endpoint announce in its answers that it leaves, or makes some endpoints ask for a
+    /// backoff.
+    fn begin_notice(&mut self, fleet: &GatewayFleet) {
         let endpoint = self.rng.random_range(0..super::SERVICES.len());
         let at = self.started.elapsed().as_millis();
         let (what, duration, end) = match self.rng.random_bool(0.4) {
@@ -527,8 +523,8 @@
         self.drained.iter().any(|drained| drained.matches(endpoint))
     }
 
-    /// Lists the requests that reached endpoints too long after they were drained, for runs in which no box is
-    /// disturbed.
+    /// Lists the requests that reached endpoints too long after they were drained, for runs in
+    /// which no box is disturbed.
     pub(super) fn sent_after_drain(&self, endpoints: &[&RoutedStandIn]) -> Vec<String> {
         let undisturbed =
             [SoakFaults::DelayedUpdates, SoakFaults::StoreRestores].contains(&self.faults);
--- a/dockgate-bench/src/gateway_soak/notice_check.rs
+++ b/dockgate-bench/src/gateway_soak/notice_check.rs
@@ -11,7 +11,8 @@
 /// Maximum number of requests of a box that may reach an endpoint during its backoff.
 const MAX_SENDS_IN_BACKOFF: usize = 2;
 
-/// Lists requests that reached endpoints after they announced that they leave, or during their backoff.
+/// Lists requests that reached endpoints after they announced that they leave, or during their
+/// backoff.
 ///
 /// A box forgets both when it restarts, and a simulated suspension shortens the backoff.
 pub(super) fn sent_despite_notices(
--- a/dockgate-bench/src/gateway_soak/soak_call.rs
+++ b/dockgate-bench/src/gateway_soak/soak_call.rs
@@ -1,4 +1,5 @@
-//! The requests of a caller that waits for each answer and checks it against the published protocol.
+//! The requests of a caller that waits for each answer and checks it against the published
+//! protocol.
 
 use crate::standin::STARTED_HEADER;
 use bytes::{Bytes, BytesMut};
--- a/dockgate-bench/src/gateway_soak/store_snapshots.rs
+++ b/dockgate-bench/src/gateway_soak/store_snapshots.rs
@@ -35,7 +35,8 @@
 }
 
 impl FaultInjector {
-    /// Restores the store from a snapshot of the last seconds; the lost records are written again soon after.
+    /// Restores the store from a snapshot of the last seconds; the lost records are written again
+    /// soon after.
     pub(super) fn restore_store(&mut self, fleet: &GatewayFleet) {
         let Some(last) = self.snapshots.snapshots.len().checked_sub(1) else {
             return;
--- a/dockgate-bench/src/mixed_fleet.rs
+++ b/dockgate-bench/src/mixed_fleet.rs
@@ -1,7 +1,8 @@
 //! A compatibility test of two builds: half of the boxes run another build, under constant load.
 //!
-//! Configurations and endpoints change, boxes are killed and stopped gracefully, and each build is started on the
-//! settings and stored records of the other. A run of the same seed with one build alone serves as the baseline.
+//! Configurations and endpoints change, boxes are killed and stopped gracefully, and each build is
+//! started on the settings and stored records of the other. A run of the same seed with one build
+//! alone serves as the baseline.
 
 mod fleet_log;
 mod fleet_run;
--- a/dockgate-bench/src/mixed_fleet/fleet_run.rs
+++ b/dockgate-bench/src/mixed_fleet/fleet_run.rs
@@ -337,7 +337,8 @@
         Ok(())
     }
 
-    /// Stops each box in turn, and restarts it with the other program on the same settings and store.
+    /// Stops each box in turn, and restarts it with the other program on the same settings and
+    /// store.
     pub(super) async fn swap_programs(&mut self) -> Result<(), BenchError> {
         for at in 0..self.fleet.gateways.len() {
             let down_ms = self.stop_gateway(at).await;
@@ -350,8 +351,8 @@
         Ok(())
     }
 
-    /// Ends the callers, kills all boxes and restarts them with the other program, so that the store is their only
-    /// source of state; then sends a request of each kind to each box.
+    /// Ends the callers, kills all boxes and restarts them with the other program, so that the
+    /// store is their only source of state; then sends a request of each kind to each box.
     pub(super) async fn restart_all_swapped(&mut self) -> Result<(), BenchError> {
         self.check_boxes().await;
         self.stop_callers.store(true, Ordering::Release);
@@ -404,8 +405,8 @@
         self.other_programs[at] = before;
     }
 
-    /// Stops a box, takes it out of rotation once it is not ready, and waits for its exit; returns when the stop
-    /// began, in Unix milliseconds.
+    /// Stops a box, takes it out of rotation once it is not ready, and waits for its exit; returns
+    /// when the stop began, in Unix milliseconds.
     async fn stop_gateway(&mut self, at: usize) -> u64 {
         let down_ms = unix_ms();
         let start = self.fleet.gateways[at].logged().len();
@@ -433,7 +434,8 @@
         Ok(())
     }
 
-    /// Waits until a box is ready and has logged the newest configuration after byte `start` of its log.
+    /// Waits until a box is ready and has logged the newest configuration after byte `start` of its
+    /// log.
     async fn wait_until_ready(&mut self, at: usize, start: usize) {
         let text = format!(r#""version":{},"source""#, self.version);
         let gateway = &self.fleet.gateways[at];
--- a/dockgate-bench/src/relay.rs
+++ b/dockgate-bench/src/relay.rs
@@ -19,7 +19,7 @@
 pub struct ByteCount(Arc<AtomicU64>);
 
 impl ByteCount {
-    /// Returns the number of bytes so target_stream.
+    /// Returns the number of bytes so far.
     pub fn total(&self) -> u64 {
         self.0.load(Ordering::Relaxed)
     }
--- a/dockgate-bench/src/standin/caller.rs
+++ b/dockgate-bench/src/standin/caller.rs
@@ -1,4 +1,4 @@
-//! A stand-in for a caller on the users' platform: one request on a connection of its own.
+//! Helpers that send requests to gateways as a caller does, and read the answers.
 
 use crate::gateway_fleet::GatewayProcess;
 use bytes::Bytes;
@@ -15,17 +15,19 @@
 ///
 /// # Panics
 ///
-/// Panics where nobody listens.
+/// Panics if the connection is refused.
 pub async fn connect(address: SocketAddr) -> SendRequest<Full<Bytes>> {
-    let stream = TcpStream::connect(address).await.expect("somebody listens");
+    let stream = TcpStream::connect(address)
+        .await
+        .expect("the gateway accepts connections");
     let (sender, connection) = handshake(TokioIo::new(stream))
         .await
-        .expect("a client needs no answer to begin");
+        .expect("the client handshake needs no answer");
     tokio::spawn(connection);
     sender
 }
 
-/// Connects to a gateway that may not be there.
+/// Connects to a gateway; returns `None` if that fails or takes too long.
 pub async fn connect_within(
     address: SocketAddr,
     limit: Duration,
@@ -37,21 +39,21 @@
     Some(sender)
 }
 
-/// Makes a request with `x-token-usage`, which a stream's stand-in takes its events from.
+/// Creates a request; `events` is the number of events if it is a stream.
 ///
 /// # Panics
 ///
-/// Panics where the path or the id cannot stand in a request.
+/// Panics if the path or the id is not valid in a request.
 #[must_use]
 pub fn request(path: &str, id: &str, events: Option<u64>) -> Request<Full<Bytes>> {
     request_with_body(path, id, events, Bytes::from_static(b"hello"))
 }
 
-/// Makes the same request with a body.
+/// Creates a request with a body; see [`request`].
 ///
 /// # Panics
 ///
-/// Panics where the path or the id cannot stand in a request.
+/// Panics if the path or the id is not valid in a request.
 #[must_use]
 pub fn request_with_body(
     path: &str,
@@ -71,7 +73,7 @@
         builder = builder
             .header("x-model", "m")
             .header("x-token-usage", format!("500,{events}"))
-            // Each request has a subject of its own, so that all endpoints get some.
+            // Each request has another prefix, so that requests spread over all endpoints.
             .header(
                 "x-prefix-hash",
                 format!("a{}:400,b2:100", id.trim_start_matches('r')),
@@ -79,14 +81,14 @@
     }
     builder
         .body(Full::new(body))
-        .expect("path and id are plain")
+        .expect("path and id are valid")
 }
 
 /// Sends a request to a gateway.
 ///
 /// # Panics
 ///
-/// Panics where it is not answered.
+/// Panics if it is not answered.
 pub async fn call(gateway: &GatewayProcess, request: Request<Full<Bytes>>) -> Response<Incoming> {
     let mut sender = connect(gateway.callers()).await;
     sender
@@ -95,18 +97,18 @@
         .expect("the gateway answers")
 }
 
-/// Reads a whole answer.
+/// Reads the body of an answer as text.
 ///
 /// # Panics
 ///
-/// Panics where it is cut off, or is no text.
+/// Panics if the body is incomplete or not UTF-8.
 pub async fn text(response: Response<Incoming>) -> String {
     let body = response.into_body().collect().await;
-    let body = body.expect("the answer is whole").to_bytes();
-    String::from_utf8(body.to_vec()).expect("stand-ins answer with text")
+    let body = body.expect("the answer is complete").to_bytes();
+    String::from_utf8(body.to_vec()).expect("the answer is UTF-8")
 }
 
-/// Returns the events of a whole stream.
+/// Returns the body of a complete stream.
 #[must_use]
 pub fn all_events(count: u64) -> String {
     (1..=count)
--- a/dockgate-bench/src/standin/engine.rs
+++ b/dockgate-bench/src/standin/engine.rs
@@ -1,6 +1,6 @@
-//! A stand-in for a model engine: continuous batching, a prefix cache of limited size, streams.
+//! A stand-in for a model engine with continuous batching, a bounded prefix cache and streams.
 
-use super::http::{BrokenOff, StandInBody, answer, serve};
+use super::http::{AbortedConnection, StandInBody, answer, serve};
 use super::tally::{LateRunCounter, RunTally};
 use crate::error::BenchError;
 use bytes::Bytes;
@@ -20,30 +20,31 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-/// Bytes of a prompt that make one token.
+/// Number of prompt bytes per token.
 const BYTES_PER_TOKEN: usize = 4;
-/// Tokens of a prompt that make one block of the prefix cache.
+/// Number of prompt tokens per block of the prefix cache.
 const BLOCK_TOKENS: usize = 16;
 
-/// How an engine behaves.
+/// The capacity and speed of an engine.
 #[derive(Debug, Clone, Copy)]
 pub struct EngineProfile {
-    /// Requests that run at once.
+    /// Maximum number of concurrent requests.
     pub slots: usize,
-    /// Tokens a second for each stream while the engine is not crowded.
+    /// Maximum tokens per second of one stream.
     pub stream_rate: f64,
-    /// Tokens a second shared by all streams.
+    /// Maximum tokens per second of all streams together.
     pub total_rate: f64,
-    /// Tokens of a prompt read in a second.
+    /// Prompt tokens prefilled per second.
     pub prefill_rate: f64,
-    /// Blocks of prompts that the cache holds.
+    /// Maximum number of blocks in the prefix cache.
     pub cache_blocks: usize,
-    /// How often a batch step hands out tokens.
+    /// Interval of batch steps.
     pub step: Duration,
 }
 
 impl EngineProfile {
-    /// Makes the rule of an engine with so many slots and tokens a second for a stream.
+    /// Creates the profile of an engine with `slots` slots and `stream_rate` tokens per second and
+    /// stream.
     pub fn new(slots: usize, stream_rate: f64) -> Self {
         Self {
             slots,
@@ -67,12 +68,12 @@
     #[serde(default)]
     stream: bool,
     max_tokens: Option<usize>,
-    /// How many tokens of the answer the caller has already.
+    /// Number of answer tokens that the caller already has.
     #[serde(default)]
     resume_from: usize,
 }
 
-/// Blocks of prompts, the least recently added dropped first.
+/// A cache of prompt blocks that evicts the oldest ones.
 #[derive(Debug, Default)]
 struct PrefixCache {
     blocks: HashSet<u64>,
@@ -80,8 +81,8 @@
 }
 
 impl PrefixCache {
-    /// Returns how many tokens of a prompt must be read, and keeps its blocks.
-    fn missing_tokens(&mut self, prompt: &str, most: usize) -> usize {
+    /// Adds the blocks of a prompt, and returns the number of tokens that were not cached.
+    fn missing_tokens(&mut self, prompt: &str, max_blocks: usize) -> usize {
         let size = BLOCK_TOKENS * BYTES_PER_TOKEN;
         let mut hash = 0_u64;
         let mut missing = 0;
@@ -96,9 +97,9 @@
                 self.order.push_back(hash);
             }
         }
-        while self.order.len() > most {
-            if let Some(old) = self.order.pop_front() {
-                self.blocks.remove(&old);
+        while self.order.len() > max_blocks {
+            if let Some(oldest) = self.order.pop_front() {
+                self.blocks.remove(&oldest);
             }
         }
         missing
@@ -106,69 +107,69 @@
 }
 
 struct EngineState {
-    rule: EngineProfile,
+    profile: EngineProfile,
     tally: Arc<RunTally>,
     running: AtomicUsize,
-    dying: AtomicBool,
+    is_killed: AtomicBool,
     cache: Mutex<PrefixCache>,
-    leave: Arc<LateRunCounter>,
+    late_runs: Arc<LateRunCounter>,
     stop: CancellationToken,
 }
 
-/// One engine on a loopback port.
+/// An engine on a loopback port.
 pub struct EngineStandIn {
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
-    /// Counts runs that start after the engine was told to leave.
-    pub leave: Arc<LateRunCounter>,
+    /// Counts runs that start too late after the engine was told to leave.
+    pub late_runs: Arc<LateRunCounter>,
     state: Arc<EngineState>,
 }
 
 impl EngineStandIn {
-    /// Starts an engine that counts into a tally.
+    /// Starts an engine that records its runs in a tally.
     ///
     /// # Errors
     ///
-    /// Returns an error where no port is free.
-    pub async fn start(rule: EngineProfile, tally: Arc<RunTally>) -> Result<Self, BenchError> {
-        tally.add_slots(rule.slots as isize);
+    /// Returns an error if no port is free.
+    pub async fn start(profile: EngineProfile, tally: Arc<RunTally>) -> Result<Self, BenchError> {
+        tally.add_slots(profile.slots as isize);
         let state = Arc::new(EngineState {
-            rule,
+            profile,
             tally,
             running: AtomicUsize::new(0),
-            dying: AtomicBool::new(false),
+            is_killed: AtomicBool::new(false),
             cache: Mutex::default(),
-            leave: Arc::default(),
+            late_runs: Arc::default(),
             stop: CancellationToken::new(),
         });
         let handler = state.clone();
         let handle = move |request| handle(handler.clone(), request);
         let address = serve(handle, state.stop.clone()).await?;
-        let leave = state.leave.clone();
+        let late_runs = state.late_runs.clone();
         Ok(Self {
             address,
-            leave,
+            late_runs,
             state,
         })
     }
 
-    /// Dies: every connection is cut and nothing listens any more.
+    /// Stops listening and cuts all connections.
     pub fn kill(&self) {
-        if !self.state.dying.swap(true, Ordering::AcqRel) {
+        if !self.state.is_killed.swap(true, Ordering::AcqRel) {
             self.state
                 .tally
-                .add_slots(-(self.state.rule.slots as isize));
+                .add_slots(-(self.state.profile.slots as isize));
             self.state.stop.cancel();
         }
     }
 
-    /// Returns how many requests run.
+    /// Returns the number of requests running now.
     pub fn running(&self) -> usize {
         self.state.running.load(Ordering::Acquire)
     }
 }
 
-/// A run that holds a slot; dropping it frees the slot.
+/// A run that holds a slot until it is dropped.
 struct EngineRun {
     state: Arc<EngineState>,
     workspace: String,
@@ -176,17 +177,17 @@
 
 impl EngineRun {
     fn start(state: &Arc<EngineState>, workspace: &str, nonce: &str) -> Option<Self> {
-        let slots = state.rule.slots;
+        let slots = state.profile.slots;
         let taken = state
             .running
             .fetch_update(Ordering::AcqRel, Ordering::Acquire, |running| {
                 (running < slots).then_some(running + 1)
             });
         if taken.is_err() {
-            state.tally.refuse();
+            state.tally.add_refusal();
             return None;
         }
-        state.leave.start();
+        state.late_runs.start();
         state.tally.start(workspace, nonce);
         Some(Self {
             state: state.clone(),
@@ -194,11 +195,11 @@
         })
     }
 
-    /// Returns the tokens a second of each stream now.
+    /// Returns the current tokens per second of each stream.
     fn rate(&self) -> f64 {
         let running = self.state.running.load(Ordering::Acquire).max(1);
-        let rule = &self.state.rule;
-        rule.stream_rate.min(rule.total_rate / running as f64)
+        let profile = &self.state.profile;
+        profile.stream_rate.min(profile.total_rate / running as f64)
     }
 }
 
@@ -209,12 +210,12 @@
     }
 }
 
-/// Returns the text of one token of the answer to a prompt that carries a nonce.
+/// Returns the text of the answer token at `index` for a prompt with a nonce.
 pub fn answer_token(nonce: &str, index: usize) -> String {
     format!("{nonce}.{index} ")
 }
 
-/// Returns the nonce of a prompt: its last word.
+/// Returns the nonce of a prompt, which is its last word.
 fn nonce_of(prompt: &str) -> &str {
     prompt.rsplit(' ').next().unwrap_or(prompt)
 }
@@ -227,12 +228,16 @@
 async fn handle(
     state: Arc<EngineState>,
     request: Request<Incoming>,
-) -> Result<Response<StandInBody>, BrokenOff> {
+) -> Result<Response<StandInBody>, AbortedConnection> {
     if request.uri().path() != "/v1/chat/completions" {
         return Ok(answer(StatusCode::NOT_FOUND, "no such path"));
     }
     let (parts, body) = request.into_parts();
-    let body = body.collect().await.map_err(|_| BrokenOff)?.to_bytes();
+    let body = body
+        .collect()
+        .await
+        .map_err(|_| AbortedConnection)?
+        .to_bytes();
     let Ok(chat) = serde_json::from_slice::<ChatRequest>(&body) else {
         return Ok(answer(StatusCode::BAD_REQUEST, "not a chat request"));
     };
@@ -249,25 +254,25 @@
     };
     let missing = {
         let mut cache = state.cache.lock().unwrap_or_else(PoisonError::into_inner);
-        cache.missing_tokens(&prompt, state.rule.cache_blocks)
+        cache.missing_tokens(&prompt, state.profile.cache_blocks)
     };
-    state.tally.recompute(chat.resume_from as u64);
+    state.tally.add_recomputed(chat.resume_from as u64);
     let task = EngineTask {
         run,
         nonce,
         first: chat.resume_from,
         tokens: chat.max_tokens.unwrap_or(1),
         prompt_tokens: prompt.len().div_ceil(BYTES_PER_TOKEN),
-        prefill: Duration::from_secs_f64(missing as f64 / state.rule.prefill_rate),
+        prefill: Duration::from_secs_f64(missing as f64 / state.profile.prefill_rate),
         attempt: header_text(&parts.headers, headers::ATTEMPT_ID),
     };
     match chat.stream {
         true => Ok(task.stream()),
-        false => task.whole().await,
+        false => task.complete().await,
     }
 }
 
-/// One request that runs on an engine.
+/// A request that runs on an engine.
 struct EngineTask {
     run: EngineRun,
     nonce: String,
@@ -279,30 +284,31 @@
 }
 
 impl EngineTask {
-    /// Computes tokens step by step; `emit` gets each step's range and says whether to go on.
+    /// Computes tokens step by step; `emit` receives the range of each step and returns whether to
+    /// continue.
     async fn compute<F, A>(&self, mut emit: F)
     where
         F: FnMut(std::ops::Range<usize>) -> A,
         A: Future<Output = bool>,
     {
         tokio::time::sleep(self.prefill).await;
-        let mut made = 0.0;
+        let mut computed = 0.0;
         let mut next = self.first;
         let mut last = Instant::now();
         while next < self.tokens {
-            tokio::time::sleep(self.run.state.rule.step).await;
-            if self.run.state.dying.load(Ordering::Acquire) {
+            tokio::time::sleep(self.run.state.profile.step).await;
+            if self.run.state.is_killed.load(Ordering::Acquire) {
                 return;
             }
             let now = Instant::now();
-            made += self.run.rate() * (now - last).as_secs_f64();
+            computed += self.run.rate() * (now - last).as_secs_f64();
             last = now;
-            let end = self.tokens.min(self.first + made as usize);
+            let end = self.tokens.min(self.first + computed as usize);
             if end > next {
                 self.run
                     .state
                     .tally
-                    .give(&self.run.workspace, (end - next) as f64);
+                    .add_units(&self.run.workspace, (end - next) as f64);
                 if !emit(next..end).await {
                     return;
                 }
@@ -322,7 +328,7 @@
         let mut text = String::new();
         for index in range {
             let token = answer_token(&self.nonce, index);
-            // Writing to a string does not fail.
+            // Writing to a string cannot fail.
             let _ = write!(
                 text,
                 "data: {{\"id\":\"{}\",\"choices\":[{{\"index\":0,\"delta\":{{\"content\":\"{token}\"}}}}]}}\n\n",
@@ -333,7 +339,7 @@
     }
 
     fn stream(self) -> Response<StandInBody> {
-        let (sender, receiver) = mpsc::channel::<Result<Frame<Bytes>, BrokenOff>>(4);
+        let (sender, receiver) = mpsc::channel::<Result<Frame<Bytes>, AbortedConnection>>(4);
         tokio::spawn(async move {
             let feed = sender.clone();
             self.compute(|range| {
@@ -343,15 +349,15 @@
             })
             .await;
             let mut sender = sender;
-            let last = match self.run.state.dying.load(Ordering::Acquire) {
-                true => Err(BrokenOff),
+            let last = match self.run.state.is_killed.load(Ordering::Acquire) {
+                true => Err(AbortedConnection),
                 false => {
                     let usage = serde_json::json!({ "choices": [], "usage": self.usage() });
                     let text = format!("data: {usage}\n\ndata: [DONE]\n\n");
                     Ok(Frame::data(Bytes::from(text)))
                 }
             };
-            // The slot is free before the caller sees the end.
+            // Frees the slot before the caller sees the end.
             drop(self);
             let _ = sender.send(last).await;
         });
@@ -361,10 +367,10 @@
         response
     }
 
-    async fn whole(self) -> Result<Response<StandInBody>, BrokenOff> {
+    async fn complete(self) -> Result<Response<StandInBody>, AbortedConnection> {
         self.compute(|_| async { true }).await;
-        if self.run.state.dying.load(Ordering::Acquire) {
-            return Err(BrokenOff);
+        if self.run.state.is_killed.load(Ordering::Acquire) {
+            return Err(AbortedConnection);
         }
         let tokens = (self.first..self.tokens).map(|index| answer_token(&self.nonce, index));
         let text: String = tokens.collect();
--- a/dockgate-bench/src/standin/engine/tests.rs
+++ b/dockgate-bench/src/standin/engine/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_known_prefix_is_not_read_again() {
+fn cached_prefixes_are_not_prefilled_again() {
     let mut cache = PrefixCache::default();
     let prompt = "x".repeat(640);
     assert_eq!(cache.missing_tokens(&prompt, 100), 160);
@@ -11,6 +11,6 @@
     assert_eq!(
         cache.missing_tokens(&prompt, 0),
         160,
-        "everything was dropped"
+        "all blocks were evicted"
     );
 }
--- a/dockgate-bench/src/standin/http.rs
+++ b/dockgate-bench/src/standin/http.rs
@@ -1,4 +1,4 @@
-//! A small HTTP endpoint for the stand-ins.
+//! A minimal HTTP server for the stand-ins.
 
 use crate::error::BenchError;
 use bytes::Bytes;
@@ -16,21 +16,21 @@
 use tokio_util::sync::CancellationToken;
 
 /// The body of a stand-in's answer.
-pub(super) type StandInBody = BoxBody<Bytes, BrokenOff>;
+pub(super) type StandInBody = BoxBody<Bytes, AbortedConnection>;
 
-/// Ends a connection without an answer, as an endpoint that fails does.
+/// An error that closes a connection without an answer.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct BrokenOff;
+pub(super) struct AbortedConnection;
 
-impl std::fmt::Display for BrokenOff {
+impl std::fmt::Display for AbortedConnection {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("broken off on purpose")
+        f.write_str("connection aborted by the stand-in")
     }
 }
 
-impl std::error::Error for BrokenOff {}
+impl std::error::Error for AbortedConnection {}
 
-/// Makes an answer of bytes.
+/// Returns an answer with a status and a body.
 pub(super) fn answer(status: StatusCode, body: impl Into<Bytes>) -> Response<StandInBody> {
     let body = Full::new(body.into())
         .map_err(|never: Infallible| match never {})
@@ -40,14 +40,14 @@
     response
 }
 
-/// Serves on a free loopback port until the token is cancelled; connections are cut then.
+/// Serves on a free loopback port until the token is cancelled, which also cuts open connections.
 pub(super) async fn serve<F, A>(
     handle: F,
     stop: CancellationToken,
 ) -> Result<SocketAddr, BenchError>
 where
     F: Fn(Request<Incoming>) -> A + Clone + Send + Sync + 'static,
-    A: Future<Output = Result<Response<StandInBody>, BrokenOff>> + Send + 'static,
+    A: Future<Output = Result<Response<StandInBody>, AbortedConnection>> + Send + 'static,
 {
     let bind = |cause| BenchError::Io("listen", "for a stand-in".to_owned(), cause);
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))
--- a/dockgate-bench/src/standin/peer.rs
+++ b/dockgate-bench/src/standin/peer.rs
@@ -25,8 +25,8 @@
 }
 
 impl PeerStandIn {
-    /// Starts a box in failure domain `a` that announces the state `answer` to the box at `to`. It uses
-    /// `own` for datagrams and `own_state` for state requests.
+    /// Starts a box in failure domain `a` that announces the state `answer` to the box at `to`. It
+    /// uses `own` for datagrams and `own_state` for state requests.
     ///
     /// Answers with a configuration are held back until [`PeerStandIn::release_config`].
     ///
--- a/dockgate-bench/src/standin/platform.rs
+++ b/dockgate-bench/src/standin/platform.rs
@@ -1,9 +1,9 @@
-//! A stand-in for the platform: its key-value store with leases, watches and a history.
+//! A stand-in for the platform's key-value store with leases, watches and a history of changes.
 
 mod key_store;
 mod store_listener;
 
-use super::http::{BrokenOff, StandInBody, answer, serve};
+use super::http::{AbortedConnection, StandInBody, answer, serve};
 use crate::error::BenchError;
 use bytes::Bytes;
 use dockgate_platform::{
@@ -12,7 +12,7 @@
 use http::{HeaderValue, Method, Request, Response, StatusCode};
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
-use key_store::{KeyStore, StoreRefusal};
+use key_store::{KeyStore, TxnRejection};
 use serde::Serialize;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -25,10 +25,10 @@
 
 pub use store_listener::StoreListener;
 
-/// The largest value that is stored, in bytes, as it is written in base64.
-const MOST_BODY: usize = 2 << 20;
-/// How often a waiting watch looks for leases that have ended.
-const EXPIRE: Duration = Duration::from_millis(100);
+/// Maximum size of a transaction's JSON body, in bytes.
+const MAX_BODY_BYTES: usize = 2 << 20;
+/// Interval at which a waiting watch checks for expired leases.
+const EXPIRY_INTERVAL: Duration = Duration::from_millis(100);
 
 /// A box as the platform lists it.
 #[derive(Debug, Clone)]
@@ -37,9 +37,9 @@
     pub name: String,
     /// Its failure domain.
     pub domain: String,
-    /// Where its peer door is reached from each failure domain.
+    /// Its peer address as seen from each failure domain.
     pub peer_addresses: HashMap<String, SocketAddr>,
-    /// What the platform thinks of it.
+    /// Its state in the platform's records.
     pub state: BoxState,
 }
 
@@ -55,29 +55,29 @@
     }
 }
 
-/// Calls counted so far.
+/// Numbers of calls so far.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct PlatformCalls {
-    /// Reads, a waiting watch as one.
+    /// Number of reads; a watch counts once.
     pub reads: u64,
-    /// Writes.
+    /// Number of writes.
     pub writes: u64,
 }
 
-/// The store as it was at some moment.
+/// A snapshot of the store.
 #[derive(Debug, Clone)]
 pub struct StoreSnapshot(KeyStore);
 
 struct PlatformState {
     store: Mutex<KeyStore>,
-    /// Rises each time that the store comes back from an older copy.
+    /// Incremented each time the store is restored from an older snapshot.
     era: AtomicU64,
     changed: watch::Sender<u64>,
     reads: AtomicU64,
     writes: AtomicU64,
-    out: AtomicBool,
-    loses_replies: AtomicBool,
-    slow_ms: AtomicU64,
+    unavailable: AtomicBool,
+    drops_replies: AtomicBool,
+    delay_ms: AtomicU64,
 }
 
 impl PlatformState {
@@ -85,7 +85,7 @@
         self.store.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Changes the store, and wakes the watches.
+    /// Expires leases, applies a change and wakes the watches.
     fn change<T>(&self, change: impl FnOnce(&mut KeyStore) -> T) -> T {
         let mut store = self.store();
         store.expire();
@@ -95,19 +95,19 @@
     }
 }
 
-/// The platform's service on a loopback port.
+/// The platform's store on a loopback port.
 pub struct PlatformStandIn {
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
     state: Arc<PlatformState>,
 }
 
 impl PlatformStandIn {
-    /// Starts an empty service.
+    /// Starts an empty store.
     ///
     /// # Errors
     ///
-    /// Returns an error where no port is free.
+    /// Returns an error if no port is free.
     pub async fn start() -> Result<Self, BenchError> {
         let state = Arc::new(PlatformState {
             store: Mutex::default(),
@@ -115,55 +115,55 @@
             changed: watch::channel(0).0,
             reads: AtomicU64::new(0),
             writes: AtomicU64::new(0),
-            out: AtomicBool::new(false),
-            loses_replies: AtomicBool::new(false),
-            slow_ms: AtomicU64::new(0),
+            unavailable: AtomicBool::new(false),
+            drops_replies: AtomicBool::new(false),
+            delay_ms: AtomicU64::new(0),
         });
-        let door = open_listener(&state).await?;
-        let address = door.address;
+        let listener = open_listener(&state).await?;
+        let address = listener.address;
         Ok(Self { address, state })
     }
 
-    /// Opens a further address, which can fall silent by itself.
+    /// Opens another listener, which can be made unresponsive independently.
     ///
     /// # Errors
     ///
-    /// Returns an error where no port is free.
+    /// Returns an error if no port is free.
     pub async fn open_listener(&self) -> Result<StoreListener, BenchError> {
         open_listener(&self.state).await
     }
 
-    /// Writes a key, as the platform's own programs do.
+    /// Writes a key directly, without a call.
     pub fn set(&self, key: &str, value: impl Into<Bytes>) {
         let value = value.into();
         self.state.change(|store| store.write(key, value, 0));
     }
 
-    /// Removes a key, as the platform's own programs do.
+    /// Removes a key directly, without a call.
     pub fn remove(&self, key: &str) {
         self.state.change(|store| store.remove(key));
     }
 
-    /// Lists all keys that there are.
+    /// Lists all keys.
     pub fn keys(&self) -> Vec<String> {
         self.state.store().keys()
     }
 
-    /// Forgets all changes so far, so that watches must list anew.
+    /// Drops the history of changes, so that watches must list again.
     pub fn forget_history(&self) {
         self.state.change(KeyStore::forget_history);
     }
 
-    /// Returns the store as it is now.
+    /// Returns a snapshot of the store.
     pub fn snapshot(&self) -> StoreSnapshot {
         StoreSnapshot(self.state.store().clone())
     }
 
-    /// Comes back from an older copy: what was written since is gone, revisions are given out again, and calls that
-    /// wait are cut.
-    pub fn restore(&self, copy: StoreSnapshot) {
+    /// Restores the store from a snapshot: later writes are lost, revisions are reused, and waiting
+    /// watches are aborted.
+    pub fn restore(&self, snapshot: StoreSnapshot) {
         self.state.era.fetch_add(1, Ordering::AcqRel);
-        self.state.change(|store| *store = copy.0);
+        self.state.change(|store| *store = snapshot.0);
     }
 
     /// Writes the records of boxes.
@@ -173,7 +173,7 @@
         }
     }
 
-    /// Changes what the record of one box says.
+    /// Changes the state in the record of one box.
     pub fn set_box_state(&self, name: &str, state: BoxState) {
         self.state.change(|store| {
             let key = format!("{}{name}", dockgate_platform::BOXES);
@@ -186,23 +186,25 @@
         });
     }
 
-    /// Begins or ends an outage: every call is cut off unanswered and has no effect.
-    pub fn set_unavailable(&self, out: bool) {
-        self.state.out.store(out, Ordering::Release);
+    /// Begins or ends an outage, in which calls are aborted without effect.
+    pub fn set_unavailable(&self, unavailable: bool) {
+        self.state.unavailable.store(unavailable, Ordering::Release);
     }
 
-    /// Begins or ends losing the replies of writes that have taken effect.
-    pub fn set_drops_replies(&self, loses: bool) {
-        self.state.loses_replies.store(loses, Ordering::Release);
+    /// Begins or ends dropping the replies to writes, which still take effect.
+    pub fn set_drops_replies(&self, drops_replies: bool) {
+        self.state
+            .drops_replies
+            .store(drops_replies, Ordering::Release);
     }
 
-    /// Sets how much longer every call takes.
-    pub fn set_delay(&self, slow: Duration) {
-        let slow = slow.as_millis() as u64;
-        self.state.slow_ms.store(slow, Ordering::Release);
+    /// Sets the delay of every call.
+    pub fn set_delay(&self, delay: Duration) {
+        let delay = delay.as_millis() as u64;
+        self.state.delay_ms.store(delay, Ordering::Release);
     }
 
-    /// Returns the calls counted so far.
+    /// Returns the numbers of calls so far.
     pub fn calls(&self) -> PlatformCalls {
         PlatformCalls {
             reads: self.state.reads.load(Ordering::Relaxed),
@@ -211,7 +213,7 @@
     }
 }
 
-/// The query of a call, by name.
+/// The query parameters of a call, by name.
 struct CallQuery<'a>(HashMap<&'a str, &'a str>);
 
 impl<'a> CallQuery<'a> {
@@ -230,42 +232,46 @@
 }
 
 async fn open_listener(state: &Arc<PlatformState>) -> Result<StoreListener, BenchError> {
-    let (state, door) = (state.clone(), ListenerState::new());
-    let met = door.clone();
+    let (state, listener) = (state.clone(), ListenerState::new());
+    let handler_listener = listener.clone();
     let handle = move |request: Request<Incoming>| {
-        let (state, door) = (state.clone(), met.clone());
+        let (state, listener) = (state.clone(), handler_listener.clone());
         async move {
             let is_watch = request.uri().path() == routes::WATCH;
-            let dropped = door.dropped();
-            let answer = handle(state.clone(), &door, request).await;
+            let stall_count = listener.stall_count();
+            let answer = handle(state.clone(), &listener, request).await;
             let answer = answer.map(|mut answer| {
                 let era = HeaderValue::from(state.era.load(Ordering::Acquire));
                 answer.headers_mut().insert("store-era", era);
                 answer
             });
-            door.pass(answer, is_watch, dropped).await
+            listener.pass(answer, is_watch, stall_count).await
         }
     };
     let address = serve(handle, CancellationToken::new()).await?;
     Ok(StoreListener {
         address,
-        state: door,
+        state: listener,
     })
 }
 
 async fn handle(
     state: Arc<PlatformState>,
-    door: &ListenerState,
+    listener: &ListenerState,
     request: Request<Incoming>,
-) -> Result<Response<StandInBody>, BrokenOff> {
+) -> Result<Response<StandInBody>, AbortedConnection> {
     let (parts, body) = request.into_parts();
-    let body = body.collect().await.map_err(|_| BrokenOff)?.to_bytes();
-    let slow = state.slow_ms.load(Ordering::Acquire);
-    if slow > 0 {
-        tokio::time::sleep(Duration::from_millis(slow)).await;
+    let body = body
+        .collect()
+        .await
+        .map_err(|_| AbortedConnection)?
+        .to_bytes();
+    let delay = state.delay_ms.load(Ordering::Acquire);
+    if delay > 0 {
+        tokio::time::sleep(Duration::from_millis(delay)).await;
     }
-    if state.out.load(Ordering::Acquire) {
-        return Err(BrokenOff);
+    if state.unavailable.load(Ordering::Acquire) {
+        return Err(AbortedConnection);
     }
     let query = CallQuery::parse(parts.uri.query().unwrap_or_default());
     let counter = match parts.method {
@@ -278,7 +284,7 @@
         (&Method::GET, routes::RANGE) => Ok(range(&state, &query)),
         (&Method::GET, routes::WATCH) => {
             if query.text("path_prefix") == dockgate_platform::ENDPOINTS {
-                door.note_watch(Duration::from_millis(query.number("wait_ms")));
+                listener.record_watch(Duration::from_millis(query.number("wait_ms")));
             }
             watch_changes(&state, &query).await
         }
@@ -286,23 +292,29 @@
         (&Method::POST, routes::LEASE) => reply(&state, grant_lease(&state, &body)),
         (&Method::POST, path) if path.starts_with(routes::KEEP) => {
             let lease = path[routes::KEEP.len()..].parse().unwrap_or_default();
-            reply(&state, found(state.change(|store| store.renew(lease))))
+            reply(
+                &state,
+                lease_response(state.change(|store| store.renew(lease))),
+            )
         }
         (&Method::DELETE, path) if path.starts_with(routes::END) => {
             let lease = path[routes::END.len()..].parse().unwrap_or_default();
-            reply(&state, found(state.change(|store| store.end_lease(lease))))
+            reply(
+                &state,
+                lease_response(state.change(|store| store.end_lease(lease))),
+            )
         }
         _ => Ok(answer(StatusCode::NOT_FOUND, "no such path")),
     }
 }
 
-/// Answers a write, unless its reply is to be lost.
+/// Answers a write, unless replies are dropped.
 fn reply(
     state: &PlatformState,
     response: Response<StandInBody>,
-) -> Result<Response<StandInBody>, BrokenOff> {
-    match state.loses_replies.load(Ordering::Acquire) {
-        true => Err(BrokenOff),
+) -> Result<Response<StandInBody>, AbortedConnection> {
+    match state.drops_replies.load(Ordering::Acquire) {
+        true => Err(AbortedConnection),
         false => Ok(response),
     }
 }
@@ -311,7 +323,7 @@
     answer(status, serde_json::to_vec(body).unwrap_or_default())
 }
 
-fn found(found: bool) -> Response<StandInBody> {
+fn lease_response(found: bool) -> Response<StandInBody> {
     match found {
         true => answer(StatusCode::OK, "{}"),
         false => answer(StatusCode::NOT_FOUND, "no such lease"),
@@ -343,7 +355,7 @@
 async fn watch_changes(
     state: &PlatformState,
     query: &CallQuery<'_>,
-) -> Result<Response<StandInBody>, BrokenOff> {
+) -> Result<Response<StandInBody>, AbortedConnection> {
     let (prefix, since) = (query.text("path_prefix"), query.number("since_revision"));
     let wait = Duration::from_millis(query.number("wait_ms"));
     let deadline = tokio::time::Instant::now() + wait;
@@ -356,28 +368,28 @@
             store.expire();
             store.changes(prefix, since)
         };
-        let over = tokio::time::Instant::now() >= deadline;
+        let has_timed_out = tokio::time::Instant::now() >= deadline;
         if era != state.era.load(Ordering::Acquire) {
-            return Err(BrokenOff);
+            return Err(AbortedConnection);
         }
         match changes {
             None => return Ok(answer(StatusCode::GONE, "that history is forgotten")),
-            Some(changes) if over || !changes.events.is_empty() => {
+            Some(changes) if has_timed_out || !changes.events.is_empty() => {
                 return Ok(json(StatusCode::OK, &changes));
             }
             Some(_) => {}
         }
-        let next = deadline.min(tokio::time::Instant::now() + EXPIRE);
-        // A change, the end of the wait, and a look at the leases are handled alike.
+        let next = deadline.min(tokio::time::Instant::now() + EXPIRY_INTERVAL);
+        // Wakes up for a change, for the deadline, or to expire leases.
         let _ = tokio::time::timeout_at(next, changed.changed()).await;
-        if state.out.load(Ordering::Acquire) {
-            return Err(BrokenOff);
+        if state.unavailable.load(Ordering::Acquire) {
+            return Err(AbortedConnection);
         }
     }
 }
 
 fn transact(state: &PlatformState, body: &[u8]) -> Response<StandInBody> {
-    if body.len() > MOST_BODY {
+    if body.len() > MAX_BODY_BYTES {
         return answer(StatusCode::PAYLOAD_TOO_LARGE, "the value is too large");
     }
     let Ok(txn) = serde_json::from_slice::<WireTxn>(body) else {
@@ -385,11 +397,11 @@
     };
     match state.change(|store| store.transact(txn)) {
         Ok(revision) => json(StatusCode::OK, &WireCommit { revision }),
-        Err(StoreRefusal::Conflict(entries)) => {
+        Err(TxnRejection::Conflict(entries)) => {
             let body = serde_json::json!({ "entries": entries });
             json(StatusCode::PRECONDITION_FAILED, &body)
         }
-        Err(StoreRefusal::NoLease) => answer(StatusCode::NOT_FOUND, "no such lease"),
+        Err(TxnRejection::NoLease) => answer(StatusCode::NOT_FOUND, "no such lease"),
     }
 }
 
--- a/dockgate-bench/src/standin/platform/key_store.rs
+++ b/dockgate-bench/src/standin/platform/key_store.rs
@@ -1,14 +1,14 @@
-//! The state of the platform's store: items, revisions, leases, and the history of changes.
+//! The content of the platform's store: items, revisions, leases and the history of changes.
 
 use bytes::Bytes;
 use dockgate_platform::{LeaseGrant, WireChanges, WireItem, WireRange, WireTxn, WireValue};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::{Duration, Instant};
 
-/// How many items one page holds.
-const PAGE: usize = 500;
-/// How many changes are remembered.
-const HISTORY: usize = 10_000;
+/// Maximum number of items per page.
+const PAGE_ITEMS: usize = 500;
+/// Maximum number of changes in the history.
+const HISTORY_CHANGES: usize = 10_000;
 
 #[derive(Debug, Clone, Copy)]
 struct StoreLease {
@@ -16,28 +16,28 @@
     until: Instant,
 }
 
-/// Why writes were not done.
-pub(super) enum StoreRefusal {
-    /// A condition does not hold; what is there instead.
+/// The reason why a transaction was rejected.
+pub(super) enum TxnRejection {
+    /// A condition does not hold; contains the current items.
     Conflict(Vec<WireItem>),
-    /// The lease is over.
+    /// A lease does not exist.
     NoLease,
 }
 
-/// The store.
+/// An in-memory key-value store.
 #[derive(Debug, Clone, Default)]
 pub(super) struct KeyStore {
     items: BTreeMap<String, WireItem>,
     leases: HashMap<u64, StoreLease>,
     history: VecDeque<WireItem>,
-    /// Changes up to this revision are forgotten.
-    forgotten: u64,
+    /// Changes up to this revision were dropped from the history.
+    dropped_revision: u64,
     revision: u64,
     last_lease: u64,
 }
 
 impl KeyStore {
-    /// Returns the revision of the last change.
+    /// Returns the current revision.
     pub(super) const fn revision(&self) -> u64 {
         self.revision
     }
@@ -52,29 +52,29 @@
         self.items.keys().cloned().collect()
     }
 
-    /// Ends the leases whose time is over.
+    /// Ends expired leases and removes their keys.
     pub(super) fn expire(&mut self) {
         let now = Instant::now();
-        let over = self.leases.iter().filter(|(_, lease)| lease.until <= now);
-        let over: Vec<u64> = over.map(|(id, _)| *id).collect();
-        for lease in over {
+        let expired = self.leases.iter().filter(|(_, lease)| lease.until <= now);
+        let expired: Vec<u64> = expired.map(|(id, _)| *id).collect();
+        for lease in expired {
             self.end_lease(lease);
         }
     }
 
-    fn record(&mut self, item: WireItem) {
+    fn append_change(&mut self, item: WireItem) {
         self.history.push_back(item);
-        while self.history.len() > HISTORY {
-            if let Some(gone) = self.history.pop_front() {
-                self.forgotten = gone.revision;
+        while self.history.len() > HISTORY_CHANGES {
+            if let Some(dropped) = self.history.pop_front() {
+                self.dropped_revision = dropped.revision;
             }
         }
     }
 
-    /// Forgets all changes so far.
+    /// Drops the history of changes.
     pub(super) fn forget_history(&mut self) {
         self.history.clear();
-        self.forgotten = self.revision;
+        self.dropped_revision = self.revision;
     }
 
     /// Writes a key.
@@ -93,15 +93,15 @@
             deleted: false,
         };
         self.items.insert(key.to_owned(), item.clone());
-        self.record(item);
+        self.append_change(item);
     }
 
-    /// Removes a key, if it is there.
+    /// Removes a key, if it exists.
     pub(super) fn remove(&mut self, key: &str) {
         if self.items.remove(key).is_some() {
             self.revision += 1;
             let revision = self.revision;
-            self.record(WireItem {
+            self.append_change(WireItem {
                 key_file: key.to_owned(),
                 revision,
                 deleted: true,
@@ -110,18 +110,22 @@
         }
     }
 
-    /// Does everything or nothing.
-    pub(super) fn transact(&mut self, txn: WireTxn) -> Result<u64, StoreRefusal> {
+    /// Applies a transaction as a whole or rejects it.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if a condition does not hold or a lease does not exist.
+    pub(super) fn transact(&mut self, txn: WireTxn) -> Result<u64, TxnRejection> {
         let revision_of = |key: &str| self.items.get(key).map_or(0, |item| item.revision);
         let conditions = txn.expected_revision.iter();
-        let broken =
+        let failed =
             conditions.filter(|condition| revision_of(&condition.key_file) != condition.revision);
-        if broken.count() > 0 {
+        if failed.count() > 0 {
             let keys = txn
                 .expected_revision
                 .iter()
                 .map(|condition| &condition.key_file);
-            return Err(StoreRefusal::Conflict(
+            return Err(TxnRejection::Conflict(
                 keys.filter_map(|key| self.items.get(key).cloned())
                     .collect(),
             ));
@@ -131,7 +135,7 @@
             .filter(|lease| *lease > 0)
             .any(|lease| !self.leases.contains_key(&lease))
         {
-            return Err(StoreRefusal::NoLease);
+            return Err(TxnRejection::NoLease);
         }
         for write in txn.write {
             self.write(&write.key_file, write.value.0, write.lease);
@@ -142,14 +146,14 @@
         Ok(self.revision)
     }
 
-    /// Returns the items that begin with `prefix` and stand behind `after`.
+    /// Returns a page of the items whose keys start with `prefix` and follow `after`.
     pub(super) fn page(&self, prefix: &str, after: &str) -> WireRange {
         let items = self.items.range(prefix.to_owned()..);
         let items = items.take_while(|(key, _)| key.starts_with(prefix));
         let mut items = items.filter(|(key, _)| after.is_empty() || key.as_str() > after);
         let entries: Vec<WireItem> = items
             .by_ref()
-            .take(PAGE)
+            .take(PAGE_ITEMS)
             .map(|(_, item)| item.clone())
             .collect();
         WireRange {
@@ -159,9 +163,10 @@
         }
     }
 
-    /// Returns the changes of keys that begin with `prefix`, or none where they are forgotten.
+    /// Returns the changes since a revision of keys that start with `prefix`, or `None` if the
+    /// history does not cover it.
     pub(super) fn changes(&self, prefix: &str, since: u64) -> Option<WireChanges> {
-        if since < self.forgotten || since > self.revision {
+        if since < self.dropped_revision || since > self.revision {
             return None;
         }
         let events = self.history.iter().filter(|item| item.revision > since);
@@ -184,7 +189,7 @@
         }
     }
 
-    /// Renews a lease; returns false where it is over.
+    /// Renews a lease; returns false if it does not exist.
     pub(super) fn renew(&mut self, lease: u64) -> bool {
         let lease = self.leases.get_mut(&lease);
         let renewed =
@@ -192,7 +197,7 @@
         renewed.is_some()
     }
 
-    /// Ends a lease and removes its keys; returns false where it was over.
+    /// Ends a lease and removes its keys; returns false if it does not exist.
     pub(super) fn end_lease(&mut self, lease: u64) -> bool {
         let known = self.leases.remove(&lease).is_some();
         let keys = self
--- a/dockgate-bench/src/standin/platform/store_listener.rs
+++ b/dockgate-bench/src/standin/platform/store_listener.rs
@@ -1,4 +1,4 @@
-//! One address of the store, behind which it can fall silent for those who call there.
+//! A listener of the store that can be made unresponsive independently of others.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -6,68 +6,70 @@
 use std::time::{Duration, Instant};
 use tokio::sync::watch;
 
-/// What the calls at one address meet.
+/// The state of a listener.
 #[derive(Debug)]
 pub(super) struct ListenerState {
     silent: watch::Sender<bool>,
-    /// How often the watches that waited were dropped.
-    dropped: AtomicU64,
-    watched: Mutex<Option<(Instant, Duration)>>,
+    /// Number of times that waiting watches were stalled.
+    stall_count: AtomicU64,
+    last_watch: Mutex<Option<(Instant, Duration)>>,
 }
 
 impl ListenerState {
     pub(super) fn new() -> Arc<Self> {
         Arc::new(Self {
             silent: watch::channel(false).0,
-            dropped: AtomicU64::new(0),
-            watched: Mutex::new(None),
+            stall_count: AtomicU64::new(0),
+            last_watch: Mutex::new(None),
         })
     }
 
-    /// Notes a watch that begins now and waits for so long.
-    pub(super) fn note_watch(&self, wait: Duration) {
-        *self.watched.lock().unwrap_or_else(PoisonError::into_inner) = Some((Instant::now(), wait));
+    /// Records a watch that starts now and waits for up to `wait`.
+    pub(super) fn record_watch(&self, wait: Duration) {
+        *self
+            .last_watch
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner) = Some((Instant::now(), wait));
     }
 
-    /// Returns how often watches were dropped.
-    pub(super) fn dropped(&self) -> u64 {
-        self.dropped.load(Ordering::Acquire)
+    /// Returns the number of times that waiting watches were stalled.
+    pub(super) fn stall_count(&self) -> u64 {
+        self.stall_count.load(Ordering::Acquire)
     }
 
-    /// Returns an answer, or never does while nothing is said here, or where the call is one of the
-    /// watches that were dropped since it came; `dropped` is how often that had happened by then.
-    pub(super) async fn pass<T>(&self, answer: T, is_watch: bool, dropped: u64) -> T {
-        if *self.silent.borrow() || (is_watch && dropped < self.dropped()) {
+    /// Returns an answer, or never completes if the listener is silent, or if the call is a watch
+    /// and watches were stalled since it started, when their stall count was `stall_count`.
+    pub(super) async fn pass<T>(&self, answer: T, is_watch: bool, stall_count: u64) -> T {
+        if *self.silent.borrow() || (is_watch && stall_count < self.stall_count()) {
             std::future::pending::<()>().await;
         }
         answer
     }
 }
 
-/// An address of the store for one caller of it.
+/// A listener of the store, used by one box.
 #[derive(Debug)]
 pub struct StoreListener {
-    /// Where the store listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
     pub(super) state: Arc<ListenerState>,
 }
 
 impl StoreListener {
-    /// Begins or ends a silence: calls are taken, carried out, and not answered; those that wait
-    /// already are not answered either, ever.
+    /// Sets whether calls are executed but never answered, including those that already wait.
     pub fn set_silent(&self, silent: bool) {
         self.state.silent.send_replace(silent);
     }
 
-    /// Silences the connections on which watches wait now; whatever is called later is answered.
+    /// Never answers the watches that wait now; later calls are answered.
     pub fn stall_watches(&self) {
-        self.state.dropped.fetch_add(1, Ordering::AcqRel);
+        self.state.stall_count.fetch_add(1, Ordering::AcqRel);
     }
 
-    /// Returns when the last watch of endpoints was begun here, and when it would end by itself.
+    /// Returns when the last watch of endpoints started, and when it times out.
     pub fn watch(&self) -> Option<(Instant, Instant)> {
-        let watched = self.state.watched.lock();
-        let watched = *watched.unwrap_or_else(PoisonError::into_inner);
-        watched.map(|(begun, wait)| (begun, begun + wait))
+        let last_watch = self.state.last_watch.lock();
+        let last_watch = *last_watch.unwrap_or_else(PoisonError::into_inner);
+        last_watch.map(|(started, wait)| (started, started + wait))
     }
 }
--- a/dockgate-bench/src/standin/platform/tests.rs
+++ b/dockgate-bench/src/standin/platform/tests.rs
@@ -5,7 +5,7 @@
 
 const WAIT: Duration = Duration::from_secs(5);
 
-/// What a watch tells in the first era.
+/// Returns the outcome of a watch in the first era.
 fn changes(events: Vec<StoreEvent>, revision: u64) -> WatchOutcome {
     WatchOutcome::Changes(StoreChanges {
         events,
@@ -14,15 +14,15 @@
     })
 }
 
-async fn pair() -> (PlatformStandIn, PlatformClient) {
+async fn start_store() -> (PlatformStandIn, PlatformClient) {
     let standin = PlatformStandIn::start().await.unwrap();
     let client = PlatformClient::new(standin.address, WAIT);
     (standin, client)
 }
 
 #[tokio::test]
-async fn a_write_with_a_stale_condition_is_refused() {
-    let (_standin, client) = pair().await;
+async fn stale_conditional_writes_are_rejected() {
+    let (_standin, client) = start_store().await;
     let put = async |text: &'static str, condition| {
         let value = Bytes::from_static(text.as_bytes());
         client.put("k", value, condition, None).await.unwrap()
@@ -42,8 +42,8 @@
 }
 
 #[tokio::test]
-async fn a_watch_waits_for_a_change_and_a_lost_reply_has_taken_effect() {
-    let (standin, client) = pair().await;
+async fn writes_with_dropped_replies_take_effect_and_wake_watches() {
+    let (standin, client) = start_store().await;
     let watching = client.clone();
     let watch = tokio::spawn(async move { watching.watch("k", 0, WAIT).await });
     standin.set_drops_replies(true);
@@ -54,7 +54,7 @@
         events, revision, ..
     }) = watch.await.unwrap().unwrap()
     else {
-        panic!("the history is there");
+        panic!("the history covers the watch");
     };
     assert!(matches!(&events[..], [StoreEvent::Written(item)] if item.bytes == "v"));
     assert_eq!(revision, 1);
@@ -68,8 +68,8 @@
 }
 
 #[tokio::test]
-async fn keys_go_with_their_lease_and_watches_are_told() {
-    let (standin, client) = pair().await;
+async fn ended_leases_remove_their_keys_and_notify_watches() {
+    let (standin, client) = start_store().await;
     let lease = client.lease(WAIT).await.unwrap();
     let put = |lease| {
         client.put(
@@ -91,8 +91,8 @@
 }
 
 #[tokio::test]
-async fn a_lease_that_is_not_renewed_lapses() {
-    let (_standin, client) = pair().await;
+async fn unrenewed_leases_expire() {
+    let (_standin, client) = start_store().await;
     let lease = client.lease(Duration::from_millis(1)).await.unwrap();
     tokio::time::sleep(Duration::from_millis(20)).await;
     let value = Bytes::from_static(b"v");
@@ -103,8 +103,8 @@
 }
 
 #[tokio::test]
-async fn pages_are_put_together_and_forgotten_history_is_said() {
-    let (standin, client) = pair().await;
+async fn listings_span_pages_and_dropped_history_is_reported() {
+    let (standin, client) = start_store().await;
     for number in 0..1_203 {
         standin.set(&format!("e/{number:05}"), "x");
     }
@@ -124,8 +124,8 @@
 }
 
 #[tokio::test]
-async fn a_store_that_is_out_says_nothing() {
-    let (standin, client) = pair().await;
+async fn unavailable_store_does_not_answer() {
+    let (standin, client) = start_store().await;
     standin.set("k", "v");
     standin.set_unavailable(true);
     assert!(client.get("k").await.is_err());
--- a/dockgate-bench/src/standin/routed.rs
+++ b/dockgate-bench/src/standin/routed.rs
@@ -1,7 +1,7 @@
-//! A stand-in for a routed endpoint that speaks the published protocol, records the requests that it
-//! runs, and can be made to fail.
+//! A stand-in for a routed endpoint that speaks the published protocol, records the requests that
+//! it runs, and can be made to fail.
 
-use super::http::{BrokenOff, StandInBody, answer, serve};
+use super::http::{AbortedConnection, StandInBody, answer, serve};
 use crate::error::BenchError;
 use bytes::Bytes;
 use futures::stream;
@@ -168,7 +168,7 @@
         *locked(&self.state.is_leaving) = is_leaving;
     }
 
-    /// Turns all requests away from now on and asks for so much backoff, or takes them again.
+    /// Rejects all requests with a backoff from now on, or accepts them again.
     pub fn set_backoff(&self, backoff: Option<Duration>) {
         *locked(&self.state.backoff) = backoff;
     }
@@ -196,7 +196,7 @@
         locked(&self.state.received).clone()
     }
 
-    /// Returns the requests that it turned away and asked for backoff.
+    /// Returns the requests that it rejected with a backoff.
     pub fn rejected(&self) -> Vec<RejectedRequest> {
         locked(&self.state.rejected).clone()
     }
@@ -249,14 +249,17 @@
     response
 }
 
-/// Turns a request away, and asks for so much backoff.
-fn reject_with_backoff(id: &str, backoff: Duration) -> Result<Response<StandInBody>, BrokenOff> {
+/// Returns an answer that rejects a request with a backoff.
+fn reject_with_backoff(
+    id: &str,
+    backoff: Duration,
+) -> Result<Response<StandInBody>, AbortedConnection> {
     let mut response = not_run(StatusCode::SERVICE_UNAVAILABLE);
     let headers = response.headers_mut();
     let seconds = backoff.as_secs_f64().to_string();
-    let seconds = HeaderValue::from_str(&seconds).map_err(|_| BrokenOff)?;
+    let seconds = HeaderValue::from_str(&seconds).map_err(|_| AbortedConnection)?;
     headers.insert(header::RETRY_AFTER, seconds);
-    let id = HeaderValue::from_str(id).map_err(|_| BrokenOff)?;
+    let id = HeaderValue::from_str(id).map_err(|_| AbortedConnection)?;
     headers.insert("x-request-id", id);
     Ok(response)
 }
@@ -266,7 +269,7 @@
     identity: EndpointIdentity,
     end: CancellationToken,
     request: Request<Incoming>,
-) -> Result<Response<StandInBody>, BrokenOff> {
+) -> Result<Response<StandInBody>, AbortedConnection> {
     let mut response = answer_of(&state, &identity.id, end, request).await?;
     let is_own = response.status() != StatusCode::MISDIRECTED_REQUEST;
     let headers = response.headers_mut();
@@ -282,9 +285,13 @@
     own_id: &str,
     end: CancellationToken,
     request: Request<Incoming>,
-) -> Result<Response<StandInBody>, BrokenOff> {
+) -> Result<Response<StandInBody>, AbortedConnection> {
     let (parts, body) = request.into_parts();
-    let body = body.collect().await.map_err(|_| BrokenOff)?.to_bytes();
+    let body = body
+        .collect()
+        .await
+        .map_err(|_| AbortedConnection)?
+        .to_bytes();
     let headers = parts.headers.iter();
     let headers: BTreeMap<String, String> = headers
         .map(|(name, value)| {
@@ -326,11 +333,11 @@
     let run = RoutedRun::new(state.clone(), received);
     if locked(&state.crash_bodies).contains(&body) {
         end.cancel();
-        return Err(BrokenOff);
+        return Err(AbortedConnection);
     }
     let processing_time = *locked(&state.processing_time);
     match behavior {
-        EndpointBehavior::Loses => return Err(BrokenOff),
+        EndpointBehavior::Loses => return Err(AbortedConnection),
         EndpointBehavior::Silent => std::future::pending().await,
         _ if events.is_none() => tokio::time::sleep(processing_time).await,
         _ => {}
@@ -353,11 +360,14 @@
     };
     headers.insert(
         "x-request-id",
-        HeaderValue::from_str(answered_id).map_err(|_| BrokenOff)?,
+        HeaderValue::from_str(answered_id).map_err(|_| AbortedConnection)?,
     );
     if behavior != EndpointBehavior::NoProof {
         let proof = HeaderValue::from_str(&format!("proof-of-{own_id}"));
-        headers.insert("x-upstream-signature", proof.map_err(|_| BrokenOff)?);
+        headers.insert(
+            "x-upstream-signature",
+            proof.map_err(|_| AbortedConnection)?,
+        );
     }
     match behavior {
         EndpointBehavior::Encoded => {
@@ -388,7 +398,7 @@
         tokio::time::sleep(processing_time).await;
         let next = last + 1;
         match cut {
-            Some(cut) if last == cut + 1 => Some((Err(BrokenOff), (run, events))),
+            Some(cut) if last == cut + 1 => Some((Err(AbortedConnection), (run, events))),
             Some(cut) if last == cut => {
                 let half = Bytes::from(format!("id: {next}\nda"));
                 Some((Ok(Frame::data(half)), (run, next)))
--- a/dockgate-bench/src/standin/service.rs
+++ b/dockgate-bench/src/standin/service.rs
@@ -1,6 +1,6 @@
-//! A stand-in for a plain service: it takes its time, counts its runs and echoes what it got.
+//! A stand-in for a plain service that counts its runs and echoes requests after a delay.
 
-use super::http::{BrokenOff, StandInBody, answer, serve};
+use super::http::{AbortedConnection, StandInBody, answer, serve};
 use super::tally::{LateRunCounter, RunTally};
 use crate::error::BenchError;
 use dockgate_proto::headers;
@@ -12,57 +12,57 @@
 use std::time::Duration;
 use tokio_util::sync::CancellationToken;
 
-/// The header that carries a caller's nonce to the service and back.
+/// The header with a caller's nonce, in requests and answers.
 pub const NONCE: HeaderName = HeaderName::from_static("x-nonce");
 
-/// How a service behaves.
+/// The capacity and speed of a service.
 #[derive(Debug, Clone, Copy)]
 pub struct ServiceProfile {
-    /// Requests that run at once.
+    /// Maximum number of concurrent requests.
     pub slots: usize,
-    /// How long a request takes where its path does not say `/wait/MILLISECONDS`.
+    /// Time per request, unless its path is `/wait/MILLISECONDS`.
     pub processing_time: Duration,
 }
 
 /// One service on a loopback port.
 pub struct ServiceStandIn {
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
-    /// Counts runs that start after the service was told to leave.
-    pub leave: Arc<LateRunCounter>,
+    /// Counts runs that start too late after the service was told to leave.
+    pub late_runs: Arc<LateRunCounter>,
     stop: CancellationToken,
 }
 
 impl ServiceStandIn {
-    /// Starts a service that counts into a tally.
+    /// Starts a service that records its runs in a tally.
     ///
     /// # Errors
     ///
-    /// Returns an error where no port is free.
-    pub async fn start(rule: ServiceProfile, tally: Arc<RunTally>) -> Result<Self, BenchError> {
-        tally.add_slots(rule.slots as isize);
+    /// Returns an error if no port is free.
+    pub async fn start(profile: ServiceProfile, tally: Arc<RunTally>) -> Result<Self, BenchError> {
+        tally.add_slots(profile.slots as isize);
         let stop = CancellationToken::new();
-        let leave = Arc::new(LateRunCounter::default());
-        let watch = leave.clone();
+        let late_runs = Arc::new(LateRunCounter::default());
+        let counter = late_runs.clone();
         let handle = move |request| {
-            watch.start();
-            handle(rule, tally.clone(), request)
+            counter.start();
+            handle(profile, tally.clone(), request)
         };
         let address = serve(handle, stop.clone()).await?;
         Ok(Self {
             address,
-            leave,
+            late_runs,
             stop,
         })
     }
 
-    /// Dies: every connection is cut and nothing listens any more.
+    /// Stops listening and cuts all connections.
     pub fn kill(&self) {
         self.stop.cancel();
     }
 }
 
-/// A run; dropping it notes its end.
+/// A run in progress; its end is recorded on drop.
 struct ServiceRun {
     tally: Arc<RunTally>,
     workspace: String,
@@ -75,10 +75,10 @@
 }
 
 async fn handle(
-    rule: ServiceProfile,
+    profile: ServiceProfile,
     tally: Arc<RunTally>,
     request: Request<Incoming>,
-) -> Result<Response<StandInBody>, BrokenOff> {
+) -> Result<Response<StandInBody>, AbortedConnection> {
     let (parts, body) = request.into_parts();
     let text = |name: &str| {
         let value = parts
@@ -93,14 +93,18 @@
         tally: tally.clone(),
         workspace: workspace.clone(),
     };
-    let body = body.collect().await.map_err(|_| BrokenOff)?.to_bytes();
+    let body = body
+        .collect()
+        .await
+        .map_err(|_| AbortedConnection)?
+        .to_bytes();
     let path = parts.uri.path();
     let wait = path.strip_prefix("/wait/").and_then(|ms| ms.parse().ok());
-    let processing_time = wait.map_or(rule.processing_time, Duration::from_millis);
+    let processing_time = wait.map_or(profile.processing_time, Duration::from_millis);
     if !processing_time.is_zero() {
         tokio::time::sleep(processing_time).await;
     }
-    tally.give(&workspace, processing_time.as_secs_f64() * 1_000.0);
+    tally.add_units(&workspace, processing_time.as_secs_f64() * 1_000.0);
     drop(run);
     let echo = format!("{} {} ", parts.method, parts.uri);
     let mut response = answer(StatusCode::OK, [echo.as_bytes(), &body].concat());
--- a/dockgate-bench/src/standin/tally.rs
+++ b/dockgate-bench/src/standin/tally.rs
@@ -1,37 +1,37 @@
-//! What the stand-ins saw: runs, slots in use, and service given to each workspace.
+//! Counters of the stand-ins: runs, slots in use, and service per workspace.
 
 use std::collections::HashMap;
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
-/// Counts runs that a leaving endpoint starts too late.
+/// Counts runs that start too late on an endpoint that leaves.
 #[derive(Debug, Default)]
 pub struct LateRunCounter {
-    until: Mutex<Option<Instant>>,
+    deadline: Mutex<Option<Instant>>,
     late: AtomicU64,
 }
 
 impl LateRunCounter {
-    /// Notes that the endpoint leaves, with the grace in which runs may still start.
-    pub fn set(&self, grace: Option<Duration>) {
-        *locked(&self.until) = grace.map(|grace| Instant::now() + grace);
+    /// Sets the grace in which runs may still start, or `None` if the endpoint does not leave.
+    pub fn set_leaving(&self, grace: Option<Duration>) {
+        *locked(&self.deadline) = grace.map(|grace| Instant::now() + grace);
     }
 
-    /// Notes the start of a run.
+    /// Records the start of a run.
     pub(super) fn start(&self) {
-        if locked(&self.until).is_some_and(|until| Instant::now() > until) {
+        if locked(&self.deadline).is_some_and(|deadline| Instant::now() > deadline) {
             self.late.fetch_add(1, Ordering::Relaxed);
         }
     }
 
-    /// Returns how many runs started too late.
-    pub fn late(&self) -> u64 {
+    /// Returns the number of runs that started too late.
+    pub fn count(&self) -> u64 {
         self.late.load(Ordering::Relaxed)
     }
 }
 
-/// Counts over all stand-ins of one pool.
+/// Counters shared by all stand-ins of one pool.
 #[derive(Debug, Default)]
 pub struct RunTally {
     slots: AtomicUsize,
@@ -39,7 +39,7 @@
     refused: AtomicU64,
     recomputed: AtomicU64,
     by_workspace: Mutex<HashMap<String, WorkspaceTally>>,
-    /// How often each nonce was started.
+    /// Number of runs of each nonce.
     runs: Mutex<HashMap<String, u32>>,
 }
 
@@ -49,14 +49,14 @@
     running: usize,
 }
 
-/// The counts of one workspace at one moment.
+/// The counters of one workspace at one point in time.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TallySample {
     /// The workspace.
     pub workspace: String,
-    /// Service units given so far.
+    /// Service units received so far.
     pub units: f64,
-    /// Requests running now.
+    /// Number of requests running now.
     pub running: usize,
 }
 
@@ -67,7 +67,7 @@
 }
 
 impl RunTally {
-    /// Adds the slots of a stand-in, or takes them off with a negative number.
+    /// Adds the slots of a stand-in, or removes them if the number is negative.
     pub fn add_slots(&self, slots: isize) {
         match usize::try_from(slots) {
             Ok(slots) => self.slots.fetch_add(slots, Ordering::Relaxed),
@@ -77,7 +77,7 @@
         };
     }
 
-    /// Notes the start of a run.
+    /// Records the start of a run.
     pub fn start(&self, workspace: &str, nonce: &str) {
         self.running.fetch_add(1, Ordering::Relaxed);
         let mut tallies = locked(&self.by_workspace);
@@ -85,7 +85,7 @@
         *locked(&self.runs).entry(nonce.to_owned()).or_default() += 1;
     }
 
-    /// Notes the end of a run.
+    /// Records the end of a run.
     pub fn end(&self, workspace: &str) {
         self.running.fetch_sub(1, Ordering::Relaxed);
         if let Some(tally) = locked(&self.by_workspace).get_mut(workspace) {
@@ -93,48 +93,48 @@
         }
     }
 
-    /// Notes service given.
-    pub fn give(&self, workspace: &str, units: f64) {
+    /// Adds service units to a workspace.
+    pub fn add_units(&self, workspace: &str, units: f64) {
         let mut tallies = locked(&self.by_workspace);
         tallies.entry(workspace.to_owned()).or_default().units += units;
     }
 
-    /// Notes a refusal by a full stand-in.
-    pub fn refuse(&self) {
+    /// Counts a refusal by a full stand-in.
+    pub fn add_refusal(&self) {
         self.refused.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Notes tokens that were computed a second time.
-    pub fn recompute(&self, tokens: u64) {
+    /// Adds tokens that were computed a second time.
+    pub fn add_recomputed(&self, tokens: u64) {
         self.recomputed.fetch_add(tokens, Ordering::Relaxed);
     }
 
-    /// Returns the slots of all stand-ins.
+    /// Returns the number of slots of all stand-ins.
     pub fn slots(&self) -> usize {
         self.slots.load(Ordering::Relaxed)
     }
 
-    /// Returns the requests running now.
+    /// Returns the number of requests running now.
     pub fn running(&self) -> usize {
         self.running.load(Ordering::Relaxed)
     }
 
-    /// Returns how often a full stand-in refused.
+    /// Returns the number of refusals by full stand-ins.
     pub fn refused(&self) -> u64 {
         self.refused.load(Ordering::Relaxed)
     }
 
-    /// Returns how many tokens were computed a second time.
+    /// Returns the number of tokens that were computed a second time.
     pub fn recomputed(&self) -> u64 {
         self.recomputed.load(Ordering::Relaxed)
     }
 
-    /// Returns how often a nonce was started.
+    /// Returns the number of runs of a nonce.
     pub fn runs_of(&self, nonce: &str) -> u32 {
         locked(&self.runs).get(nonce).copied().unwrap_or(0)
     }
 
-    /// Returns every workspace's counts.
+    /// Returns the counters of every workspace.
     pub fn sample(&self) -> Vec<TallySample> {
         locked(&self.by_workspace)
             .iter()
--- a/dockgate-bench/tests/gateway_soak.rs
+++ b/dockgate-bench/tests/gateway_soak.rs
@@ -18,7 +18,7 @@
     // their callers had left, and 24 were worked on for so long.
     callers_that_leave = { SoakFaults::CallerDisconnects, 2 },
     endpoints_end = { SoakFaults::CrashingRequests, 1 },
-    endpoints_give_notice = { SoakFaults::EndpointNotices, 1 },
+    endpoints_give_notice = { SoakFaults::Notices, 1 },
     the_store_loses_its_last_seconds = { SoakFaults::StoreRestores, 1 },
 )]
 fn no_promise_breaks(faults: SoakFaults, seed: u64) {
