--- a/dockgate-bench/src/gateway_soak/crashing_caller.rs
+++ b/dockgate-bench/src/gateway_soak/crashing_caller.rs
@@ -9,7 +9,6 @@
 use rand::rngs::StdRng;
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
-use std::ops::Range;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
@@ -19,11 +18,11 @@
 /// Time between the starts of two callers, in milliseconds.
 const STAGGER_MS: u64 = 2_500;
 /// Pause of a caller before it sends its request again, in milliseconds.
-const PAUSE_MS: Range<u64> = 100..500;
+const PAUSE_MS: std::ops::Range<u64> = 100..500;
 /// Time for which a caller waits for its answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Time after which a crashed endpoint is restarted, in milliseconds.
-const DOWNTIME_MS: Range<u64> = 100..1_500;
+const DOWNTIME_MS: std::ops::Range<u64> = 100..1_500;
 /// Number of crashes after which a request is known to cause them.
 const CRASHES_TO_QUARANTINE: usize = 3;
 /// Time after the last of them within which connected boxes stop sending the request. A box counts
--- a/dockgate-bench/src/gateway_soak/disconnecting_caller.rs
+++ b/dockgate-bench/src/gateway_soak/disconnecting_caller.rs
@@ -6,7 +6,6 @@
 use rand::rngs::StdRng;
 use std::collections::HashMap;
 use std::net::SocketAddr;
-use std::ops::Range;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::{Duration, Instant};
@@ -14,7 +13,7 @@
 use tokio::net::TcpStream;
 
 /// Time after which a caller disconnects, in milliseconds.
-const DISCONNECT_MS: Range<u64> = 1..900;
+const DISCONNECT_MS: std::ops::Range<u64> = 1..900;
 /// Pause of a caller between connections.
 const PAUSE: Duration = Duration::from_millis(15);
 /// Time within which a connection must open.
--- a/dockgate-bench/src/gateway_soak/fault_injector.rs
+++ b/dockgate-bench/src/gateway_soak/fault_injector.rs
@@ -15,7 +15,7 @@
 /// Average number of steps per fault.
 const STEPS_PER_FAULT: u32 = 7;
 /// Duration of a fault, in milliseconds.
-const FAULT_MS: Range<u64> = 150..1_800;
+const FAULT_MS: std::ops::Range<u64> = 150..1_800;
 /// Time after which a stopped gateway is restarted; longer than its `stop_grace_s`.
 const STOP_TIME: Duration = Duration::from_millis(4_500);
 /// Maximum number of endpoints that are replaced.
@@ -27,13 +27,13 @@
 /// Time after a drain within which requests must stop arriving; the default of the settings.
 const DRAIN_DEADLINE: Duration = Duration::from_secs(2);
 /// Time for which the store does not answer a box, in milliseconds.
-const UNANSWERED_MS: Range<u64> = 1_000..9_000;
+const UNANSWERED_MS: std::ops::Range<u64> = 1_000..9_000;
 /// Time for which a box runs intermittently.
 const SLOW_TIME: Duration = Duration::from_millis(2_500);
 /// Length of each pause of an intermittent box, in milliseconds.
-const STOPPED_MS: Range<u64> = 20..900;
+const STOPPED_MS: std::ops::Range<u64> = 20..900;
 /// Time for which it runs between two pauses, in milliseconds.
-const RUNNING_MS: Range<u64> = 2..30;
+const RUNNING_MS: std::ops::Range<u64> = 2..30;
 /// Time for which an endpoint that announces in its answers that it leaves keeps running, in
 /// milliseconds.
 const NOTICE_MS: Range<u64> = 500..5_000;
@@ -65,7 +65,7 @@
 
 /// How a fault is undone.
 #[derive(Debug, Clone, Copy)]
-pub(super) enum FaultReversal {
+pub(super) enum UndoAction {
     Continue(usize),
     Restart(usize),
     EndOutage,
@@ -117,7 +117,7 @@
     faults: SoakFaults,
     /// The endpoints that were drained.
     drained: Vec<DrainedEndpoint>,
-    pub(super) reversals: Vec<(Instant, FaultReversal)>,
+    pub(super) undo_actions: Vec<(Instant, UndoAction)>,
     /// Older snapshots of the store.
     pub(super) snapshots: StoreSnapshots,
     /// Periods in which a box ran intermittently.
@@ -143,7 +143,7 @@
             rng: StdRng::seed_from_u64(seed),
             faults,
             drained: Vec::new(),
-            reversals: Vec::new(),
+            undo_actions: Vec::new(),
             snapshots: StoreSnapshots::default(),
             slow: Vec::new(),
             total_suspensions: [Duration::ZERO; super::GATEWAYS],
@@ -160,13 +160,13 @@
     /// Undoes the faults that are due, and may begin another one.
     pub(super) async fn step(&mut self, fleet: &mut GatewayFleet) -> Result<(), BenchError> {
         let now = Instant::now();
-        let due: Vec<FaultReversal> = self
-            .reversals
+        let due: Vec<UndoAction> = self
+            .undo_actions
             .extract_if(.., |(at, _)| *at <= now)
-            .map(|(_, end)| end)
+            .map(|(_, action)| action)
             .collect();
-        for end in due {
-            self.undo(fleet, end).await?;
+        for action in due {
+            self.undo(fleet, action).await?;
         }
         if self.faults == SoakFaults::StoreRestores {
             self.snapshots.take(&fleet.store);
@@ -189,8 +189,8 @@
 
     /// Undoes all active faults.
     pub(super) async fn undo_all(&mut self, fleet: &mut GatewayFleet) -> Result<(), BenchError> {
-        for (_, end) in std::mem::take(&mut self.reversals) {
-            self.undo(fleet, end).await?;
+        for (_, action) in std::mem::take(&mut self.undo_actions) {
+            self.undo(fleet, action).await?;
         }
         Ok(())
     }
@@ -198,27 +198,27 @@
     async fn undo(
         &mut self,
         fleet: &mut GatewayFleet,
-        end: FaultReversal,
+        action: UndoAction,
     ) -> Result<(), BenchError> {
-        match end {
-            FaultReversal::Continue(box_index) => fleet.gateways[box_index].signal(Signal::SIGCONT),
-            FaultReversal::Restart(box_index) => {
+        match action {
+            UndoAction::Continue(box_index) => fleet.gateways[box_index].signal(Signal::SIGCONT),
+            UndoAction::Restart(box_index) => {
                 let gateway = &mut fleet.gateways[box_index];
                 gateway.kill();
                 gateway.restart()?;
             }
-            FaultReversal::EndOutage => fleet.store.set_unavailable(false),
-            FaultReversal::ResetDelay => fleet.store.set_delay(Duration::ZERO),
-            FaultReversal::KeepReplies => fleet.store.set_drops_replies(false),
-            FaultReversal::Recover(at) => fleet.endpoints[at].set_behavior(EndpointBehavior::Sound),
-            FaultReversal::AnswerAgain(at) => fleet.store_listeners[at].set_silent(false),
-            FaultReversal::EndEndpoint(at) => fleet.endpoints[at].kill(),
-            FaultReversal::ResetBackoff => fleet
+            UndoAction::EndOutage => fleet.store.set_unavailable(false),
+            UndoAction::ResetDelay => fleet.store.set_delay(Duration::ZERO),
+            UndoAction::KeepReplies => fleet.store.set_drops_replies(false),
+            UndoAction::Recover(at) => fleet.endpoints[at].set_behavior(EndpointBehavior::Sound),
+            UndoAction::AnswerAgain(at) => fleet.store_listeners[at].set_silent(false),
+            UndoAction::EndEndpoint(at) => fleet.endpoints[at].kill(),
+            UndoAction::ResetBackoff => fleet
                 .endpoints
                 .iter()
                 .for_each(|each| each.set_backoff(None)),
-            FaultReversal::RewriteStore => self.rewrite_store(fleet),
-            FaultReversal::RemoveEndpoint(at) => {
+            UndoAction::RewriteStore => self.rewrite_store(fleet),
+            UndoAction::RemoveEndpoint(at) => {
                 let (key, _) = fleet.endpoints[at].record("a", "draining");
                 fleet.store.remove(&key);
                 fleet.endpoints[at].kill();
@@ -235,17 +235,17 @@
         let duration = Duration::from_millis(self.rng.random_range(FAULT_MS));
         let box_index = self.rng.random_range(0..fleet.gateways.len());
         let endpoint = self.rng.random_range(0..super::SERVICES.len());
-        let is_up = !self.reversals.iter().any(|(_, end)| {
-            matches!(end,
-                FaultReversal::Restart(at) | FaultReversal::Continue(at) if *at == box_index)
+        let is_up = !self.undo_actions.iter().any(|(_, action)| {
+            matches!(action,
+                UndoAction::Restart(at) | UndoAction::Continue(at) if *at == box_index)
         });
-        let (what, duration, end) = match self.rng.random_range(kinds) {
+        let (what, duration, action) = match self.rng.random_range(kinds) {
             0 if is_up => {
                 fleet.gateways[box_index].signal(Signal::SIGSTOP);
                 (
                     format!("pause box {box_index}"),
                     duration,
-                    Some(FaultReversal::Continue(box_index)),
+                    Some(UndoAction::Continue(box_index)),
                 )
             }
             1 if is_up => {
@@ -253,7 +253,7 @@
                 (
                     format!("kill box {box_index}"),
                     duration,
-                    Some(FaultReversal::Restart(box_index)),
+                    Some(UndoAction::Restart(box_index)),
                 )
             }
             2 if is_up => {
@@ -261,7 +261,7 @@
                 (
                     format!("stop box {box_index}"),
                     STOP_TIME,
-                    Some(FaultReversal::Restart(box_index)),
+                    Some(UndoAction::Restart(box_index)),
                 )
             }
             3 if fleet.gateways[box_index].handles_signal(Signal::SIGHUP) => {
@@ -273,7 +273,7 @@
                 (
                     "store unavailable".to_owned(),
                     duration,
-                    Some(FaultReversal::EndOutage),
+                    Some(UndoAction::EndOutage),
                 )
             }
             5 => {
@@ -281,7 +281,7 @@
                 (
                     "store slow".to_owned(),
                     duration,
-                    Some(FaultReversal::ResetDelay),
+                    Some(UndoAction::ResetDelay),
                 )
             }
             6 => {
@@ -289,7 +289,7 @@
                 (
                     "store drops replies".to_owned(),
                     duration,
-                    Some(FaultReversal::KeepReplies),
+                    Some(UndoAction::KeepReplies),
                 )
             }
             // Suspends one box, or all of them.
@@ -325,11 +325,11 @@
             9 => {
                 let behavior = BEHAVIORS[self.rng.random_range(0..BEHAVIORS.len())];
                 fleet.endpoints[endpoint].set_behavior(behavior);
-                let end = FaultReversal::Recover(endpoint);
+                let action = UndoAction::Recover(endpoint);
                 (
                     format!("endpoint {endpoint}: {behavior:?}"),
                     duration,
-                    Some(end),
+                    Some(action),
                 )
             }
             _ if self.replacements < MAX_REPLACEMENTS => {
@@ -337,26 +337,24 @@
                 (
                     format!("drain endpoint {endpoint}"),
                     DRAIN_TIME,
-                    Some(FaultReversal::RemoveEndpoint(endpoint)),
+                    Some(UndoAction::RemoveEndpoint(endpoint)),
                 )
             }
             _ => return Ok(()),
         };
         let at = self.started.elapsed().as_millis();
         self.fault_log.push(format!("{at} ms: {what}"));
-        if let Some(end) = end {
-            self.record_disturbance(end, duration);
-            self.reversals.push((Instant::now() + duration, end));
+        if let Some(action) = action {
+            self.record_disturbance(action, duration);
+            self.undo_actions.push((Instant::now() + duration, action));
         }
         Ok(())
     }
 
-    fn record_disturbance(&mut self, end: FaultReversal, duration: Duration) {
-        let box_index = match end {
-            FaultReversal::Continue(at) | FaultReversal::Restart(at) => Some(at),
-            FaultReversal::EndOutage | FaultReversal::ResetDelay | FaultReversal::KeepReplies => {
-                None
-            }
+    fn record_disturbance(&mut self, action: UndoAction, duration: Duration) {
+        let box_index = match action {
+            UndoAction::Continue(at) | UndoAction::Restart(at) => Some(at),
+            UndoAction::EndOutage | UndoAction::ResetDelay | UndoAction::KeepReplies => None,
             _ => return,
         };
         let from = Instant::now();
@@ -364,7 +362,7 @@
             from,
             until: from + duration + MAX_UNDO_DELAY,
             box_index,
-            restarts: matches!(end, FaultReversal::Restart(_)),
+            restarts: matches!(action, UndoAction::Restart(_)),
         });
     }
 
@@ -388,23 +386,29 @@
     /// Begins a fault that delays updates. The store keeps answering at least one box.
     async fn delay_updates(&mut self, fleet: &mut GatewayFleet) -> Result<(), BenchError> {
         let box_index = self.rng.random_range(0..fleet.gateways.len());
-        let silent = self.reversals.iter().filter_map(|(_, end)| match end {
-            FaultReversal::AnswerAgain(at) => Some(*at),
-            _ => None,
-        });
+        let silent = self
+            .undo_actions
+            .iter()
+            .filter_map(|(_, action)| match action {
+                UndoAction::AnswerAgain(at) => Some(*at),
+                _ => None,
+            });
         let silent: Vec<usize> = silent.collect();
         let may_be_silenced =
             !silent.contains(&box_index) && silent.len() + 1 < fleet.gateways.len();
         let drained = self.replacements % super::SERVICES.len();
-        let (what, end) = match self.rng.random_range(0..4) {
+        let (what, action) = match self.rng.random_range(0..4) {
             0 if may_be_silenced => {
                 fleet.store_listeners[box_index].set_silent(true);
                 let duration = Duration::from_millis(self.rng.random_range(UNANSWERED_MS));
-                let end = (
+                let action = (
                     Instant::now() + duration,
-                    FaultReversal::AnswerAgain(box_index),
+                    UndoAction::AnswerAgain(box_index),
                 );
-                (format!("store does not answer box {box_index}"), Some(end))
+                (
+                    format!("store does not answer box {box_index}"),
+                    Some(action),
+                )
             }
             1 => {
                 fleet.store_listeners[box_index].stall_watches();
@@ -420,17 +424,17 @@
             }
             _ if self.replacements < super::SERVICES.len() => {
                 self.replace(fleet, drained).await?;
-                let end = (
+                let action = (
                     Instant::now() + CHECKED_DRAIN_TIME,
-                    FaultReversal::RemoveEndpoint(drained),
+                    UndoAction::RemoveEndpoint(drained),
                 );
-                (format!("drain endpoint {drained}"), Some(end))
+                (format!("drain endpoint {drained}"), Some(action))
             }
             _ => return Ok(()),
         };
         let at = self.started.elapsed().as_millis();
         self.fault_log.push(format!("{at} ms: {what}"));
-        self.reversals.extend(end);
+        self.undo_actions.extend(action);
         Ok(())
     }
 
@@ -454,8 +458,8 @@
                 let behavior = BEHAVIORS[self.rng.random_range(0..BEHAVIORS.len())];
                 fleet.endpoints[endpoint].set_behavior(behavior);
                 let duration = Duration::from_millis(self.rng.random_range(FAULT_MS));
-                self.reversals
-                    .push((Instant::now() + duration, FaultReversal::Recover(endpoint)));
+                self.undo_actions
+                    .push((Instant::now() + duration, UndoAction::Recover(endpoint)));
                 format!("endpoint {endpoint}: {behavior:?}")
             }
             _ => {
@@ -473,12 +477,12 @@
     fn begin_notice(&mut self, fleet: &GatewayFleet) {
         let endpoint = self.rng.random_range(0..super::SERVICES.len());
         let at = self.started.elapsed().as_millis();
-        let (what, duration, end) = match self.rng.random_bool(0.4) {
+        let (what, duration, action) = match self.rng.random_bool(0.4) {
             true if !self.is_ending(endpoint) => {
                 fleet.endpoints[endpoint].set_leaving(true);
                 let duration = Duration::from_millis(self.rng.random_range(NOTICE_MS));
                 let what = format!("endpoint {endpoint} announces in its answers that it leaves");
-                (what, duration, FaultReversal::EndEndpoint(endpoint))
+                (what, duration, UndoAction::EndEndpoint(endpoint))
             }
             _ => {
                 let backoff = Duration::from_millis(self.rng.random_range(BACKOFF_MS));
@@ -489,16 +493,17 @@
                 let duration = Duration::from_millis(self.rng.random_range(FAULT_MS));
                 let what =
                     format!("endpoints reject requests and ask for a backoff of {backoff:?}");
-                (what, duration, FaultReversal::ResetBackoff)
+                (what, duration, UndoAction::ResetBackoff)
             }
         };
         self.fault_log.push(format!("{at} ms: {what}"));
-        self.reversals.push((Instant::now() + duration, end));
+        self.undo_actions.push((Instant::now() + duration, action));
     }
 
     fn is_ending(&self, endpoint: usize) -> bool {
-        let mut reversals = self.reversals.iter();
-        reversals.any(|(_, end)| matches!(end, FaultReversal::EndEndpoint(at) if *at == endpoint))
+        let mut undo_actions = self.undo_actions.iter();
+        undo_actions
+            .any(|(_, action)| matches!(action, UndoAction::EndEndpoint(at) if *at == endpoint))
     }
 
     /// Pauses and continues a box alternately for a while.
--- a/dockgate-bench/src/gateway_soak/store_snapshots.rs
+++ b/dockgate-bench/src/gateway_soak/store_snapshots.rs
@@ -1,6 +1,6 @@
 //! Restores the store from older snapshots.
 
-use super::fault_injector::{FaultInjector, FaultReversal};
+use super::fault_injector::{FaultInjector, UndoAction};
 use crate::gateway_fleet::GatewayFleet;
 use crate::standin::{PlatformStandIn, StoreSnapshot};
 use rand::RngExt;
@@ -49,8 +49,8 @@
         self.fault_log
             .push(format!("{at} ms: restore the store from {back} steps ago"));
         let delay = Duration::from_millis(self.rng.random_range(REWRITE_MS));
-        self.reversals
-            .push((Instant::now() + delay, FaultReversal::RewriteStore));
+        self.undo_actions
+            .push((Instant::now() + delay, UndoAction::RewriteStore));
     }
 
     /// Writes the records of the operator and the endpoints again.
--- a/dockgate-bench/src/mixed_fleet/fleet_run.rs
+++ b/dockgate-bench/src/mixed_fleet/fleet_run.rs
@@ -13,7 +13,6 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::net::{Ipv4Addr, SocketAddr};
-use std::ops::Range;
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -37,7 +36,7 @@
 /// Time between an endpoint's drain and its end; longer than boxes may take to learn of it.
 const DRAIN_TIME: Duration = Duration::from_millis(2_500);
 /// Downtime of a killed box, in milliseconds.
-const DOWNTIME_MS: Range<u64> = 300..1_500;
+const DOWNTIME_MS: std::ops::Range<u64> = 300..1_500;
 /// Time within which boxes detect the start or end of another one, in milliseconds.
 const DETECTION_MS: u64 = 1_000;
 /// Time after which a wait fails.
