--- a/dockgate-bench/src/gateway_fleet.rs
+++ b/dockgate-bench/src/gateway_fleet.rs
@@ -160,7 +160,7 @@
     /// Sets the total time for which it appears to have been suspended.
     ///
     /// The clock that counts suspensions is advanced; the monotonic clock and timers are not. Only
-    /// test builds support this.
+    /// debug builds support this.
     ///
     /// # Errors
     ///
--- a/dockgate-bench/src/gateway_soak.rs
+++ b/dockgate-bench/src/gateway_soak.rs
@@ -96,7 +96,7 @@
 /// The result of a soak run.
 #[derive(Debug, Clone, Default)]
 pub struct SoakReport {
-    /// Number of requests, without those of callers that disconnect.
+    /// Number of requests of callers that wait for their answers.
     pub calls: usize,
     /// Number of requests whose callers disconnected.
     pub disconnects: usize,
--- a/dockgate-bench/src/relay.rs
+++ b/dockgate-bench/src/relay.rs
@@ -85,10 +85,10 @@
     let _ = (client.set_nodelay(true), target_stream.set_nodelay(true));
     let (client_read, client_write) = client.into_split();
     let (target_read, target_write) = target_stream.into_split();
-    let there = forward(client_read, target_write, delay, count.clone());
-    let back = forward(target_read, client_write, delay, count);
+    let outbound = forward(client_read, target_write, delay, count.clone());
+    let inbound = forward(target_read, client_write, delay, count);
     tokio::select! {
-        _ = async { tokio::join!(there, back) } => {}
+        _ = async { tokio::join!(outbound, inbound) } => {}
         _ = is_cut.wait_for(|cut| *cut) => {}
     }
 }
--- a/dockgate-bench/src/standin/routed.rs
+++ b/dockgate-bench/src/standin/routed.rs
@@ -122,8 +122,8 @@
     pub async fn start(id: &str, service: &str) -> Result<Self, BenchError> {
         let state = Arc::new(RoutedState::default());
         let stop = CancellationToken::new();
-        let born = SystemTime::now().duration_since(UNIX_EPOCH);
-        let started_ms = born.unwrap_or_default().as_millis() as u64;
+        let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
+        let started_ms = since_epoch.unwrap_or_default().as_millis() as u64;
         let identity = EndpointIdentity {
             id: id.to_owned(),
             started_ms,
