--- a/dockgate-bench/src/gateway_soak/fault_injector.rs
+++ b/dockgate-bench/src/gateway_soak/fault_injector.rs
@@ -315,7 +315,7 @@
                 fleet.store.forget_history();
                 self.version += self.rng.random_range(1..4);
                 let config = route_config(self.version, KEYS);
-                fleet.store.set(dockgate_platform::ROUTES, config);
+                fleet.store.set(dockgate_platform::ROUTES_KEY, config);
                 (
                     format!("store history lost, configuration {}", self.version),
                     duration,
@@ -419,7 +419,7 @@
                 self.config = large_config(self.version, KEYS, EXTRA_ROUTES);
                 fleet
                     .store
-                    .set(dockgate_platform::ROUTES, self.config.clone());
+                    .set(dockgate_platform::ROUTES_KEY, self.config.clone());
                 (format!("large configuration {}", self.version), None)
             }
             _ if self.replacements < super::SERVICES.len() => {
@@ -465,7 +465,7 @@
             _ => {
                 self.version += 1;
                 let config = large_config(self.version, KEYS, EXTRA_ROUTES);
-                fleet.store.set(dockgate_platform::ROUTES, config);
+                fleet.store.set(dockgate_platform::ROUTES_KEY, config);
                 format!("large configuration {}", self.version)
             }
         };
--- a/dockgate-bench/src/gateway_soak/store_snapshots.rs
+++ b/dockgate-bench/src/gateway_soak/store_snapshots.rs
@@ -56,7 +56,7 @@
     /// Writes the records of the operator and the endpoints again.
     pub(super) fn rewrite_store(&mut self, fleet: &GatewayFleet) {
         let store = &fleet.store;
-        store.set(dockgate_platform::ROUTES, self.config.clone());
+        store.set(dockgate_platform::ROUTES_KEY, self.config.clone());
         for endpoint in &fleet.endpoints {
             let state = match self.is_drained(endpoint) {
                 true => "draining",
--- a/dockgate-bench/src/mixed_fleet/fleet_run.rs
+++ b/dockgate-bench/src/mixed_fleet/fleet_run.rs
@@ -194,7 +194,7 @@
     fn write_config(&mut self) -> String {
         self.version += 1;
         let config = mixed_config(self.version);
-        self.fleet.store.set(dockgate_platform::ROUTES, config);
+        self.fleet.store.set(dockgate_platform::ROUTES_KEY, config);
         format!(r#""version":{},"source""#, self.version)
     }
 
@@ -284,7 +284,7 @@
             self.fail("the store does not have the quarantine".to_owned());
         }
         for id in &ids {
-            let key = format!("{}{id}", dockgate_platform::ENDPOINTS);
+            let key = format!("{}{id}", dockgate_platform::ENDPOINT_KEY_PREFIX);
             self.fleet.store.remove(&key);
         }
         self.settle("a request went into quarantine").await;
--- a/dockgate-core/src/ini/tests.rs
+++ b/dockgate-core/src/ini/tests.rs
@@ -1,13 +1,13 @@
 use super::*;
 
 #[test]
-fn problems_carry_file_and_line_and_what_is_allowed() {
+fn problems_include_file_line_and_allowed_keys() {
     let text = "[box]\nname = a\nname = b\ncolour = red\nlimit = x\n[box]\n";
     let mut document = IniDocument::parse("d.ini", text).unwrap();
     for mut section in document.take_sections() {
         section.take_text("name");
         section.take::<u32>("limit", "a whole number");
-        document.close(section);
+        document.close_section(section);
     }
     let report = document.finish().unwrap_err().to_string();
     assert_eq!(
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn syntax_errors_name_the_line() {
+fn syntax_errors_include_the_file_name() {
     let error = IniDocument::parse("d.ini", "[box]\nname\n[x").unwrap_err();
     assert!(error.to_string().starts_with("d.ini:"));
 }
--- a/dockgate-core/src/lib.rs
+++ b/dockgate-core/src/lib.rs
@@ -1,8 +1,7 @@
-//! Decisions of dockgate: fair shares, slots, attempts, configuration and plans.
+//! The decision logic of dockgate: fair shares, slots, attempts, configuration and plans.
 //!
-//! Everything here is a plain struct or function fed with events and the current time. Nothing in
-//! this crate does I/O, reads a clock or draws a random number, so that long randomised runs with
-//! injected faults stay cheap and repeatable.
+//! This crate does no I/O, reads no clock and draws no random numbers: callers pass events and the
+//! current time. Randomized tests with fault injection are therefore fast and reproducible.
 //!
 //! ```
 //! use dockgate_core::{FleetConfig, parse_declaration};
@@ -19,7 +18,7 @@
 mod entry;
 mod fair;
 pub mod gateway;
-mod grants;
+mod grant_table;
 mod ids;
 mod ini;
 mod invariant;
@@ -27,7 +26,7 @@
 mod plan;
 mod queue;
 mod scheduler;
-mod seek;
+mod slot_request_table;
 mod topology;
 
 pub use attempt::{AttemptState, AttemptTrail, Outcome, RetryVerdict};
@@ -35,18 +34,18 @@
     ChangeError, ConfigChange, ConfigEntry, CostRule, Declaration, EndpointSpec, FleetConfig,
     KeyHash, KindSpec, PoolKind, PoolSpec, SpecArena, WorkspaceSpec, parse_declaration,
 };
-pub use entry::{EntryAction, EntryState, RunningRequest, SeekRule};
-pub use fair::{FairLedger, FairQueue, LedgerReport, LedgerRow, OrderRule};
-pub use grants::{GrantTable, HeldGrant};
+pub use entry::{EntryAction, EntryState, RunningRequest, SlotRequestPolicy};
+pub use fair::{FairLedger, FairQueue, LedgerReport, LedgerRow, OrderPolicy};
+pub use grant_table::{GrantTable, HeldGrant};
 pub use ids::{BoxKey, EndpointKey, GrantId, Incarnation, KindKey, PoolKey, SpecKey, WorkspaceKey};
 pub use ini::{IniDocument, IniProblem, IniProblems, SectionReader};
 pub use invariant::{check_invariant, invariant_violations, set_fatal_invariants};
-pub use placement::{owner_of, score_of};
+pub use placement::{owner_of, rendezvous_score};
 pub use plan::{ConfigPlan, PlanEffect, PlanId, ShareEffect};
 pub use queue::{QueueError, RequestQueue, RequestRank, WaitingRequest};
 pub use scheduler::{
-    AdoptedGrant, GrantOffer, OrderMode, PauseRule, ScheduleRule, SeekDemand, SettleReport,
-    SlotEndpoint, SlotScheduler, SlotSign,
+    AdoptedGrant, GrantOffer, OrderMode, PausePolicy, SchedulePolicy, SettleReport, SlotDemand,
+    SlotEndpoint, SlotOutcome, SlotScheduler,
 };
-pub use seek::{SeekBook, SeekUpdate};
+pub use slot_request_table::{SlotRequest, SlotRequestTable};
 pub use topology::{FleetTopology, LiveBox};
--- a/dockgate/src/caller.rs
+++ b/dockgate/src/caller.rs
@@ -1,25 +1,23 @@
-//! The door for callers: HTTP/1.1 and HTTP/2 in clear text.
+//! Listener for callers: HTTP/1.1 and HTTP/2 without TLS.
 
-mod answer;
-mod attempt;
-mod classify;
 mod endpoint_client;
-mod hop;
-mod meter;
+mod endpoint_refusal;
+mod metered_body;
+mod proxy_headers;
 mod refusal;
-mod refusal_sign;
-mod stream;
+mod request_classifier;
+mod request_runner;
+mod stream_meter;
+mod stream_relay;
 
-use crate::config_keeper::ConfigCell;
+use crate::config_cell::ConfigCell;
 use crate::dispatch::DispatchHandle;
 use crate::logging::{LogEvent, log_event};
 use crate::metrics::METRICS;
 use crate::settings::DaemonSettings;
 use crate::shared_stream::SharedStream;
 use crate::stop::StopFlag;
-use attempt::AttemptContext;
 use bytes::Bytes;
-use classify::Classifier;
 use dockgate_core::{BoxKey, Incarnation};
 use dockgate_proto::headers;
 use endpoint_client::EndpointClient;
@@ -31,6 +29,8 @@
 use hyper_util::rt::{TokioExecutor, TokioIo, TokioTimer};
 use hyper_util::server::conn::auto::Builder;
 use refusal::Refusal;
+use request_classifier::RequestClassifier;
+use request_runner::RequestRunner;
 use std::convert::Infallible;
 use std::error::Error;
 use std::sync::Arc;
@@ -38,49 +38,49 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Semaphore;
 
-/// An error inside a body.
+/// An error while a body is read or written.
 pub(super) type BodyError = Box<dyn Error + Send + Sync>;
 /// The body of every response.
-pub(super) type AnswerBody = BoxBody<Bytes, BodyError>;
+pub(super) type ResponseBody = BoxBody<Bytes, BodyError>;
 
-/// Makes a body of bytes.
-pub(super) fn full_body(bytes: impl Into<Bytes>) -> AnswerBody {
+/// Wraps bytes that are complete in a response body.
+pub(super) fn full_body(bytes: impl Into<Bytes>) -> ResponseBody {
     Full::new(bytes.into())
         .map_err(|never: Infallible| match never {})
         .boxed()
 }
 
-/// Counts a request for as long as it is in flight.
-pub(super) struct InFlight(Arc<AtomicUsize>);
+/// Counts a request as in flight until it is dropped.
+pub(super) struct InFlightGuard(Arc<AtomicUsize>);
 
-impl InFlight {
+impl InFlightGuard {
     fn new(count: &Arc<AtomicUsize>) -> Self {
         count.fetch_add(1, Ordering::AcqRel);
         Self(count.clone())
     }
 }
 
-impl Drop for InFlight {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::AcqRel);
     }
 }
 
-/// Serves callers.
-pub(crate) struct CallerDoor {
+/// Accepts connections of callers and serves their requests.
+pub(crate) struct CallerListener {
     settings: Arc<DaemonSettings>,
     cell: ConfigCell,
     dispatch: DispatchHandle,
     client: EndpointClient,
     stop: StopFlag,
-    /// The part of every request id that tells this life of this box.
+    /// The prefix of every request id: the key of this box and the incarnation of its daemon.
     id_prefix: String,
     next_id: AtomicU64,
     in_flight: Arc<AtomicUsize>,
 }
 
-impl CallerDoor {
-    /// Makes the door.
+impl CallerListener {
+    /// Creates the listener.
     pub(crate) fn new(
         settings: Arc<DaemonSettings>,
         cell: ConfigCell,
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Returns how many requests are in flight.
+    /// Returns the number of requests in flight.
     pub(crate) fn in_flight(&self) -> usize {
         self.in_flight.load(Ordering::Acquire)
     }
@@ -115,19 +115,19 @@
     pub(crate) async fn serve(self: Arc<Self>, listener: TcpListener) {
         let permits = Arc::new(Semaphore::new(self.settings.limits.connections));
         loop {
-            // Beyond the cap, callers wait in the kernel's queue.
+            // At the connection limit, new callers wait in the kernel's accept queue.
             let Ok(permit) = permits.clone().acquire_owned().await else {
                 return;
             };
             match listener.accept().await {
                 Ok((stream, _)) => {
-                    let door = self.clone();
+                    let caller_listener = self.clone();
                     tokio::spawn(async move {
-                        door.serve_connection(stream).await;
+                        caller_listener.serve_connection(stream).await;
                         drop(permit);
                     });
                 }
-                Err(error) => log::warn!("callers: accept: {error}"),
+                Err(error) => log::warn!("cannot accept a connection of a caller: {error}"),
             }
         }
     }
@@ -145,36 +145,36 @@
             .http2()
             .timer(TokioTimer::new())
             .max_header_list_size(limits.header_bytes as u32);
-        let door = self.clone();
+        let caller_listener = self.clone();
         let service = service_fn(move |request| {
-            let door = door.clone();
-            async move { Ok::<_, Infallible>(door.answer(request).await) }
+            let caller_listener = caller_listener.clone();
+            async move { Ok::<_, Infallible>(caller_listener.respond(request).await) }
         });
         let stream = SharedStream::new(stream);
-        let caller = stream.disconnect_monitor();
+        let presence = stream.disconnect_monitor();
         let connection = builder.serve_connection_with_upgrades(TokioIo::new(stream), service);
-        // The library does not see a caller leave behind bytes that it has no use for yet, such as the next
-        // request: a run of a minute went on to its end.
-        let ended = tokio::select! {
+        // hyper does not notice that the caller has closed the connection while unread bytes, such
+        // as a pipelined request, precede the end of the stream.
+        let result = tokio::select! {
             biased;
-            () = caller.disconnected() => return,
-            ended = connection => ended,
+            () = presence.disconnected() => return,
+            result = connection => result,
         };
-        if let Err(error) = ended {
-            log::debug!("callers: connection: {error}");
+        if let Err(error) = result {
+            log::debug!("connection of a caller failed: {error}");
         }
     }
 
-    /// Answers one request; every response carries its id.
-    async fn answer(self: Arc<Self>, request: Request<Incoming>) -> Response<AnswerBody> {
+    /// Responds to one request. Every response carries the id of its request.
+    async fn respond(self: Arc<Self>, request: Request<Incoming>) -> Response<ResponseBody> {
         let number = self.next_id.fetch_add(1, Ordering::Relaxed);
         let id = format!("{}-{number:x}", self.id_prefix);
-        let answered = match (request.method(), request.uri().path()) {
+        let result = match (request.method(), request.uri().path()) {
             (&Method::GET, "/livez") => Ok(text_response(StatusCode::OK, "alive\n")),
             (&Method::GET, "/readyz") => Ok(self.readiness()),
             _ => self.route(&id, request).await,
         };
-        let mut response = answered.unwrap_or_else(|refusal| {
+        let mut response = result.unwrap_or_else(|refusal| {
             log_event(&LogEvent::Ended {
                 request: &id,
                 workspace: refusal.workspace.as_deref().unwrap_or_default(),
@@ -199,7 +199,7 @@
         response
     }
 
-    fn readiness(&self) -> Response<AnswerBody> {
+    fn readiness(&self) -> Response<ResponseBody> {
         match (self.stop.is_set(), self.cell.is_ready()) {
             (true, _) => text_response(StatusCode::SERVICE_UNAVAILABLE, "stopping\n"),
             (_, false) => text_response(StatusCode::SERVICE_UNAVAILABLE, "no configuration yet\n"),
@@ -211,28 +211,28 @@
         &self,
         id: &str,
         request: Request<Incoming>,
-    ) -> Result<Response<AnswerBody>, Refusal> {
+    ) -> Result<Response<ResponseBody>, Refusal> {
         if self.stop.is_set() {
             return Err(Refusal::stopping());
         }
-        let in_flight = InFlight::new(&self.in_flight);
+        let in_flight = InFlightGuard::new(&self.in_flight);
         let config = self.cell.current();
-        let classifier = Classifier::new(&config, &self.settings.limits);
+        let classifier = RequestClassifier::new(&config, &self.settings.limits);
         if request.method() == Method::GET && request.uri().path() == "/v1/models" {
             classifier.workspace(request.headers())?;
             return Ok(models_response(&config));
         }
-        let call = classifier.classify(id, request).await?;
-        let context = AttemptContext {
+        let req = classifier.classify(id, request).await?;
+        let runner = RequestRunner {
             settings: self.settings.clone(),
             cell: self.cell.clone(),
             dispatch: self.dispatch.clone(),
             client: self.client.clone(),
         };
-        context.run(call, in_flight).await
+        runner.run(req, in_flight).await
     }
 
-    /// Serves the metrics' address.
+    /// Serves `/metrics` until accepting a connection fails.
     pub(crate) async fn serve_metrics(self: Arc<Self>, listener: TcpListener) {
         while let Ok((stream, _)) = listener.accept().await {
             let service = service_fn(|request: Request<Incoming>| async move {
@@ -243,23 +243,23 @@
             });
             tokio::spawn(async move {
                 let builder = Builder::new(TokioExecutor::new());
-                let served = builder.serve_connection(TokioIo::new(stream), service);
-                if let Err(error) = served.await {
-                    log::debug!("metrics: connection: {error}");
+                let connection = builder.serve_connection(TokioIo::new(stream), service);
+                if let Err(error) = connection.await {
+                    log::debug!("connection for metrics failed: {error}");
                 }
             });
         }
     }
 }
 
-fn text_response(status: StatusCode, text: &'static str) -> Response<AnswerBody> {
+fn text_response(status: StatusCode, text: &'static str) -> Response<ResponseBody> {
     let mut response = Response::new(full_body(text));
     *response.status_mut() = status;
     response
 }
 
-/// Lists the models as the chat-completions API does.
-fn models_response(config: &dockgate_core::FleetConfig) -> Response<AnswerBody> {
+/// Lists the configured models in the format of the chat-completions API.
+fn models_response(config: &dockgate_core::FleetConfig) -> Response<ResponseBody> {
     let models: Vec<serde_json::Value> = config
         .pools
         .iter()
--- a/dockgate/src/caller/classify/tests.rs
+++ b/dockgate/src/caller/request_classifier/tests.rs
@@ -33,9 +33,9 @@
     unknown = { "/services/other/a", None },
     engine = { "/services/chat/a", None },
 )]
-fn service_paths(path: &str, expected: Option<&str>) {
+fn service_path_is_mapped_to_endpoint_path(path: &str, expected: Option<&str>) {
     let (config, limits) = (config(), limits());
-    let classifier = Classifier::new(&config, &limits);
+    let classifier = RequestClassifier::new(&config, &limits);
     let target = classifier.service_target(path).ok();
     assert_eq!(target.map(|target| target.path).as_deref(), expected);
 }
@@ -46,17 +46,17 @@
     no_model = { "{}", Some(RefusalCode::BadRequest) },
     no_json = { "small", Some(RefusalCode::BadRequest) },
 )]
-fn chat_bodies(body: &str, refused: Option<RefusalCode>) {
+fn chat_body_needs_known_model(body: &str, refused: Option<RefusalCode>) {
     let (config, limits) = (config(), limits());
-    let classifier = Classifier::new(&config, &limits);
+    let classifier = RequestClassifier::new(&config, &limits);
     let target = classifier.chat_target(body.as_bytes());
     assert_eq!(target.err().map(|refusal| refusal.code), refused);
 }
 
 #[test]
-fn kinds_decide_what_may_be_repeated() {
+fn repeatability_follows_the_request_kind() {
     let (config, limits) = (config(), limits());
-    let classifier = Classifier::new(&config, &limits);
+    let classifier = RequestClassifier::new(&config, &limits);
     let mut headers = HeaderMap::new();
     assert!(classifier.repeatable(&headers).unwrap());
     headers.insert(headers::KIND, "quiz".parse().unwrap());
--- a/dockgate/src/gateway/call/send_attempts.rs
+++ b/dockgate/src/gateway/call/send_attempts.rs
@@ -51,7 +51,7 @@
                 Ok(response) => return Ok(response),
                 Err(failure) => failure,
             };
-            attempts.trail.note(failure.state);
+            attempts.trail.record(failure.state);
             if self.caller.is_disconnected() {
                 return Err(RefusalReason::CallerLeft.into());
             }
@@ -80,13 +80,13 @@
             // Nothing was sent, so the retry budget is not charged.
             let unreached = attempts.endpoints.len() - attempts.sent as usize;
             let may_retry = unreached < MAX_UNREACHED && !self.time_left().is_zero();
-            return state.after_loss(repeatable, may_retry);
+            return state.retry_verdict(repeatable, may_retry);
         }
         let allowed = attempts.sent < self.route().attempts
             && !self.time_left().is_zero()
             && quarantine::find_quarantine(&self.state, || self.fingerprint()).is_none();
         // The retry budget is checked last, so that it is charged only for actual retries.
-        let wanted = state.after_loss(repeatable, allowed) == RetryVerdict::Retry;
+        let wanted = state.retry_verdict(repeatable, allowed) == RetryVerdict::Retry;
         let service = &self.service().name;
         let may_retry = wanted
             && self
@@ -95,7 +95,7 @@
         if may_retry {
             METRICS.retries.inc();
         }
-        state.after_loss(repeatable, may_retry)
+        state.retry_verdict(repeatable, may_retry)
     }
 
     /// Returns the refusal for a request whose last attempt ended in `state`.
@@ -343,8 +343,8 @@
         let bytes = read
             .inspect_err(|_| placement.guard.record(EndpointOutcome::Failed))?
             .to_bytes();
-        if !head.closes {
-            connection.keep(head.idle);
+        if !head.closes_connection {
+            connection.keep(head.idle_timeout);
         }
         let response = forward_answer(parts.status, &parts.headers, whole_body(bytes));
         if verdict == AnswerVerdict::Failed {
@@ -496,8 +496,8 @@
 async fn drain_body(body: Incoming, connection: PooledConnection, head: &AnswerHead) {
     const MAX_WAIT: Duration = Duration::from_millis(20);
     let read = tokio::time::timeout(MAX_WAIT, body.collect()).await;
-    if matches!(read, Ok(Ok(_))) && !head.closes {
-        connection.keep(head.idle);
+    if matches!(read, Ok(Ok(_))) && !head.closes_connection {
+        connection.keep(head.idle_timeout);
     }
 }
 
--- a/dockgate/src/main.rs
+++ b/dockgate/src/main.rs
@@ -1,22 +1,22 @@
-//! The dockgate daemon: entry, scheduler and ledger peer in one process.
+//! The dockgate daemon: entry, scheduler and ledger replica in one process.
 //!
-//! `dockgate --settings FILE` runs it; `dockgate --settings FILE --check` only checks the settings.
+//! `dockgate --settings FILE` runs the daemon; with `--check`, it only checks the settings.
 
 mod caller;
 mod clock;
-mod config_keeper;
+mod config_cell;
 mod daemon;
 mod dispatch;
-mod door;
 mod error;
 mod gateway;
-mod link;
+mod link_task;
 mod logging;
 mod members;
 mod metrics;
-mod operator_door;
-mod peer_door;
+mod operator_listener;
+mod peer_listener;
 mod probed_wait;
+mod rpc_listener;
 mod settings;
 mod shared_stream;
 mod stop;
@@ -31,12 +31,12 @@
     let args = DaemonArgs::parse();
     #[cfg(debug_assertions)]
     clock::watch_suspension_file();
-    let started =
+    let result =
         GatewayRuntime::new().and_then(|runtime| match gateway::is_gateway_file(args.settings()) {
             true => start_gateway(&args, runtime),
             false => start_daemon(&args),
         });
-    match started {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("{error}");
