--- a/dockgate-bench/src/fault_injector.rs
+++ b/dockgate-bench/src/fault_injector.rs
@@ -113,9 +113,9 @@
         }
         FaultKind::Cut => fleet.set_domain_cut(target, true),
         FaultKind::CutPlatform => set_platform_cut(fleet, target, true),
-        FaultKind::PlatformOutage => fleet.platform.set_out(true),
-        FaultKind::LostReplies => fleet.platform.set_loses_replies(true),
-        FaultKind::PlatformSlow => fleet.platform.set_slow(PLATFORM_DELAY),
+        FaultKind::PlatformOutage => fleet.platform.set_unavailable(true),
+        FaultKind::LostReplies => fleet.platform.set_drops_replies(true),
+        FaultKind::PlatformSlow => fleet.platform.set_delay(PLATFORM_DELAY),
         FaultKind::EngineDeath => {
             if let Some(endpoint) = fleet
                 .endpoints
@@ -162,9 +162,9 @@
         }
         FaultKind::Cut => fleet.set_domain_cut(target, false),
         FaultKind::CutPlatform => set_platform_cut(fleet, target, false),
-        FaultKind::PlatformOutage => fleet.platform.set_out(false),
-        FaultKind::LostReplies => fleet.platform.set_loses_replies(false),
-        FaultKind::PlatformSlow => fleet.platform.set_slow(Duration::ZERO),
+        FaultKind::PlatformOutage => fleet.platform.set_unavailable(false),
+        FaultKind::LostReplies => fleet.platform.set_drops_replies(false),
+        FaultKind::PlatformSlow => fleet.platform.set_delay(Duration::ZERO),
         FaultKind::EngineDeath => {}
         FaultKind::Retire => {
             if let Some(endpoint) = fleet
@@ -216,16 +216,16 @@
     /// `None` clears the mark.
     pub fn set_leaving(&self, grace: Option<Duration>) {
         match self {
-            Self::Engine(engine) => engine.leave.set(grace),
-            Self::Service(service) => service.leave.set(grace),
+            Self::Engine(engine) => engine.late_runs.set_leaving(grace),
+            Self::Service(service) => service.late_runs.set_leaving(grace),
         }
     }
 
     /// Returns the number of runs that started after the grace period.
     pub fn late_starts(&self) -> u64 {
         match self {
-            Self::Engine(engine) => engine.leave.late(),
-            Self::Service(service) => service.leave.late(),
+            Self::Engine(engine) => engine.late_runs.count(),
+            Self::Service(service) => service.late_runs.count(),
         }
     }
 }
--- a/dockgate-bench/src/main.rs
+++ b/dockgate-bench/src/main.rs
@@ -211,14 +211,14 @@
 /// Runs the soak for each seed and prints a summary of each.
 async fn run_soak_seeds(
     seeds: Range<u64>,
-    lasts: Duration,
+    duration: Duration,
     faults: SoakFaults,
 ) -> Result<ExitCode, BenchError> {
     let mut code = ExitCode::SUCCESS;
     for seed in seeds {
         let soak_report = run_soak(SoakOptions {
             seed,
-            lasts,
+            duration,
             faults,
         })
         .await?;
@@ -228,16 +228,16 @@
             soak_report.calls,
             soak_report.answered,
             soak_report.refused,
-            soak_report.left,
-            soak_report.broken.len(),
+            soak_report.disconnects,
+            soak_report.violations.len(),
         );
-        if !soak_report.broken.is_empty() {
+        if !soak_report.violations.is_empty() {
             soak_report
                 .faults
                 .iter()
                 .for_each(|fault| println!("  {fault}"));
             soak_report
-                .broken
+                .violations
                 .iter()
                 .for_each(|what| println!("  broken: {what}"));
             code = ExitCode::from(EXIT_VIOLATION);
@@ -257,17 +257,20 @@
             report.answered,
             report.unknown_keys,
             report.killed,
-            report.broken.len(),
+            report.violations.len(),
             report.problems.len(),
         );
     }
-    for report in reports.iter().filter(|report| !report.broken.is_empty()) {
+    for report in reports
+        .iter()
+        .filter(|report| !report.violations.is_empty())
+    {
         let steps = report.steps.iter();
         steps.for_each(|step| println!("{}: {step}", report.name));
-        let broken = report.broken.iter();
+        let broken = report.violations.iter();
         broken.for_each(|what| println!("{}: broken: {what}", report.name));
     }
-    match reports.iter().all(|report| report.broken.is_empty()) {
+    match reports.iter().all(|report| report.violations.is_empty()) {
         true => ExitCode::SUCCESS,
         false => ExitCode::from(EXIT_VIOLATION),
     }
--- a/dockgate-bench/tests/caller_disconnects.rs
+++ b/dockgate-bench/tests/caller_disconnects.rs
@@ -13,8 +13,8 @@
 #[tokio::test]
 async fn request_is_cancelled_when_its_caller_disconnects() {
     let fleet = start_fleet(1, &["model", "plain"]).await;
-    fleet.endpoints[0].set_takes(Duration::from_millis(50));
-    fleet.endpoints[1].set_takes(Duration::from_secs(60));
+    fleet.endpoints[0].set_processing_time(Duration::from_millis(50));
+    fleet.endpoints[1].set_processing_time(Duration::from_secs(60));
     for (index, path, events) in [(0, "/live/x", Some(1_000)), (1, "/again/x", None)] {
         let mut sender = connect(fleet.gateways[0].callers()).await;
         let pending = tokio::spawn(async move {
@@ -113,7 +113,7 @@
     let service = if events.is_some() { "model" } else { "plain" };
     let fleet = start_fleet(1, &[service, service]).await;
     for endpoint in &fleet.endpoints {
-        endpoint.set_takes(Duration::from_secs(60));
+        endpoint.set_processing_time(Duration::from_secs(60));
     }
     let running = || {
         fleet
@@ -206,7 +206,7 @@
 #[tokio::test]
 async fn pipelining_caller_gets_all_responses() {
     let fleet = start_fleet(1, &["plain"]).await;
-    fleet.endpoints[0].set_takes(Duration::from_millis(30));
+    fleet.endpoints[0].set_processing_time(Duration::from_millis(30));
     let mut caller = TcpStream::connect(fleet.gateways[0].callers())
         .await
         .unwrap();
--- a/dockgate-bench/tests/endpoint_drain.rs
+++ b/dockgate-bench/tests/endpoint_drain.rs
@@ -5,7 +5,7 @@
 
 use dockgate_bench::gateway_fleet::{GatewayFleet, route_config, wait_until};
 use dockgate_bench::standin::caller::{call, request};
-use dockgate_bench::standin::{RoutedStandIn, StoreDoor};
+use dockgate_bench::standin::{RoutedStandIn, StoreListener};
 use dockgate_core::gateway::{EndpointUpdate, ReportedEndpoint, StoreRevision};
 use dockgate_platform::{StoredValue, decode_endpoint, decode_routes};
 use dockgate_proto::StateAnswer;
@@ -83,7 +83,7 @@
 }
 
 /// Returns the indices of the boxes that have started a store watch after `since`.
-fn boxes_watching(doors: &[StoreDoor], since: Instant) -> Vec<usize> {
+fn boxes_watching(doors: &[StoreListener], since: Instant) -> Vec<usize> {
     let watches = doors.iter().enumerate();
     let watches =
         watches.filter(|(_, door)| door.watch().is_some_and(|(started, _)| started > since));
@@ -103,19 +103,22 @@
         let value = value.replace("\"v1\"", &format!("\"v{changes}\""));
         fleet.store.set(&key, value);
         tokio::time::sleep(Duration::from_millis(600)).await;
-        boxes_watching(&fleet.doors, changed).len() == 2
+        boxes_watching(&fleet.store_listeners, changed).len() == 2
     })
     .await;
-    let followers = boxes_watching(&fleet.doors, Instant::now() - Duration::from_millis(600));
+    let followers = boxes_watching(
+        &fleet.store_listeners,
+        Instant::now() - Duration::from_millis(600),
+    );
     let [first, second] = followers[..] else {
         panic!("two boxes follow the store")
     };
     let other = (0..3).find(|index| !followers.contains(index)).unwrap();
-    let ends = [first, second].map(|index| fleet.doors[index].watch().unwrap().1);
+    let ends = [first, second].map(|index| fleet.store_listeners[index].watch().unwrap().1);
     let end = ends.into_iter().min().unwrap();
 
     for index in followers {
-        fleet.doors[index].set_silent(true);
+        fleet.store_listeners[index].set_silent(true);
     }
     let (key, value) = fleet.endpoints[0].record("a", "draining");
     fleet.store.set(&key, value);
@@ -140,10 +143,10 @@
 #[tokio::test]
 async fn silent_watch_is_restarted_before_it_times_out() {
     let fleet = start(1).await;
-    let door = &fleet.doors[0];
+    let door = &fleet.store_listeners[0];
     wait_until("the box watches", async || door.watch().is_some()).await;
     let (_, end) = door.watch().unwrap();
-    door.drop_watches();
+    door.stall_watches();
     let (key, value) = fleet.endpoints[0].record("a", "draining");
     fleet.store.set(&key, value);
     let gateway = &fleet.gateways[0];
--- a/dockgate-bench/tests/endpoint_notices.rs
+++ b/dockgate-bench/tests/endpoint_notices.rs
@@ -4,7 +4,7 @@
 
 use dockgate_bench::gateway_fleet::{GatewayFleet, start_fleet, wait_until};
 use dockgate_bench::standin::caller::{call, request};
-use dockgate_bench::standin::{RoutedStandIn, SeenRequest, TurnedAway};
+use dockgate_bench::standin::{ReceivedRequest, RejectedRequest, RoutedStandIn};
 use futures::future::join_all;
 use http::{HeaderMap, StatusCode};
 use http_body_util::BodyExt;
@@ -114,7 +114,7 @@
     fleet
         .endpoints
         .iter()
-        .for_each(|each| each.set_takes(RESPONSE_TIME));
+        .for_each(|each| each.set_processing_time(RESPONSE_TIME));
     fleet
 }
 
@@ -126,7 +126,10 @@
 
 /// Returns the ids of requests that reached an endpoint in a round after one whose responses
 /// announced to the same box that it is leaving.
-fn sent_after_notice(responses: &[Vec<Vec<CallerResponse>>], ran: &[SeenRequest]) -> Vec<String> {
+fn sent_after_notice(
+    responses: &[Vec<Vec<CallerResponse>>],
+    ran: &[ReceivedRequest],
+) -> Vec<String> {
     let after = responses.iter().flat_map(|rounds| {
         let has_notice = |round: &&Vec<CallerResponse>| round.iter().any(CallerResponse::leaves);
         let noticed = rounds.iter().skip_while(move |round| !has_notice(round));
@@ -213,7 +216,7 @@
 
 /// Returns the ids of a box's requests that an endpoint rejected during its backoff, without the
 /// first half second.
-fn rejected_in_backoff(rejected: &[TurnedAway], at: usize) -> Vec<String> {
+fn rejected_in_backoff(rejected: &[RejectedRequest], at: usize) -> Vec<String> {
     const SLACK: Duration = Duration::from_millis(500);
     let id_prefix = format!("r{at}");
     let seen = rejected.iter().map(|rejected| &rejected.request);
@@ -230,7 +233,7 @@
 async fn check_backoff_is_respected(path: &str, service: &str) {
     let fleet = start(3, &[service; 4]).await;
     let rejecting = &fleet.endpoints[0];
-    rejecting.set_rest(Some(BACKOFF));
+    rejecting.set_backoff(Some(BACKOFF));
     let mut first = 0;
     let mut responses = Vec::new();
     wait_until(
@@ -238,7 +241,7 @@
         async || {
             responses.extend(send_rounds_to_all(&fleet, path, first).await);
             first += ROUNDS;
-            let rejected = rejecting.turned_away();
+            let rejected = rejecting.rejected();
             let oldest = rejected.first();
             let lasted = oldest.is_some_and(|oldest| oldest.request.at.elapsed() > BACKOFF / 2);
             lasted && (0..3).all(|at| count_rejected_from(&rejected, at) > 0)
@@ -246,7 +249,7 @@
     )
     .await;
     for at in 0..3 {
-        let late = rejected_in_backoff(&rejecting.turned_away(), at);
+        let late = rejected_in_backoff(&rejecting.rejected(), at);
         assert!(late.len() <= MAX_IN_BACKOFF, "box {at} sent {late:?}");
     }
     let unserved = unserved(&responses);
@@ -257,7 +260,7 @@
 }
 
 /// Returns the number of a box's requests that an endpoint rejected.
-fn count_rejected_from(rejected: &[TurnedAway], at: usize) -> usize {
+fn count_rejected_from(rejected: &[RejectedRequest], at: usize) -> usize {
     let id_prefix = format!("r{at}");
     let seen = rejected.iter().map(|rejected| &rejected.request);
     seen.filter(|seen| seen.id.starts_with(&id_prefix)).count()
@@ -280,7 +283,7 @@
     const MIN_RETRY_AFTER_S: f64 = 1.0;
     let fleet = start(1, &["plain"; 2]).await;
     let endpoints = fleet.endpoints.iter();
-    endpoints.for_each(|each| each.set_rest(Some(BACKOFF)));
+    endpoints.for_each(|each| each.set_backoff(Some(BACKOFF)));
     send_with_retries(&fleet, 0, "/again/x", "first".to_owned()).await;
     let responses = send_rounds(&fleet, 0, "/again/x", 0).await;
     for response in responses.iter().flatten() {
@@ -291,8 +294,8 @@
         );
     }
     for endpoint in &fleet.endpoints {
-        assert_eq!(endpoint.turned_away().len(), 1);
-        endpoint.set_rest(None);
+        assert_eq!(endpoint.rejected().len(), 1);
+        endpoint.set_backoff(None);
     }
     wait_until("requests are served again", async || {
         send_with_retries(&fleet, 0, "/again/x", "after".to_owned())
--- a/dockgate-bench/tests/endpoint_records.rs
+++ b/dockgate-bench/tests/endpoint_records.rs
@@ -2,7 +2,7 @@
 
 use dockgate_bench::gateway_fleet::{GatewayFleet, start_fleet, wait_until};
 use dockgate_bench::standin::caller::{call, request, text};
-use dockgate_bench::standin::{EndpointManner, RoutedStandIn};
+use dockgate_bench::standin::{EndpointBehavior, RoutedStandIn};
 use dockgate_platform::ENDPOINT_KEY_PREFIX;
 use http::StatusCode;
 use serde_json::json;
@@ -16,7 +16,7 @@
 #[tokio::test]
 async fn restarted_endpoint_is_used_at_once() {
     let fleet = start_fleet(3, &["plain"]).await;
-    fleet.endpoints[0].set_manner(EndpointManner::Loses);
+    fleet.endpoints[0].set_behavior(EndpointBehavior::Loses);
     for number in 0..8 {
         let status = status_of(&fleet, 0, &format!("r{number}")).await;
         assert_eq!(status, StatusCode::BAD_GATEWAY);
@@ -25,7 +25,7 @@
     let restarted = RoutedStandIn::start("life-0", "plain").await.unwrap();
     let (key, value) = restarted.record("a", "ready");
     fleet.store.set(&key, value);
-    let new_lifetime = format!(r#""endpoint":"life-0","born_ms":{},"#, restarted.born_ms);
+    let new_lifetime = format!(r#""endpoint":"life-0","born_ms":{},"#, restarted.started_ms);
     for (at, gateway) in fleet.gateways.iter().enumerate() {
         wait_until("the new lifetime is in use", async || {
             gateway.logged().contains(&new_lifetime)
@@ -46,7 +46,7 @@
     let (key, value) = restarted.record("a", "ready");
     assert_eq!(old_key, key);
     fleet.store.set(&key, value);
-    let new_lifetime = format!(r#""endpoint":"life-0","born_ms":{},"#, restarted.born_ms);
+    let new_lifetime = format!(r#""endpoint":"life-0","born_ms":{},"#, restarted.started_ms);
     for gateway in &fleet.gateways {
         wait_until("the new lifetime is in use", async || {
             gateway.logged().contains(&new_lifetime)
--- a/dockgate-bench/tests/fleet.rs
+++ b/dockgate-bench/tests/fleet.rs
@@ -267,9 +267,9 @@
         dockgate_core::ConfigPlan::new(&config, changes).unwrap()
     };
     let (first, second) = (kind("first"), kind("second"));
-    fleet.platform.set_loses_replies(true);
+    fleet.platform.set_drops_replies(true);
     assert!(store.commit(&first, "a", 0).await.is_err());
-    fleet.platform.set_loses_replies(false);
+    fleet.platform.set_drops_replies(false);
     let version = config.version + 1;
     let settled = store.commit(&first, "a", 0).await.unwrap();
     assert_eq!(settled, CommitOutcome::AlreadyCommitted(version));
@@ -297,7 +297,7 @@
     assert!(head.snapshot > 0 && head.entries.len() < 70);
 
     for is_out in [false, true] {
-        fleet.platform.set_out(is_out);
+        fleet.platform.set_unavailable(is_out);
         fleet.daemons[1].kill();
         fleet.daemons[1].restart().unwrap();
         let ready = fleet.daemons[1].wait_for_ok("readyz", Duration::from_secs(20));
--- a/dockgate-bench/tests/gateway.rs
+++ b/dockgate-bench/tests/gateway.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use dockgate_bench::gateway_fleet::{KEYS, route_config, start_fleet, wait_until};
-use dockgate_bench::standin::EndpointManner;
+use dockgate_bench::standin::EndpointBehavior;
 use dockgate_bench::standin::caller::{all_events, call, connect, request, text};
 use http::{Request, StatusCode};
 use http_body_util::{BodyExt, Full};
@@ -141,16 +141,16 @@
 }
 
 #[parameterized(
-    loses = { EndpointManner::Loses },
-    foreign = { EndpointManner::Foreign },
-    no_proof = { EndpointManner::NoProof },
-    encoded = { EndpointManner::Encoded },
+    loses = { EndpointBehavior::Loses },
+    foreign = { EndpointBehavior::Foreign },
+    no_proof = { EndpointBehavior::NoProof },
+    encoded = { EndpointBehavior::Encoded },
 )]
 #[test_macro(tokio::test)]
-async fn non_repeatable_request_is_not_retried(manner: EndpointManner) {
+async fn non_repeatable_request_is_not_retried(manner: EndpointBehavior) {
     let fleet = start_fleet(1, &["plain", "plain"]).await;
     for endpoint in &fleet.endpoints {
-        endpoint.set_manner(manner);
+        endpoint.set_behavior(manner);
     }
     let response = call(&fleet.gateways[0], request("/once/x", "r1", None)).await;
     assert_eq!(
@@ -163,18 +163,18 @@
 }
 
 #[parameterized(
-    loses = { EndpointManner::Loses },
-    foreign = { EndpointManner::Foreign },
-    no_proof = { EndpointManner::NoProof },
-    encoded = { EndpointManner::Encoded },
-    fails = { EndpointManner::Fails },
-    full = { EndpointManner::Full },
-    silent = { EndpointManner::Silent },
+    loses = { EndpointBehavior::Loses },
+    foreign = { EndpointBehavior::Foreign },
+    no_proof = { EndpointBehavior::NoProof },
+    encoded = { EndpointBehavior::Encoded },
+    fails = { EndpointBehavior::Fails },
+    full = { EndpointBehavior::Full },
+    silent = { EndpointBehavior::Silent },
 )]
 #[test_macro(tokio::test)]
-async fn repeatable_request_is_retried_at_another_endpoint(manner: EndpointManner) {
+async fn repeatable_request_is_retried_at_another_endpoint(manner: EndpointBehavior) {
     let fleet = start_fleet(1, &["plain", "plain"]).await;
-    fleet.endpoints[0].set_manner(manner);
+    fleet.endpoints[0].set_behavior(manner);
     for number in 0..6 {
         let response = call(
             &fleet.gateways[0],
@@ -193,7 +193,7 @@
 #[tokio::test]
 async fn refused_request_is_not_run_and_has_retry_after() {
     let fleet = start_fleet(1, &["plain"]).await;
-    fleet.endpoints[0].set_manner(EndpointManner::Full);
+    fleet.endpoints[0].set_behavior(EndpointBehavior::Full);
     let response = call(&fleet.gateways[0], request("/once/x", "r1", None)).await;
     assert_eq!(response.status(), StatusCode::SERVICE_UNAVAILABLE);
     assert!(response.headers().contains_key("retry-after"));
@@ -203,7 +203,7 @@
 #[tokio::test]
 async fn cut_stream_resumes_at_another_endpoint() {
     let fleet = start_fleet(1, &["model", "model"]).await;
-    fleet.endpoints[0].set_manner(EndpointManner::CutsAfter(3));
+    fleet.endpoints[0].set_behavior(EndpointBehavior::CutsAfter(3));
     let mut resumed = 0;
     for number in 0..8 {
         let id = format!("r{number}");
@@ -220,7 +220,7 @@
 #[tokio::test]
 async fn stream_without_events_is_retried_at_another_endpoint() {
     let fleet = start_fleet(1, &["model", "model"]).await;
-    fleet.endpoints[0].set_manner(EndpointManner::Silent);
+    fleet.endpoints[0].set_behavior(EndpointBehavior::Silent);
     let mut repeated = 0;
     for number in 0..8 {
         let id = format!("r{number}");
@@ -238,7 +238,7 @@
 #[tokio::test]
 async fn non_resumable_stream_ends_with_an_error() {
     let fleet = start_fleet(1, &["model"]).await;
-    fleet.endpoints[0].set_manner(EndpointManner::CutsAfter(3));
+    fleet.endpoints[0].set_behavior(EndpointBehavior::CutsAfter(3));
     let response = call(&fleet.gateways[0], request("/draft/x", "r1", Some(9))).await;
     assert_eq!(response.status(), StatusCode::OK);
     assert!(
@@ -251,7 +251,7 @@
 #[tokio::test]
 async fn silent_endpoint_times_out_at_the_deadline() {
     let fleet = start_fleet(1, &["plain"]).await;
-    fleet.endpoints[0].set_manner(EndpointManner::Silent);
+    fleet.endpoints[0].set_behavior(EndpointBehavior::Silent);
     let mut short = request("/once/x", "r1", None);
     short
         .headers_mut()
@@ -297,7 +297,7 @@
 #[tokio::test]
 async fn box_starts_from_a_peer_without_the_store() {
     let mut fleet = start_fleet(2, &["plain"]).await;
-    fleet.store.set_out(true);
+    fleet.store.set_unavailable(true);
     fleet.gateways[0].kill();
     fleet.gateways[0].restart().unwrap();
     let gateway = &fleet.gateways[0];
@@ -437,7 +437,7 @@
 #[tokio::test]
 async fn slow_store_loses_no_change() {
     let fleet = start_fleet(1, &["plain"]).await;
-    fleet.store.set_slow(Duration::from_millis(400));
+    fleet.store.set_delay(Duration::from_millis(400));
     fleet.store.set("op/config", route_config(9, r#""k2""#));
     let gateway = &fleet.gateways[0];
     wait_until("the version is in force", async || {
--- a/dockgate-bench/tests/gateway_soak.rs
+++ b/dockgate-bench/tests/gateway_soak.rs
@@ -1,6 +1,6 @@
 //! Short seeded runs of the gateway soak test, with seeds that found failures.
 
-use dockgate_bench::gateway_fleet::{listens_for, wait_until};
+use dockgate_bench::gateway_fleet::{handles_signal, wait_until};
 use dockgate_bench::gateway_soak::{SoakFaults, SoakOptions, run_soak};
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
@@ -12,26 +12,26 @@
     first = { SoakFaults::All, 1 },
     second = { SoakFaults::All, 2 },
     reloaded_while_starting = { SoakFaults::All, 126 },
-    callers_that_leave = { SoakFaults::Leaving, 2 },
-    endpoints_end = { SoakFaults::Ending, 1 },
+    callers_that_leave = { SoakFaults::CallerDisconnects, 2 },
+    endpoints_end = { SoakFaults::CrashingRequests, 1 },
     endpoints_give_notice = { SoakFaults::Notices, 1 },
-    the_store_loses_its_last_seconds = { SoakFaults::OlderCopies, 1 },
+    the_store_loses_its_last_seconds = { SoakFaults::StoreRestores, 1 },
 )]
 fn soak_finds_no_broken_guarantee(faults: SoakFaults, seed: u64) {
     let runtime = tokio::runtime::Runtime::new().unwrap();
     let lasts_s = match faults {
         // A box counts as connected only after some seconds.
-        SoakFaults::Ending => 10,
+        SoakFaults::CrashingRequests => 10,
         _ => 4,
     };
     let options = SoakOptions {
         seed,
-        lasts: Duration::from_secs(lasts_s),
+        duration: Duration::from_secs(lasts_s),
         faults,
     };
     let report = runtime.block_on(run_soak(options)).unwrap();
     assert!(report.answered > 0, "{report:?}");
-    assert!(report.broken.is_empty(), "{report:#?}");
+    assert!(report.violations.is_empty(), "{report:#?}");
 }
 
 /// Guards against a soak that ends silently on a signal and leaves its boxes running.
@@ -43,7 +43,7 @@
         .spawn()
         .unwrap();
     wait_until("the soak listens", async || {
-        listens_for(soak.id(), Signal::SIGHUP)
+        handles_signal(soak.id(), Signal::SIGHUP)
     })
     .await;
     kill(Pid::from_raw(soak.id() as i32), Signal::SIGHUP).unwrap();
--- a/dockgate-bench/tests/request_quarantine.rs
+++ b/dockgate-bench/tests/request_quarantine.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use dockgate_bench::gateway_fleet::{GatewayFleet, GatewayProcess, start_fleet, wait_until};
 use dockgate_bench::standin::RoutedStandIn;
-use dockgate_bench::standin::caller::{call, request_with};
+use dockgate_bench::standin::caller::{call, request_with_body};
 use http::StatusCode;
 use std::time::Duration;
 
@@ -26,7 +26,7 @@
     async fn start(gateways: usize, service: &str) -> Self {
         let fleet = start_fleet(gateways, &[service; 8]).await;
         let endpoints = fleet.endpoints.iter();
-        endpoints.for_each(|endpoint| endpoint.set_deadly(&CRASHING_BODY));
+        endpoints.for_each(|endpoint| endpoint.add_crash_body(&CRASHING_BODY));
         Self {
             fleet,
             crashed: Vec::new(),
@@ -41,7 +41,7 @@
             }
             let restarted = RoutedStandIn::start(&endpoint.id, &endpoint.service);
             let restarted = restarted.await.expect("loopback has a port");
-            restarted.set_deadly(&CRASHING_BODY);
+            restarted.add_crash_body(&CRASHING_BODY);
             let (key, value) = restarted.record("a", "ready");
             self.fleet.store.set(&key, value);
             self.crashed.push(std::mem::replace(endpoint, restarted));
@@ -51,7 +51,7 @@
     /// Sends a request to a box and returns the status and body of the response.
     async fn send(&self, at: usize, path: &str, id: &str, body: &Bytes) -> (StatusCode, String) {
         let events = path.starts_with("/live/").then_some(3);
-        let request = request_with(path, id, events, body.clone());
+        let request = request_with_body(path, id, events, body.clone());
         let gateways = &self.fleet.gateways;
         let response = call(&gateways[at % gateways.len()], request).await;
         let status = response.status();
@@ -87,7 +87,9 @@
     async fn suspend_all(&self, time: Duration) {
         for gateway in &self.fleet.gateways {
             let before = gateway.logged().matches("\"woke\"").count();
-            gateway.be_away(time).expect("the suspension is simulated");
+            gateway
+                .simulate_suspension(time)
+                .expect("the suspension is simulated");
             wait_until("a box has noticed the suspension", async || {
                 gateway.logged().matches("\"woke\"").count() > before
             })
@@ -191,7 +193,7 @@
     fleet.restart_crashed().await;
 
     let endpoints = fleet.fleet.endpoints.iter();
-    endpoints.for_each(RoutedStandIn::set_harmless);
+    endpoints.for_each(RoutedStandIn::clear_crash_bodies);
     fleet.suspend_all(SECOND_TRIAL).await;
     let responses = fleet.send_to_all("second").await;
     let served = responses.iter().filter(|status| **status == StatusCode::OK);
@@ -221,7 +223,7 @@
     assert_eq!(remaining.map(|remaining| remaining.requests.len()), Ok(0));
     fleet.wait_for_quarantined(0).await;
     let endpoints = fleet.fleet.endpoints.iter();
-    endpoints.for_each(RoutedStandIn::set_harmless);
+    endpoints.for_each(RoutedStandIn::clear_crash_bodies);
     for at in 0..3 {
         let (status, text) = fleet
             .send(at, "/once/x", &format!("free{at}"), &CRASHING_BODY)
--- a/dockgate-bench/tests/signals.rs
+++ b/dockgate-bench/tests/signals.rs
@@ -1,7 +1,7 @@
 //! Signals that stop a box or make it reload its settings.
 
 use dockgate_bench::gateway_fleet::{start_fleet, wait_until};
-use dockgate_bench::standin::EndpointManner;
+use dockgate_bench::standin::EndpointBehavior;
 use dockgate_bench::standin::caller::{all_events, call, connect, request, text};
 use http::StatusCode;
 use nix::sys::signal::Signal;
@@ -10,7 +10,7 @@
 #[tokio::test]
 async fn stop_finishes_streams_and_refuses_long_requests() {
     let mut fleet = start_fleet(1, &["model"]).await;
-    fleet.endpoints[0].set_takes(Duration::from_millis(30));
+    fleet.endpoints[0].set_processing_time(Duration::from_millis(30));
     let address = fleet.gateways[0].callers();
     let mut idle = connect(address).await;
     let mut streaming = connect(address).await;
@@ -43,7 +43,7 @@
 #[tokio::test]
 async fn stopping_box_refuses_requests_that_may_outlast_it() {
     let fleet = start_fleet(1, &["plain"]).await;
-    fleet.endpoints[0].set_manner(EndpointManner::Silent);
+    fleet.endpoints[0].set_behavior(EndpointBehavior::Silent);
     let mut idle = connect(fleet.gateways[0].callers()).await;
     fleet.gateways[0].signal(Signal::SIGTERM);
     let gateway = &fleet.gateways[0];
@@ -93,7 +93,7 @@
     let mut fleet = start_fleet(1, &["plain"]).await;
     let gateway = &mut fleet.gateways[0];
     gateway.kill();
-    gateway.restart_signalled(Signal::SIGHUP).unwrap();
+    gateway.restart_with_signal(Signal::SIGHUP).unwrap();
     wait_until("the box is ready", async || gateway.is_ready().await).await;
     assert!(!gateway.has_ended());
 }
--- a/dockgate-bench/tests/store_rollback.rs
+++ b/dockgate-bench/tests/store_rollback.rs
@@ -56,7 +56,7 @@
     fleet
         .endpoints
         .iter()
-        .for_each(|each| each.set_takes(response_time));
+        .for_each(|each| each.set_processing_time(response_time));
     fleet
 }
 
@@ -85,10 +85,10 @@
     rewritten: usize,
 ) {
     let fleet = start(gateways).await;
-    let copy = fleet.store.copy();
+    let copy = fleet.store.snapshot();
     write_changes(&fleet, lost);
     tokio::time::sleep(REWRITE_TIME).await;
-    fleet.store.come_back_from(copy);
+    fleet.store.restore(copy);
     write_changes(&fleet, rewritten);
     (0..3).for_each(|at| write_state(&fleet, at, "ready"));
     tokio::time::sleep(REWRITE_TIME).await;
@@ -102,11 +102,11 @@
 #[tokio::test]
 async fn endpoint_draining_before_a_rollback_gets_no_requests() {
     let fleet = start(3).await;
-    let copy = fleet.store.copy();
+    let copy = fleet.store.snapshot();
     write_state(&fleet, 0, "draining");
     tokio::time::sleep(REWRITE_TIME).await;
     assert_eq!(requests_reaching(&fleet, 0, "before").await, 0);
-    fleet.store.come_back_from(copy);
+    fleet.store.restore(copy);
     wait_for_new_era(&fleet).await;
     assert_eq!(requests_reaching(&fleet, 0, "between").await, 0);
     (0..3).for_each(|at| write_state(&fleet, at, ["draining", "ready", "ready"][at]));
@@ -118,12 +118,12 @@
 #[tokio::test]
 async fn endpoint_removed_before_a_rollback_gets_no_requests() {
     let fleet = start(3).await;
-    let copy = fleet.store.copy();
+    let copy = fleet.store.snapshot();
     let (key, _) = fleet.endpoints[0].record("a", "ready");
     fleet.store.remove(&key);
     tokio::time::sleep(SETTLE_TIME).await;
     assert_eq!(requests_reaching(&fleet, 0, "before").await, 0);
-    fleet.store.come_back_from(copy);
+    fleet.store.restore(copy);
     wait_for_new_era(&fleet).await;
     (1..3).for_each(|at| write_state(&fleet, at, "ready"));
     assert_eq!(requests_reaching(&fleet, 0, "between").await, 0);
@@ -136,11 +136,11 @@
 #[tokio::test]
 async fn endpoint_added_before_a_rollback_stays_in_use() {
     let mut fleet = start(3).await;
-    let copy = fleet.store.copy();
+    let copy = fleet.store.snapshot();
     fleet.add_endpoint("young", "plain").await.unwrap();
     tokio::time::sleep(REWRITE_TIME).await;
     assert!(requests_reaching(&fleet, 3, "before").await > 0);
-    fleet.store.come_back_from(copy);
+    fleet.store.restore(copy);
     wait_for_new_era(&fleet).await;
     assert!(requests_reaching(&fleet, 3, "between").await > 0);
     (0..4).for_each(|at| write_state(&fleet, at, "ready"));
@@ -153,7 +153,7 @@
 #[tokio::test]
 async fn configuration_lost_in_a_rollback_stays_in_force() {
     let fleet = start(3).await;
-    let copy = fleet.store.copy();
+    let copy = fleet.store.snapshot();
     fleet
         .store
         .set(dockgate_platform::ROUTES_KEY, route_config(5, KEYS));
@@ -167,7 +167,7 @@
         }
     };
     in_force(5).await;
-    fleet.store.come_back_from(copy);
+    fleet.store.restore(copy);
     wait_for_new_era(&fleet).await;
     tokio::time::sleep(REWRITE_TIME).await;
     in_force(5).await;
--- a/dockgate-bench/tests/suspension.rs
+++ b/dockgate-bench/tests/suspension.rs
@@ -4,7 +4,7 @@
 
 use dockgate_bench::gateway_fleet::{start_fleet, wait_until};
 use dockgate_bench::standin::caller::{call, request, text};
-use dockgate_bench::standin::{EndpointManner, RoutedStandIn};
+use dockgate_bench::standin::{EndpointBehavior, RoutedStandIn};
 use http::StatusCode;
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
     let fleet = start_fleet(1, &["plain", "plain"]).await;
     let endpoints = &fleet.endpoints;
     let silent = endpoints.iter();
-    silent.for_each(|endpoint| endpoint.set_manner(EndpointManner::Silent));
+    silent.for_each(|endpoint| endpoint.set_behavior(EndpointBehavior::Silent));
     let gateway = &fleet.gateways[0];
     let answer = call(gateway, request("/again/x", "r", None));
     let suspended = async {
@@ -28,8 +28,8 @@
         .await;
         let idle = endpoints.iter().find(|endpoint| endpoint.ran().is_empty());
         let next = idle.expect("only one of two endpoints has the request");
-        next.set_manner(EndpointManner::Sound);
-        gateway.be_away(SUSPENSION).unwrap();
+        next.set_behavior(EndpointBehavior::Sound);
+        gateway.simulate_suspension(SUSPENSION).unwrap();
         next
     };
     let (answer, next) = tokio::join!(answer, suspended);
@@ -50,7 +50,7 @@
     let fleet = start_fleet(1, &["plain", "plain"]).await;
     let gateway = &fleet.gateways[0];
     for endpoint in &fleet.endpoints {
-        endpoint.set_manner(EndpointManner::Silent);
+        endpoint.set_behavior(EndpointBehavior::Silent);
     }
     let expired = async {
         let answer = call(gateway, request("/once/x", "over", None)).await;
@@ -59,10 +59,12 @@
     let later = async {
         wait_until("an endpoint ran it", async || fleet.runs_of("over") == 1).await;
         for endpoint in &fleet.endpoints {
-            endpoint.set_manner(EndpointManner::Sound);
-            endpoint.set_takes(Duration::from_secs(1));
+            endpoint.set_behavior(EndpointBehavior::Sound);
+            endpoint.set_processing_time(Duration::from_secs(1));
         }
-        gateway.be_away(Duration::from_millis(DEADLINE_MS)).unwrap();
+        gateway
+            .simulate_suspension(Duration::from_millis(DEADLINE_MS))
+            .unwrap();
         // Requests that arrive before the box notices count as old as the suspension.
         wait_until("the box notices the suspension", async || {
             gateway.logged().contains("\"woke\"")
@@ -90,7 +92,7 @@
         panic!("there are two")
     };
     let suspended = &fleet.gateways[0];
-    fleet.doors[0].set_silent(true);
+    fleet.store_listeners[0].set_silent(true);
     let (key, value) = leaving.record("a", "draining");
     fleet.store.set(&key, value);
     for other in &fleet.gateways[1..] {
@@ -104,7 +106,9 @@
         )
         .await;
     }
-    suspended.be_away(Duration::from_secs(6)).unwrap();
+    suspended
+        .simulate_suspension(Duration::from_secs(6))
+        .unwrap();
     wait_until("the box notices the suspension", async || {
         suspended.logged().contains("\"woke\"")
     })
