--- a/dockgate-core/src/gateway/clock_jump_tests.rs
+++ b/dockgate-core/src/gateway/clock_jump_tests.rs
@@ -91,7 +91,7 @@
             1 => EndpointOutcome::Silent,
             _ => EndpointOutcome::Answered,
         };
-        self.health.note(sign, now);
+        self.health.note_outcome(sign, now);
         self.tick(0);
     }
 
--- a/dockgate-core/src/gateway/endpoint_health.rs
+++ b/dockgate-core/src/gateway/endpoint_health.rs
@@ -66,7 +66,7 @@
     }
 
     /// Records the outcome of a request.
-    pub fn note(&mut self, outcome: EndpointOutcome, now_ms: u64) {
+    pub fn note_outcome(&mut self, outcome: EndpointOutcome, now_ms: u64) {
         let failed = match outcome {
             EndpointOutcome::Answered => 0.0,
             EndpointOutcome::Failed | EndpointOutcome::Unreachable | EndpointOutcome::Silent => 1.0,
--- a/dockgate-core/src/gateway/endpoint_registry.rs
+++ b/dockgate-core/src/gateway/endpoint_registry.rs
@@ -108,7 +108,7 @@
     ready: HashMap<String, Vec<ReadyEndpoint>>,
     history: LifetimeHistory,
     notices: NoticeRegistry,
-    reach: DomainReachability,
+    reachability: DomainReachability,
     revision: StoreRevision,
     /// The revision of the newest full list that was applied. Removals before it are unknown.
     full_list_at: StoreRevision,
@@ -409,7 +409,8 @@
     pub fn is_eligible(&self, id: EndpointId, now_ms: u64) -> bool {
         let entry = self.endpoints.get(&id);
         let is_healthy = entry.is_some_and(|entry| {
-            entry.health.is_available(now_ms) && !self.reach.is_unreachable(&entry.record.domain)
+            entry.health.is_available(now_ms)
+                && !self.reachability.is_unreachable(&entry.record.domain)
         });
         is_healthy && self.notices.may_send(id, now_ms)
     }
@@ -473,17 +474,17 @@
     }
 
     /// Records the outcome of a request to an endpoint or of an attempt to connect to it.
-    pub fn note_sign(&mut self, id: EndpointId, sign: EndpointOutcome, now_ms: u64) {
+    pub fn note_outcome(&mut self, id: EndpointId, outcome: EndpointOutcome, now_ms: u64) {
         let Some(entry) = self.endpoints.get_mut(&id) else {
             return;
         };
-        entry.health.note(sign, now_ms);
-        if sign == EndpointOutcome::Answered {
+        entry.health.note_outcome(outcome, now_ms);
+        if outcome == EndpointOutcome::Answered {
             self.notices.note_answered(id, now_ms);
         }
         // An established connection may fail long after the link was cut.
-        if sign != EndpointOutcome::Failed {
-            self.note_reach(id, sign != EndpointOutcome::Silent);
+        if outcome != EndpointOutcome::Failed {
+            self.note_reachability(id, outcome != EndpointOutcome::Silent);
         }
     }
 
@@ -496,11 +497,11 @@
         now_ms: u64,
         draw: f64,
     ) -> Vec<NoticeUpdate> {
-        let changes = self.notices.receive(id, notice, now_ms, draw);
-        if changes.contains(&NoticeUpdate::Leaving) {
+        let updates = self.notices.receive(id, notice, now_ms, draw);
+        if updates.contains(&NoticeUpdate::Leaving) {
             self.rebuild_index();
         }
-        changes
+        updates
     }
 
     /// Records another box's report that an endpoint is leaving and returns whether it is accepted.
@@ -528,18 +529,18 @@
     }
 
     /// Returns the reachability of the failure domains.
-    pub const fn reach(&self) -> &DomainReachability {
-        &self.reach
+    pub const fn reachability(&self) -> &DomainReachability {
+        &self.reachability
     }
 
-    /// Records whether one of its endpoints answered, as a sign of a failure domain's reachability.
-    pub fn note_reach(&mut self, id: EndpointId, answered: bool) {
+    /// Records whether an endpoint answered, which shows whether its failure domain is reachable.
+    pub fn note_reachability(&mut self, id: EndpointId, answered: bool) {
         let Some(entry) = self.endpoints.get(&id) else {
             return;
         };
         match answered {
-            true => self.reach.record_answer(&entry.record.domain),
-            false => self.reach.record_silence(&entry.record.domain, id),
+            true => self.reachability.record_answer(&entry.record.domain),
+            false => self.reachability.record_silence(&entry.record.domain, id),
         }
     }
 }
--- a/dockgate-core/src/gateway/endpoint_registry/lifetime_tests.rs
+++ b/dockgate-core/src/gateway/endpoint_registry/lifetime_tests.rs
@@ -53,7 +53,7 @@
     let mut registry = registry_of([ready(1, 3)]);
     registry.note_sent(key(1), 1_000);
     for _ in 0..6 {
-        registry.note_sign(key(1), EndpointOutcome::Failed, 1_000);
+        registry.note_outcome(key(1), EndpointOutcome::Failed, 1_000);
     }
     assert_eq!(registry.eligible("x", 1_001).count(), 0, "it backs off");
     assert!(registry.apply(ready(2, 4), None));
@@ -76,7 +76,7 @@
     let mut registry = registry_of([ready(1, 3), ready(2, 4)]);
     registry.note_sent(key(2), 1_000);
     registry.note_request_ended(key(1));
-    registry.note_sign(key(1), EndpointOutcome::Failed, 1_000);
+    registry.note_outcome(key(1), EndpointOutcome::Failed, 1_000);
     for late in [draining(1, 2), ready(1, 5), draining(1, 6)] {
         assert!(!registry.apply(late, None));
     }
@@ -301,7 +301,7 @@
                 }
                 LifetimeStep::Fail(at, choice) if !sent[at].is_empty() => {
                     let id = sent[at].swap_remove(choice.index(sent[at].len()));
-                    registries[at].note_sign(id, EndpointOutcome::Failed, 1_000);
+                    registries[at].note_outcome(id, EndpointOutcome::Failed, 1_000);
                     registries[at].note_request_ended(id);
                 }
                 LifetimeStep::Fail(..) => {}
--- a/dockgate-core/src/gateway/endpoint_registry/notice_tests.rs
+++ b/dockgate-core/src/gateway/endpoint_registry/notice_tests.rs
@@ -188,7 +188,7 @@
                 _ => BackoffEvent::RemovedAndRewritten,
             };
             match event {
-                BackoffEvent::Sign(sign) => registry.note_sign(id, sign, now_ms),
+                BackoffEvent::Sign(sign) => registry.note_outcome(id, sign, now_ms),
                 BackoffEvent::Sent => registry.note_sent(id, now_ms),
                 BackoffEvent::AsksForLessTime =>
                     drop(registry.receive_notice(id, backoff_notice(1), now_ms, draw)),
--- a/dockgate-core/src/gateway/endpoint_registry/tests.rs
+++ b/dockgate-core/src/gateway/endpoint_registry/tests.rs
@@ -127,27 +127,27 @@
         registry.apply(put(id, revision as u64 + 1), None);
     }
     let [e, f, g] = ["e", "f", "g"].map(EndpointId::from_name);
-    registry.note_sign(e, EndpointOutcome::Silent, 1_000);
+    registry.note_outcome(e, EndpointOutcome::Silent, 1_000);
     assert_eq!(
         registry.eligible("x", 1_000).count(),
         2,
         "a single silent endpoint may be down"
     );
-    registry.note_sign(f, EndpointOutcome::Unreachable, 1_000);
-    registry.note_sign(f, EndpointOutcome::Silent, 1_000);
+    registry.note_outcome(f, EndpointOutcome::Unreachable, 1_000);
+    registry.note_outcome(f, EndpointOutcome::Silent, 1_000);
     assert_eq!(
         registry.eligible("x", 1_000).count(),
         1,
         "a refused connection is an answer"
     );
-    registry.note_reach(e, false);
+    registry.note_reachability(e, false);
     assert_eq!(registry.eligible("x", 1_000).count(), 0);
     assert_eq!(
         registry.ready("x").len(),
         3,
         "ready endpoints are the last resort"
     );
-    registry.note_reach(g, true);
+    registry.note_reachability(g, true);
     let eligible: Vec<EndpointId> = registry.eligible("x", 60_000).map(|(id, _)| id).collect();
     assert_eq!(eligible.len(), 3, "silent endpoints are tried again");
 }
--- a/dockgate-core/src/gateway/fleet_view.rs
+++ b/dockgate-core/src/gateway/fleet_view.rs
@@ -110,7 +110,7 @@
     }
 
     /// Returns this box's key.
-    pub fn me(&self) -> BoxKey {
+    pub fn own_key(&self) -> BoxKey {
         self.own.key()
     }
 
@@ -193,7 +193,7 @@
     /// Records a liveness report; returns the change of the box, and whether the ranking of its
     /// domain may have changed.
     fn record(&mut self, report: LivenessReport, now_ms: u64) -> (BoxChange, bool) {
-        if report.key == self.me() {
+        if report.key == self.own_key() {
             return (BoxChange::None, false);
         }
         let peer = self.others.get(&report.key);
@@ -264,11 +264,11 @@
             (status.behind, Reverse(status.processor), key)
         };
         let mut domains: BTreeMap<DomainKey, Vec<RankKey>> = BTreeMap::new();
-        let me = (self.me(), self.own_domain, self.own.status);
+        let own = (self.own_key(), self.own_domain, self.own.status);
         let others = self.others.iter();
         let others = others.filter(|(_, peer)| peer.address.is_some());
         let others = others.map(|(key, peer)| (*key, peer.domain, peer.status));
-        for (key, domain, status) in std::iter::once(me).chain(others) {
+        for (key, domain, status) in std::iter::once(own).chain(others) {
             if !status.leaving {
                 domains.entry(domain).or_default().push(rank(key, status));
             }
@@ -317,12 +317,15 @@
     /// Returns whether a box counts as alive.
     pub fn is_live(&self, key: BoxKey, now_ms: u64) -> bool {
         let peer = self.others.get(&key);
-        peer.map_or_else(|| key == self.me(), |peer| self.gone_ms(peer) >= now_ms)
+        peer.map_or_else(
+            || key == self.own_key(),
+            |peer| self.gone_ms(peer) >= now_ms,
+        )
     }
 
     fn is_responsive(&self, key: BoxKey, now_ms: u64) -> bool {
         let peer = self.others.get(&key);
-        peer.map_or_else(|| key == self.me(), |peer| peer.is_responsive(now_ms))
+        peer.map_or_else(|| key == self.own_key(), |peer| peer.is_responsive(now_ms))
     }
 
     /// Returns the number of live boxes, this one included: the highest of the own count and the
@@ -359,7 +362,7 @@
         let heartbeat = self.others.get(&key).map(|peer| peer.heartbeat.as_ref());
         match heartbeat {
             Some(Some(heartbeat)) => &heartbeat.name,
-            None if key == self.me() => &self.own.name,
+            None if key == self.own_key() => &self.own.name,
             _ => "unknown",
         }
     }
@@ -392,9 +395,9 @@
 
     /// Returns whether this box coordinates its failure domain.
     pub fn is_coordinator(&self, now_ms: u64) -> bool {
-        let me = self.me();
+        let own_key = self.own_key();
         self.coordinators_of(self.own_domain, now_ms)
-            .any(|key| key == me)
+            .any(|key| key == own_key)
     }
 
     /// Lists the addresses for this box's heartbeat: the coordinators of its domain, or if none is
@@ -403,9 +406,9 @@
     /// A coordinator also tries a silent box, selected by `random`: after a split, the two parts of
     /// a domain may have different coordinators that do not know of each other.
     pub fn heartbeat_targets(&self, now_ms: u64, random: usize) -> Vec<SocketAddr> {
-        let me = self.me();
+        let own_key = self.own_key();
         let live = self.coordinators_of(self.own_domain, now_ms);
-        let live: Vec<BoxKey> = live.filter(|key| *key != me).collect();
+        let live: Vec<BoxKey> = live.filter(|key| *key != own_key).collect();
         let silent = || {
             let ranks = self.ranks.get(&self.own_domain).into_iter().flatten();
             let silent = ranks.filter(|key| !self.is_responsive(**key, now_ms));
@@ -455,7 +458,7 @@
         };
         owner_of_endpoint(endpoint, in_domain)
             .or_else(|| owner_of_endpoint(endpoint, all()))
-            .unwrap_or(self.me())
+            .unwrap_or(self.own_key())
     }
 
     /// Counts the other boxes of the own failure domain that follow the store, and those that take
@@ -464,7 +467,7 @@
     /// A box counts only while its last answer from the store is recent: a suspended box, or one
     /// whose heartbeats arrive late, still reports an old state.
     pub fn store_watchers(&self, now_ms: u64) -> StoreWatchers {
-        let me = self.me();
+        let own_key = self.own_key();
         let ranks = self.ranks.get(&self.own_domain).into_iter().flatten();
         let live = |key: &BoxKey| {
             let peer = self.others.get(key);
@@ -476,7 +479,7 @@
         };
         let others = ranks.clone().filter_map(live);
         let before: Vec<&PeerBox> = ranks
-            .take_while(|key| **key != me)
+            .take_while(|key| **key != own_key)
             .filter_map(live)
             .collect();
         StoreWatchers {
@@ -518,7 +521,7 @@
         let live = live.filter(|(_, peer)| peer.is_responsive(now_ms));
         let heartbeats = live.filter_map(|(key, peer)| Some((*key, peer.heartbeat.as_ref()?)));
         let newer = heartbeats.filter(|(_, heartbeat)| heartbeat.revision_of(kind) > own);
-        let me = self.me();
+        let own_key = self.own_key();
         let source = newer.max_by_key(|(key, heartbeat)| {
             let is_preferred = Some(heartbeat.state_address) != avoid;
             let is_same_domain = heartbeat.domain == self.own.domain;
@@ -526,7 +529,7 @@
                 is_preferred,
                 is_same_domain,
                 heartbeat.revision_of(kind),
-                pair_score(me, *key),
+                pair_score(own_key, *key),
             )
         });
         source.map(|(_, heartbeat)| StateSource {
--- a/dockgate-core/src/gateway/fleet_view/fleet_tests.rs
+++ b/dockgate-core/src/gateway/fleet_view/fleet_tests.rs
@@ -236,7 +236,7 @@
                 .map(|member| {
                     (
                         Reverse(member.view.own().status.processor),
-                        member.view.me(),
+                        member.view.own_key(),
                     )
                 })
                 .collect();
--- a/dockgate-core/src/gateway/fleet_view/tests.rs
+++ b/dockgate-core/src/gateway/fleet_view/tests.rs
@@ -19,11 +19,11 @@
     let view = view();
     let b1 = BoxKey::from_name("b1");
     assert!((0..50).all(|id| view.owner(EndpointId(id), "b", 1_000) == b1));
-    assert!((0..50).all(|id| view.owner(EndpointId(id), "b", 9_000) == view.me()));
+    assert!((0..50).all(|id| view.owner(EndpointId(id), "b", 9_000) == view.own_key()));
     let owners: Vec<BoxKey> = (0..50)
         .map(|id| view.owner(EndpointId(id), "a", 1_000))
         .collect();
-    assert!(owners.contains(&view.me()) && !owners.contains(&b1));
+    assert!(owners.contains(&view.own_key()) && !owners.contains(&b1));
 }
 
 #[test]
--- a/dockgate-core/src/gateway/route_table.rs
+++ b/dockgate-core/src/gateway/route_table.rs
@@ -271,7 +271,7 @@
 pub struct RouteTable {
     config: RouteConfig,
     /// The shortest objective among the routes of each service.
-    tightest: Vec<Option<Duration>>,
+    shortest_objectives: Vec<Option<Duration>>,
     hosts: HashMap<String, Vec<usize>>,
     services: HashMap<String, usize>,
     keys: HashMap<String, usize>,
@@ -291,9 +291,10 @@
             // The first match is the longest prefix.
             routes.sort_by_key(|index| std::cmp::Reverse(config.routes[*index].prefix.len()));
         }
-        let tightest = config.services.iter();
-        let tightest = tightest.map(|service| tightest_of(&config.routes, &service.name));
-        let tightest = tightest.collect();
+        let shortest_objectives = config.services.iter();
+        let shortest_objectives =
+            shortest_objectives.map(|service| shortest_objective_of(&config.routes, &service.name));
+        let shortest_objectives = shortest_objectives.collect();
         let services = config.services.iter().enumerate();
         let services = services
             .map(|(index, service)| (service.name.clone(), index))
@@ -306,7 +307,7 @@
             .collect();
         Self {
             config,
-            tightest,
+            shortest_objectives,
             hosts,
             services,
             keys,
@@ -342,8 +343,8 @@
     }
 
     /// Returns the shortest objective among the routes to a service; `None` without such a route.
-    pub fn tightest_objective(&self, key: ServiceKey) -> Option<Duration> {
-        self.tightest[key.0]
+    pub fn shortest_objective(&self, key: ServiceKey) -> Option<Duration> {
+        self.shortest_objectives[key.0]
     }
 
     /// Returns whether requests need a key unless their route is public.
@@ -362,7 +363,7 @@
     }
 }
 
-fn tightest_of(routes: &[RouteSpec], service: &str) -> Option<Duration> {
+fn shortest_objective_of(routes: &[RouteSpec], service: &str) -> Option<Duration> {
     let leads_to_service = |route: &&RouteSpec| {
         let choices = route.services.iter();
         choices
--- a/dockgate/src/gateway/call/admitted_call.rs
+++ b/dockgate/src/gateway/call/admitted_call.rs
@@ -134,7 +134,7 @@
     /// Returns the admission request for an engine, if the request has a prompt.
     pub(in super::super) fn admission_request(&self) -> Option<AdmissionRequest> {
         let prompt = self.head.prompt.as_ref()?;
-        let shortest = self.table.tightest_objective(self.service);
+        let shortest = self.table.shortest_objective(self.service);
         let objective = self.objective_left();
         let as_ms = |time: Duration| time.as_millis() as u32;
         let times = LatencyLimits {
--- a/dockgate/src/gateway/domain_watch.rs
+++ b/dockgate/src/gateway/domain_watch.rs
@@ -63,7 +63,7 @@
             let silent = view.fleet.silent_domains(now);
             let mut domains: Vec<String> = silent.into_iter().collect();
             domains.retain(|domain| !answered(domain));
-            let unreachable = view.endpoints.reach().unreachable();
+            let unreachable = view.endpoints.reachability().unreachable();
             domains.extend(unreachable.map(str::to_owned));
             domains.sort();
             domains.dedup();
@@ -83,7 +83,7 @@
         let answers = futures::future::join_all(attempts).await;
         state.with(|view| {
             for (probe, answered) in probes.iter().zip(&answers) {
-                view.endpoints.note_reach(probe.endpoint, *answered);
+                view.endpoints.note_reachability(probe.endpoint, *answered);
             }
         });
         if answers.contains(&true) {
@@ -95,7 +95,7 @@
     fn apply_changes(&mut self, state: &GatewayState) {
         let now = now_ms();
         let unreachable: Vec<String> = state.with(|view| {
-            let unreachable = view.endpoints.reach().unreachable();
+            let unreachable = view.endpoints.reachability().unreachable();
             unreachable.map(str::to_owned).collect()
         });
         self.unreachable_since.retain(|domain, since| {
--- a/dockgate/src/gateway/run_guard.rs
+++ b/dockgate/src/gateway/run_guard.rs
@@ -60,7 +60,7 @@
     pub(super) fn record(&self, outcome: EndpointOutcome) {
         let now = now_ms();
         self.state
-            .with(|view| view.endpoints.note_sign(self.endpoint, outcome, now));
+            .with(|view| view.endpoints.note_outcome(self.endpoint, outcome, now));
     }
 
     /// Records the outcome of a failed attempt, if it counts for the endpoint.
