--- a/dockgate-core/src/entry.rs
+++ b/dockgate-core/src/entry.rs
@@ -16,7 +16,8 @@
 pub struct SlotRequestPolicy {
     /// The time for which a request waits on the first scheduler alone, in milliseconds.
     pub widen_ms: u64,
-    /// The number of schedulers asked after that. Doubles for every `10 * widen_ms` of waiting.
+    /// The number of schedulers that get slot requests after that. Doubles for every
+    /// `10 * widen_ms` of waiting.
     pub width: usize,
 }
 
@@ -167,7 +168,8 @@
             .collect()
     }
 
-    /// Selects the schedulers to ask: all if they are few, else a sample that grows with age.
+    /// Selects the schedulers to request slots from: all if they are few, else a sample that grows
+    /// with age.
     fn select_schedulers(
         &self,
         pool: PoolKey,
@@ -251,7 +253,8 @@
         self.queue.remove(request).is_some()
     }
 
-    /// Expires requests past their deadline, and asks more schedulers for those that still wait.
+    /// Expires requests past their deadline, and requests slots from more schedulers for those that
+    /// still wait.
     pub fn tick(&mut self, now_ms: u64) -> Vec<EntryAction> {
         let expired = self.queue.expired(now_ms);
         let mut actions = Vec::new();
--- a/dockgate-core/src/gateway/box_heartbeat.rs
+++ b/dockgate-core/src/gateway/box_heartbeat.rs
@@ -1,8 +1,8 @@
 //! Heartbeats of boxes, and the digests in which other boxes relay them.
 //!
-//! Each heartbeat carries a sequence number. Only a higher number of the same incarnation counts as
-//! a sign of life, however a report travels: late, duplicated or circulating reports keep no box
-//! alive.
+//! Each heartbeat carries a sequence number. Only a higher number of the same incarnation shows
+//! that the box is alive, by whatever path it arrives: late, duplicated or circulating reports do
+//! not make a dead box appear alive.
 //!
 //! ```
 //! use dockgate_core::gateway::{BoxHeartbeat, BoxStatus};
--- a/dockgate-core/src/gateway/clock_jump_tests.rs
+++ b/dockgate-core/src/gateway/clock_jump_tests.rs
@@ -31,14 +31,14 @@
     now_ms: u64,
     sequence: u32,
     fleet: FleetView,
-    duty: StoreFollower,
+    follower: StoreFollower,
     retries: RetryBudget,
     retried: Vec<u64>,
     requests: Vec<u64>,
     shares: ShareTracker,
     health: EndpointHealth,
     lag: LoopLag,
-    shed: LoadShedder,
+    shedder: LoadShedder,
     suspects: SuspectRegistry,
     gate: ResumeGate,
 }
@@ -55,14 +55,14 @@
             now_ms: 1,
             sequence: 1,
             fleet: FleetView::new(heartbeat(1, 1)),
-            duty: StoreFollower::default(),
+            follower: StoreFollower::default(),
             retries: RetryBudget::new(RULE),
             retried: Vec::new(),
             requests: Vec::new(),
             shares: ShareTracker::new(4_000),
             health: EndpointHealth::default(),
             lag: LoopLag::default(),
-            shed: LoadShedder::default(),
+            shedder: LoadShedder::default(),
             suspects,
             gate: ResumeGate::default(),
         }
@@ -86,12 +86,12 @@
             self.shares.record_request(7, 100, now);
             self.shares.record_admission(7, 80, ShareLevel::WITHIN, now);
         }
-        let sign = match load % 3 {
+        let outcome = match load % 3 {
             0 => EndpointOutcome::Failed,
             1 => EndpointOutcome::Silent,
             _ => EndpointOutcome::Answered,
         };
-        self.health.note_outcome(sign, now);
+        self.health.note_outcome(outcome, now);
         self.tick(0);
     }
 
@@ -102,9 +102,9 @@
         self.shares.tick(now, 1_000.0);
         let watchers = self.fleet.store_watchers(now);
         let own = StoreAccess::default();
-        let _ = self.duty.must_follow(watchers, own, now);
-        let _ = self.duty.must_probe(watchers, own, now);
-        self.shed.record_sample(0.2, late_ms, now);
+        let _ = self.follower.must_follow(watchers, own, now);
+        let _ = self.follower.must_probe(watchers, own, now);
+        self.shedder.record_sample(0.2, late_ms, now);
         self.suspects.expire(now);
         self.lag.record(late_ms, now)
     }
@@ -149,7 +149,7 @@
         prop_assert!(simulated.gate.is_open(None, simulated.now_ms));
         prop_assert!(simulated.health.is_available(simulated.now_ms));
         prop_assert!(!simulated.lag.is_too_late_for(500));
-        prop_assert!(simulated.shed.refused_fraction(7) < 1.0);
+        prop_assert!(simulated.shedder.refused_fraction(7) < 1.0);
         prop_assert!(simulated.is_within_budget());
         let day_ms = 86_400_000;
         let is_held = simulated.suspects.quarantine(SUSPECT, simulated.now_ms).is_some();
--- a/dockgate-core/src/gateway/endpoint_health.rs
+++ b/dockgate-core/src/gateway/endpoint_health.rs
@@ -2,8 +2,8 @@
 //!
 //! A failed endpoint gets no requests during a backoff that grows with each consecutive failure;
 //! afterwards a single request at a time probes it. Failures interleaved with answers are detected
-//! by their ratio: an endpoint with a high failure ratio is used only as a fallback for a short time
-//! after each failure, and then tried again, so that its recovery is noticed.
+//! by their ratio: for a short time after each failure, an endpoint with a high failure ratio is
+//! used only as a fallback. It is then tried again, so that its recovery is noticed.
 
 /// The outcome of a request at an endpoint, as it affects the health of the endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/dockgate-core/src/gateway/endpoint_notice.rs
+++ b/dockgate-core/src/gateway/endpoint_notice.rs
@@ -8,14 +8,14 @@
 //! use dockgate_core::gateway::{AnswerOwner, AnswerAttributes, EndpointNotice};
 //!
 //! let notice = EndpointNotice { is_leaving: true, ..EndpointNotice::default() };
-//! let signs = AnswerAttributes {
+//! let attributes = AnswerAttributes {
 //!     status: 200,
 //!     owner: AnswerOwner::Own,
 //!     has_proof: true,
 //!     not_run: false,
 //!     is_encoded: false,
 //! };
-//! assert!(notice.trusted(&signs).is_leaving);
+//! assert!(notice.trusted(&attributes).is_leaving);
 //! ```
 
 use super::answer_verdict::{AnswerAttributes, AnswerOwner};
@@ -47,8 +47,8 @@
     /// endpoint. An answer without a request id may come from any process at that address, and a
     /// misdirected request was answered by another endpoint. Only a refusal can request a backoff.
     #[must_use]
-    pub const fn trusted(self, signs: &AnswerAttributes) -> Self {
-        match (signs.owner, signs.status) {
+    pub const fn trusted(self, attributes: &AnswerAttributes) -> Self {
+        match (attributes.owner, attributes.status) {
             (AnswerOwner::Unnamed, _) | (_, MISDIRECTED) => Self {
                 is_leaving: false,
                 backoff: None,
--- a/dockgate-core/src/gateway/endpoint_notice/tests.rs
+++ b/dockgate-core/src/gateway/endpoint_notice/tests.rs
@@ -24,7 +24,7 @@
         backoff: BACKOFF,
     };
     for (has_proof, not_run) in [(false, false), (false, true), (true, false), (true, true)] {
-        let signs = AnswerAttributes {
+        let attributes = AnswerAttributes {
             status,
             owner,
             has_proof,
@@ -32,7 +32,7 @@
             is_encoded: not_run,
         };
         assert_eq!(
-            notice.trusted(&signs),
+            notice.trusted(&attributes),
             EndpointNotice {
                 is_leaving,
                 backoff
--- a/dockgate-core/src/gateway/endpoint_registry.rs
+++ b/dockgate-core/src/gateway/endpoint_registry.rs
@@ -488,7 +488,7 @@
         }
     }
 
-    /// Records what an endpoint announced of itself in an answer and returns what is new in it.
+    /// Records what an endpoint announced about itself in an answer and returns what is new in it.
     /// `draw` is a random number from 0 to 1.
     pub fn receive_notice(
         &mut self,
@@ -523,7 +523,7 @@
         is_accepted
     }
 
-    /// Returns what endpoints announced of themselves in their answers.
+    /// Returns what endpoints announced about themselves in their answers.
     pub const fn notices(&self) -> &NoticeRegistry {
         &self.notices
     }
--- a/dockgate-core/src/gateway/endpoint_registry/endpoint_update.rs
+++ b/dockgate-core/src/gateway/endpoint_registry/endpoint_update.rs
@@ -169,7 +169,7 @@
             }
         };
         self.advance(revision);
-        // The end of an unconfirmed endpoint raises no revision, so its term has to be passed on.
+        // The removal of an unconfirmed endpoint raises no revision, so its deadline is passed on.
         // It applies to whichever lifetime is known here, since the store had no record of the id.
         for (name, record) in unconfirmed {
             self.history.drop_deferred(name, record.revision);
--- a/dockgate-core/src/gateway/endpoint_registry/era_tests.rs
+++ b/dockgate-core/src/gateway/endpoint_registry/era_tests.rs
@@ -83,7 +83,7 @@
     }
 }
 
-/// A box and the lifetimes that it has era_box to drain.
+/// A box and the lifetimes that it knows to be draining or to have drained.
 #[derive(Debug, Clone, Default)]
 struct EraBox {
     registry: EndpointRegistry,
--- a/dockgate-core/src/gateway/endpoint_registry/notice_tests.rs
+++ b/dockgate-core/src/gateway/endpoint_registry/notice_tests.rs
@@ -157,10 +157,10 @@
 /// An event while an endpoint backs off.
 #[derive(Debug, Clone, Copy)]
 enum BackoffEvent {
-    Sign(EndpointOutcome),
+    Outcome(EndpointOutcome),
     Sent,
     RemovedAndRewritten,
-    AsksForLessTime,
+    ShorterBackoff,
 }
 
 proptest! {
@@ -179,18 +179,18 @@
         for (kind, after_ms) in events {
             now_ms += after_ms;
             let event = match kind {
-                0 => BackoffEvent::Sign(EndpointOutcome::Answered),
-                1 => BackoffEvent::Sign(EndpointOutcome::Full),
-                2 => BackoffEvent::Sign(EndpointOutcome::Failed),
-                3 => BackoffEvent::Sign(EndpointOutcome::Unreachable),
+                0 => BackoffEvent::Outcome(EndpointOutcome::Answered),
+                1 => BackoffEvent::Outcome(EndpointOutcome::Full),
+                2 => BackoffEvent::Outcome(EndpointOutcome::Failed),
+                3 => BackoffEvent::Outcome(EndpointOutcome::Unreachable),
                 4 => BackoffEvent::Sent,
-                5 => BackoffEvent::AsksForLessTime,
+                5 => BackoffEvent::ShorterBackoff,
                 _ => BackoffEvent::RemovedAndRewritten,
             };
             match event {
-                BackoffEvent::Sign(sign) => registry.note_outcome(id, sign, now_ms),
+                BackoffEvent::Outcome(outcome) => registry.note_outcome(id, outcome, now_ms),
                 BackoffEvent::Sent => registry.note_sent(id, now_ms),
-                BackoffEvent::AsksForLessTime =>
+                BackoffEvent::ShorterBackoff =>
                     drop(registry.receive_notice(id, backoff_notice(1), now_ms, draw)),
                 BackoffEvent::RemovedAndRewritten => {
                     registry.apply(EndpointChange::Removed("e".to_owned(), at(revision + 1)), None);
--- a/dockgate-core/src/gateway/engine_registry.rs
+++ b/dockgate-core/src/gateway/engine_registry.rs
@@ -107,9 +107,9 @@
 impl EngineRegistry {
     /// Returns the load of an engine; adds an idle one if the engine is new.
     pub fn load_mut(&mut self, endpoint: EndpointId, spec: EngineSpec) -> &mut EngineLoad {
-        let kind = self.speeds.get(&spec).copied();
+        let speed = self.speeds.get(&spec).copied();
         let load = self.loads.entry(endpoint).or_insert_with(|| {
-            let model = kind.map_or_else(PrefillModel::default, PrefillModel::from);
+            let model = speed.map_or_else(PrefillModel::default, PrefillModel::from);
             EngineLoad::new(spec, model)
         });
         load.set_spec(spec);
--- a/dockgate-core/src/gateway/fair_usage.rs
+++ b/dockgate-core/src/gateway/fair_usage.rs
@@ -1,4 +1,4 @@
-//! Service that a workspace is admitted at one box, relative to its fair rate.
+//! Service admitted for a workspace at one box, relative to its fair rate.
 
 /// Exponentially decaying admitted service, and the fair rate it is compared with.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -17,7 +17,8 @@
     /// Time constant of the decay, in milliseconds.
     const DECAY_MS: f64 = 1_000.0;
 
-    /// Creates the usage of a workspace that was admitted service units at a steady rate.
+    /// Creates the usage of a workspace for which service was admitted at a steady rate, in service
+    /// units per millisecond.
     pub(super) const fn new(admitted_per_ms: f64, now_ms: u64) -> Self {
         Self {
             admitted: admitted_per_ms * Self::DECAY_MS,
--- a/dockgate-core/src/gateway/fleet_view.rs
+++ b/dockgate-core/src/gateway/fleet_view.rs
@@ -280,7 +280,7 @@
         self.ranks = sorted.collect();
     }
 
-    /// Forgets boxes after a long silence; returns those that went between the two times.
+    /// Forgets boxes after a long silence; returns those that became gone between the two times.
     pub fn expire(&mut self, since_ms: u64, now_ms: u64) -> Vec<BoxKey> {
         let peers = self.others.iter();
         let gone = peers
--- a/dockgate-core/src/gateway/fleet_view/digest.rs
+++ b/dockgate-core/src/gateway/fleet_view/digest.rs
@@ -28,12 +28,12 @@
             incarnation,
             now_ms,
         )];
-        for entry in digest.coordinators {
-            self.record_domain(&entry.heartbeat.domain);
-            let at_ms = now_ms.saturating_sub(u64::from(entry.age_ms));
+        for report in digest.coordinators {
+            self.record_domain(&report.heartbeat.domain);
+            let at_ms = now_ms.saturating_sub(u64::from(report.age_ms));
             reports.push(LivenessReport::from_heartbeat(
-                entry.heartbeat,
-                entry.incarnation,
+                report.heartbeat,
+                report.incarnation,
                 at_ms,
             ));
         }
--- a/dockgate-core/src/gateway/load_shedder.rs
+++ b/dockgate-core/src/gateway/load_shedder.rs
@@ -64,8 +64,8 @@
     pub const SAMPLE_MS: u64 = 100;
     /// Target upper bound of the busy fraction. Above it, requests that arrive together queue up.
     const MAX_BUSY_FRACTION: f64 = 0.85;
-    /// Cost of a refusal relative to an admitted request. Both are parsed, but a refusal neither
-    /// asks an engine nor forwards events.
+    /// Cost of a refusal relative to an admitted request. Both are parsed, but a refused
+    /// request sends no admission request to an engine and forwards no events.
     const REFUSAL_COST: f64 = 0.25;
     /// Fraction of the backlog that is to be worked off within a sample.
     const CATCH_UP_FRACTION: f64 = 0.2;
--- a/dockgate-core/src/gateway/prefill_model.rs
+++ b/dockgate-core/src/gateway/prefill_model.rs
@@ -114,7 +114,8 @@
     const INITIAL: Row = [30.0, 32.0, 0.7];
     /// The standard deviation of each initial time.
     const INITIAL_DEVIATION: Row = [40.0, 20.0, 0.4];
-    /// Bounds of the learned times, so that outliers cannot block or open an engine for good.
+    /// Bounds of the learned times, so that outliers cannot exclude or overload an engine
+    /// permanently.
     const MIN: Row = [1.0, 0.2, 0.0];
     const MAX: Row = [2_000.0, 500.0, 10.0];
     /// The weight of each first event relative to the next one: about the last hundred count.
--- a/dockgate-core/src/gateway/prefix_history/tests.rs
+++ b/dockgate-core/src/gateway/prefix_history/tests.rs
@@ -33,12 +33,12 @@
     assert_eq!(
         history.take_reports(|_| Some(NEW), has_moved),
         Vec::new(),
-        "the owner has been informed_owner"
+        "the owner has already been informed"
     );
     assert_eq!(
         history.take_reports(|_| Some(NEW), |_, _| true).len(),
         2,
-        "a restarted owner has not been informed_owner"
+        "a restarted owner has not been informed"
     );
 }
 
--- a/dockgate-core/src/gateway/share_tracker/share_simulation.rs
+++ b/dockgate-core/src/gateway/share_tracker/share_simulation.rs
@@ -347,7 +347,7 @@
         self.trackers[index].record_request(workspace, units, self.now_ms);
         let level = self.trackers[index].level(workspace, units, self.now_ms);
         let number = self.event_count as u32;
-        let ask = AdmissionRequest {
+        let request = AdmissionRequest {
             workspace,
             objective_ms: 1_000,
             shortest_objective_ms: 600,
@@ -365,7 +365,7 @@
         let homes = [first, (first + next) % ENGINES];
         let rule = AdmissionRule::default();
         let home = homes.into_iter().find(|home| {
-            let verdict = rule.decide(&self.engines[*home], &ask, 0, self.now_ms);
+            let verdict = rule.decide(&self.engines[*home], &request, 0, self.now_ms);
             matches!(verdict, AdmissionVerdict::Granted(_))
         });
         let Some(home) = home else {
@@ -374,8 +374,8 @@
         };
         self.trackers[index].record_admission(workspace, units, level, self.now_ms);
         self.outcome.rows[flood][second].admitted += units;
-        let first_ms = self.engines[home].first_event_ms(&ask, self.now_ms) as u64;
-        self.engines[home].place(run_key(number), &ask, self.now_ms);
+        let first_ms = self.engines[home].first_event_ms(&request, self.now_ms) as u64;
+        self.engines[home].place(run_key(number), &request, self.now_ms);
         let started_ms = self.now_ms + first_ms;
         self.schedule(started_ms, SimulationEvent::Start(home, number));
         self.schedule(started_ms + RUN_MS, SimulationEvent::End(home, number));
--- a/dockgate-core/src/gateway/share_tracker/tests.rs
+++ b/dockgate-core/src/gateway/share_tracker/tests.rs
@@ -172,7 +172,7 @@
 
 #[test]
 fn overlapping_reports_are_counted_once() {
-    let far_header = |peer: u32| ShareHeader {
+    let domain_header = |peer: u32| ShareHeader {
         peer: BoxKey(peer),
         scope: ShareScope::Domain(DomainKey(7)),
         ..header(1)
@@ -182,8 +182,8 @@
     tracker.tick(1_000, RATE);
     tracker.merge(header(1), &[row(1, 1_000, 10)], 1_000);
     // Two coordinators report on one domain; the second one has just started and lacks boxes.
-    tracker.merge(far_header(3), &[row(1, 5_000, 50)], 1_000);
-    tracker.merge(far_header(4), &[row(1, 300, 3)], 1_000);
+    tracker.merge(domain_header(3), &[row(1, 5_000, 50)], 1_000);
+    tracker.merge(domain_header(4), &[row(1, 300, 3)], 1_000);
     assert_eq!(tracker.fleet_rows(1_000), [row(1, 6_100, 60)]);
     tracker.tick(1_000, RATE);
     assert_eq!(
--- a/dockgate-core/src/gateway/store_follower.rs
+++ b/dockgate-core/src/gateway/store_follower.rs
@@ -69,7 +69,8 @@
         others.before < Self::FOLLOWERS
     }
 
-    /// Records who reaches the store; returns false while this box waits for other heartbeats.
+    /// Records how many boxes reach the store; returns false while this box waits for other
+    /// heartbeats.
     fn record(&mut self, others: StoreWatchers, now_ms: u64) -> bool {
         let started_ms = *self.started_ms.get_or_insert(now_ms);
         self.had_reaching_peer |= others.reaching > 0;
--- a/dockgate-core/src/gateway/store_probe.rs
+++ b/dockgate-core/src/gateway/store_probe.rs
@@ -36,15 +36,16 @@
 }
 
 impl ProbeTiming {
-    /// The parts of the bound that the interval and the timeout take. The rest is needed for
-    /// another box to take over and report the changes.
+    /// The divisors of the bound that give the interval and the timeout. The remaining time is
+    /// needed for another box to take over and report the changes.
     const INTERVAL_DIVISOR: u64 = 10;
     const TIMEOUT_DIVISOR: u64 = 6;
     /// The lower limits of both, which tolerate a very slow store.
     const MIN_INTERVAL_MS: u64 = 200;
     const MIN_TIMEOUT_MS: u64 = 350;
 
-    /// Creates the timing for a bound in which all boxes must learn of a change, in milliseconds.
+    /// Creates the timing for a bound within which all boxes must learn of a change, in
+    /// milliseconds.
     pub fn within(bound_ms: u64) -> Self {
         Self {
             interval_ms: (bound_ms / Self::INTERVAL_DIVISOR).max(Self::MIN_INTERVAL_MS),
@@ -95,7 +96,8 @@
         self.answered_since_ms
     }
 
-    /// Returns when the last probe was sent; `None` if it was not answered.
+    /// Returns when the last probe was sent, which is the time of the store's proof; `None` if it
+    /// was not answered.
     pub fn proof_ms(&self) -> Option<u64> {
         self.answered_since_ms.and(self.last_answered_ms)
     }
--- a/dockgate-core/src/gateway/suspect_registry/verdict_tests.rs
+++ b/dockgate-core/src/gateway/suspect_registry/verdict_tests.rs
@@ -69,7 +69,7 @@
     lifetimes: BTreeMap<u64, (u64, u64)>,
     misjudged: BTreeSet<u32>,
     interrupted: BTreeSet<u32>,
-    report: FleetResult,
+    result: FleetResult,
 }
 
 fn fingerprint(number: u32) -> RequestFingerprint {
@@ -89,7 +89,7 @@
             lifetimes: (0..load.endpoints).map(|at| (at, (0, 0))).collect(),
             misjudged: BTreeSet::new(),
             interrupted: BTreeSet::new(),
-            report: FleetResult::default(),
+            result: FleetResult::default(),
         }
     }
 
@@ -120,12 +120,12 @@
             .iter()
             .filter(|(_, (_, from_ms))| *from_ms <= now_ms);
         let available = available.map(|(at, _)| EndpointId(*at));
-        let subject = placement_key(
+        let key = placement_key(
             run.kind,
             100 + u64::from(run.number),
             run.sends as usize % 3,
         );
-        let homes = best_homes(subject, available, 3, |id| run.tried & (1 << id.0) == 0);
+        let homes = best_homes(key, available, 3, |id| run.tried & (1 << id.0) == 0);
         if homes.is_empty() {
             return;
         }
@@ -136,7 +136,7 @@
             _ => 100 + self.draw(self.load.run_ms),
         };
         if run.number == HARMFUL {
-            self.report.harmful_sends += 1;
+            self.result.harmful_sends += 1;
         }
         self.runs.push(SimulatedRun {
             endpoint,
@@ -148,10 +148,10 @@
     }
 
     fn end_endpoint(&mut self, endpoint: u64) {
-        let (incarnation, _) = self.lifetimes[&endpoint];
+        let (number, _) = self.lifetimes[&endpoint];
         self.lifetimes
-            .insert(endpoint, (incarnation + 1, self.now_ms + RESTART_MS));
-        let lifetime = EndpointId(endpoint * 1_000 + incarnation);
+            .insert(endpoint, (number + 1, self.now_ms + RESTART_MS));
+        let lifetime = EndpointId(endpoint * 1_000 + number);
         let (lost, kept): (Vec<SimulatedRun>, Vec<SimulatedRun>) = std::mem::take(&mut self.runs)
             .into_iter()
             .partition(|run| run.endpoint == endpoint);
@@ -194,8 +194,8 @@
             self.now_ms += 1;
             self.finish();
             if self.now_ms.is_multiple_of(self.load.interval_ms) {
-                self.report.started += 1;
-                let started = self.report.started;
+                self.result.started += 1;
+                let started = self.result.started;
                 let is_poll = self
                     .load
                     .poll_every
@@ -218,7 +218,7 @@
         FleetResult {
             misjudged: self.misjudged.len(),
             interrupted: self.interrupted.len(),
-            ..self.report
+            ..self.result
         }
     }
 
@@ -247,12 +247,12 @@
 
 /// Simulates a load with several seeds and sums the results.
 fn simulate(load: FleetLoad) -> FleetResult {
-    let reports = (1..=3).map(|seed| FleetSimulation::new(load, seed).simulate(20_000));
-    reports.fold(FleetResult::default(), |sum, report| FleetResult {
-        started: sum.started + report.started,
-        harmful_sends: sum.harmful_sends.max(report.harmful_sends),
-        misjudged: sum.misjudged + report.misjudged,
-        interrupted: sum.interrupted + report.interrupted,
+    let results = (1..=3).map(|seed| FleetSimulation::new(load, seed).simulate(20_000));
+    results.fold(FleetResult::default(), |sum, result| FleetResult {
+        started: sum.started + result.started,
+        harmful_sends: sum.harmful_sends.max(result.harmful_sends),
+        misjudged: sum.misjudged + result.misjudged,
+        interrupted: sum.interrupted + result.interrupted,
     })
 }
 
@@ -267,13 +267,13 @@
     frequent_harmful_request = { FleetLoad { harmful_interval_ms: Some(150), ..BUSY } },
 )]
 fn the_harmful_request_is_quarantined_and_few_others_are(load: FleetLoad) {
-    let report = simulate(load);
-    assert!(report.interrupted > 50, "{report:?}");
-    assert!(report.misjudged * 50 <= report.interrupted, "{report:?}");
+    let result = simulate(load);
+    assert!(result.interrupted > 50, "{result:?}");
+    assert!(result.misjudged * 50 <= result.interrupted, "{result:?}");
     let expected_sends = if load.harmful_interval_ms.is_some() {
         3
     } else {
         0
     };
-    assert_eq!(report.harmful_sends, expected_sends, "{report:?}");
+    assert_eq!(result.harmful_sends, expected_sends, "{result:?}");
 }
--- a/dockgate-core/src/scheduler/tests.rs
+++ b/dockgate-core/src/scheduler/tests.rs
@@ -1,4 +1,4 @@
-//! Scenarios and randomised runs of one scheduler.
+//! Scenarios and randomized runs of one scheduler.
 
 use super::*;
 use proptest::prelude::*;
