--- a/dockgate-core/src/gateway/clock_jump_tests.rs
+++ b/dockgate-core/src/gateway/clock_jump_tests.rs
@@ -100,10 +100,10 @@
         let now = self.now_ms;
         self.fleet.expire(now.saturating_sub(100 + late_ms), now);
         self.shares.tick(now, 1_000.0);
-        let watchers = self.fleet.store_watchers(now);
+        let peers = self.fleet.store_peers(now);
         let own = StoreAccess::default();
-        let _ = self.follower.must_follow(watchers, own, now);
-        let _ = self.follower.must_probe(watchers, own, now);
+        let _ = self.follower.must_follow(peers, own, now);
+        let _ = self.follower.must_probe(peers, own, now);
         self.shedder.record_sample(0.2, late_ms, now);
         self.suspects.expire(now);
         self.lag.record(late_ms, now)
--- a/dockgate-core/src/gateway/fleet_view.rs
+++ b/dockgate-core/src/gateway/fleet_view.rs
@@ -12,7 +12,7 @@
 use super::box_heartbeat::{BoxHeartbeat, BoxStatus, DomainKey, StateKind};
 use super::rendezvous::{owner_of_endpoint, pair_score};
 use super::route_table::EndpointId;
-use super::store_follower::StoreWatchers;
+use super::store_follower::StorePeers;
 use super::store_revision::StoreRevision;
 use crate::ids::{BoxKey, Incarnation};
 use peer_box::{LivenessReport, PeerBox};
@@ -466,7 +466,7 @@
     ///
     /// A box counts only while its last answer from the store is recent: a suspended box, or one
     /// whose heartbeats arrive late, still reports an old state.
-    pub fn store_watchers(&self, now_ms: u64) -> StoreWatchers {
+    pub fn store_peers(&self, now_ms: u64) -> StorePeers {
         let own_key = self.own_key();
         let ranks = self.ranks.get(&self.own_domain).into_iter().flatten();
         let live = |key: &BoxKey| {
@@ -482,7 +482,7 @@
             .take_while(|key| **key != own_key)
             .filter_map(live)
             .collect();
-        StoreWatchers {
+        StorePeers {
             reaching: others.filter(|peer| reaches(peer)).count(),
             reaching_before: before.iter().filter(|peer| reaches(peer)).count(),
             before: before.len(),
--- a/dockgate-core/src/gateway/fleet_view/store_tests.rs
+++ b/dockgate-core/src/gateway/fleet_view/store_tests.rs
@@ -119,7 +119,7 @@
 
     fn update_role(&mut self, index: usize, now: u64) {
         let view = &self.fleet.boxes[index].view;
-        let others = view.store_watchers(now);
+        let others = view.store_peers(now);
         let client = &mut self.clients[index];
         let own = StoreAccess {
             follows: view.own().status.reaches_store,
@@ -153,7 +153,7 @@
         let timing = self.timing;
         let standby_ms = STANDBY_INTERVAL_MS - self.random.draw(STANDBY_INTERVAL_MS / 2);
         let view = &self.fleet.boxes[index].view;
-        let is_primary = StoreFollower::is_primary(view.store_watchers(now));
+        let is_primary = StoreFollower::is_primary(view.store_peers(now));
         let client = &mut self.clients[index];
         match client.sent_ms {
             None if client.probes && client.probe_ms <= now => client.sent_ms = Some(now),
--- a/dockgate-core/src/gateway/fleet_view/tests.rs
+++ b/dockgate-core/src/gateway/fleet_view/tests.rs
@@ -119,7 +119,7 @@
         // Boxes of other domains are not counted.
         view.receive_heartbeat(heartbeat("b1", "b"), Incarnation(1), 1_000);
         let own = StoreAccess::default();
-        StoreFollower::default().must_follow(view.store_watchers(1_000), own, 1_000)
+        StoreFollower::default().must_follow(view.store_peers(1_000), own, 1_000)
     };
     assert_eq!(names.into_iter().filter(|name| follows(name)).count(), 2);
 }
@@ -183,12 +183,12 @@
     };
     view.receive_heartbeat(reaching("a2", 1, 400), Incarnation(1), 11_000);
     view.receive_heartbeat(reaching("a3", 1, 2_400), Incarnation(1), 11_000);
-    let watchers = view.store_watchers(11_000);
-    assert_eq!((watchers.reaching, watchers.before), (1, 2));
+    let peers = view.store_peers(11_000);
+    assert_eq!((peers.reaching, peers.before), (1, 2));
     assert_eq!(view.store_proof_age_ms(11_000), Some(400));
-    assert_eq!(view.store_watchers(12_050).reaching, 1, "not yet gone");
+    assert_eq!(view.store_peers(12_050).reaching, 1, "not yet gone");
     // The store stops answering the box, which still reports that it reaches the store.
     view.receive_heartbeat(reaching("a2", 2, 1_900), Incarnation(1), 11_400);
-    assert_eq!(view.store_watchers(11_500).reaching, 1);
-    assert_eq!(view.store_watchers(11_501).reaching, 0);
+    assert_eq!(view.store_peers(11_500).reaching, 1);
+    assert_eq!(view.store_peers(11_501).reaching, 0);
 }
--- a/dockgate-core/src/gateway/store_follower.rs
+++ b/dockgate-core/src/gateway/store_follower.rs
@@ -6,25 +6,25 @@
 //! that it answers take over.
 //!
 //! ```
-//! use dockgate_core::gateway::{StoreAccess, StoreFollower, StoreWatchers};
+//! use dockgate_core::gateway::{StoreAccess, StoreFollower, StorePeers};
 //!
 //! let mut follower = StoreFollower::default();
-//! let alone = StoreWatchers { has_live_peer: false, ..StoreWatchers::default() };
+//! let alone = StorePeers { has_live_peer: false, ..StorePeers::default() };
 //! let own = StoreAccess::default();
 //! assert!(!follower.must_follow(alone, own, 1_000), "others may still send heartbeats");
 //! assert!(follower.must_follow(alone, own, 1_050));
-//! let two = StoreWatchers { reaching: 2, reaching_before: 2, before: 5, has_live_peer: true };
+//! let two = StorePeers { reaching: 2, reaching_before: 2, before: 5, has_live_peer: true };
 //! assert!(!follower.must_follow(two, own, 1_300));
 //! ```
 
 /// The numbers of other live boxes of the own failure domain, by their relation to the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct StoreWatchers {
-    /// The boxes that follow the store and that it answers.
+pub struct StorePeers {
+    /// The number of boxes that follow the store and that it answers.
     pub reaching: usize,
-    /// Those of them that rank before this box.
+    /// The number of these that rank before this box.
     pub reaching_before: usize,
-    /// All boxes that rank before this one, whether or not they reach the store.
+    /// The number of boxes that rank before this one, whether or not they reach the store.
     pub before: usize,
     /// Whether any other box of the domain is live.
     pub has_live_peer: bool,
@@ -65,13 +65,13 @@
     const STAGGER_MS: u64 = 60;
 
     /// Returns whether a box is one of the first in its domain, which follow the store by default.
-    pub const fn is_primary(others: StoreWatchers) -> bool {
+    pub const fn is_primary(others: StorePeers) -> bool {
         others.before < Self::FOLLOWERS
     }
 
     /// Records how many boxes reach the store; returns false while this box waits for other
     /// heartbeats.
-    fn record(&mut self, others: StoreWatchers, now_ms: u64) -> bool {
+    fn record(&mut self, others: StorePeers, now_ms: u64) -> bool {
         let started_ms = *self.started_ms.get_or_insert(now_ms);
         self.had_reaching_peer |= others.reaching > 0;
         match others.reaching >= Self::FOLLOWERS {
@@ -82,14 +82,14 @@
     }
 
     /// Returns whether this box must probe the store to find out whether it is answered.
-    pub fn must_probe(&mut self, others: StoreWatchers, own: StoreAccess, now_ms: u64) -> bool {
+    pub fn must_probe(&mut self, others: StorePeers, own: StoreAccess, now_ms: u64) -> bool {
         let may_act = self.record(others, now_ms);
         let lacks_followers = others.reaching < Self::FOLLOWERS;
         may_act && (lacks_followers || own.follows || Self::is_primary(others))
     }
 
     /// Returns whether this box must follow the store now.
-    pub fn must_follow(&mut self, others: StoreWatchers, own: StoreAccess, now_ms: u64) -> bool {
+    pub fn must_follow(&mut self, others: StorePeers, own: StoreAccess, now_ms: u64) -> bool {
         match self.record(others, now_ms) {
             false => false,
             true if others.reaching_before >= Self::FOLLOWERS => false,
@@ -99,7 +99,7 @@
     }
 
     /// Returns whether this box takes over from the primary followers.
-    fn takes_over(&self, others: StoreWatchers, own: StoreAccess, now_ms: u64) -> bool {
+    fn takes_over(&self, others: StorePeers, own: StoreAccess, now_ms: u64) -> bool {
         let (Some(shortage_ms), Some(answered_ms)) =
             (self.shortage_since_ms, own.answered_since_ms)
         else {
--- a/dockgate-core/src/gateway/store_follower/tests.rs
+++ b/dockgate-core/src/gateway/store_follower/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-const fn others(reaching_before: usize, before: usize) -> StoreWatchers {
-    StoreWatchers {
+const fn others(reaching_before: usize, before: usize) -> StorePeers {
+    StorePeers {
         reaching: reaching_before,
         reaching_before,
         before,
@@ -80,7 +80,7 @@
 /// Guards against all boxes of a starting fleet following the store at once.
 #[test]
 fn newly_started_boxes_wait_for_heartbeats() {
-    let no_others = StoreWatchers::default();
+    let no_others = StorePeers::default();
     let mut follower = StoreFollower::default();
     assert!(!follower.must_follow(no_others, UNANSWERED, 1_000));
     assert!(!follower.must_probe(no_others, UNANSWERED, 1_000));
@@ -117,7 +117,7 @@
 #[test]
 fn higher_ranked_boxes_take_over_from_lower_ranked_followers() {
     let mut follower = StoreFollower::default();
-    let after = StoreWatchers {
+    let after = StorePeers {
         reaching: 2,
         reaching_before: 0,
         before: 1,
@@ -127,7 +127,7 @@
         follower.must_follow(after, UNANSWERED, 1_000),
         "it ranks second"
     );
-    let third = StoreWatchers { before: 2, ..after };
+    let third = StorePeers { before: 2, ..after };
     assert!(
         !follower.must_follow(third, answered_since(900), 60_000),
         "two boxes reach the store"
--- a/dockgate/src/gateway/gateway_state/store_access.rs
+++ b/dockgate/src/gateway/gateway_state/store_access.rs
@@ -69,7 +69,7 @@
     pub(in super::super) fn update_role(&self) {
         let now = now_ms();
         let role = self.with(|view| {
-            let others = view.fleet.store_watchers(now);
+            let others = view.fleet.store_peers(now);
             let own = StoreAccess {
                 follows: view.fleet.own().status.reaches_store,
                 answered_since_ms: view.probe.answered_since_ms(),
@@ -89,7 +89,7 @@
     /// Returns whether this box is one of the primary followers of the store in its domain.
     pub(in super::super) fn is_primary_watcher(&self) -> bool {
         self.with(|view| {
-            let others = view.fleet.store_watchers(now_ms());
+            let others = view.fleet.store_peers(now_ms());
             StoreFollower::is_primary(others)
         })
     }
