--- a/dockgate-core/src/attempt/tests.rs
+++ b/dockgate-core/src/attempt/tests.rs
@@ -10,7 +10,11 @@
     streaming = { AttemptState::Streaming, true, RetryVerdict::Report(Outcome::Failed) },
     streaming_once = { AttemptState::Streaming, false, RetryVerdict::Report(Outcome::Unknown) },
 )]
-fn verdict_with_retry_budget(state: AttemptState, repeatable: bool, verdict: RetryVerdict) {
+fn retry_verdict_depends_on_state_and_repeatability(
+    state: AttemptState,
+    repeatable: bool,
+    verdict: RetryVerdict,
+) {
     assert_eq!(state.retry_verdict(repeatable, true), verdict);
 }
 
--- a/dockgate-core/src/gateway/answer_verdict.rs
+++ b/dockgate-core/src/gateway/answer_verdict.rs
@@ -1,7 +1,8 @@
 //! Classification of endpoint answers.
 //!
 //! A refusal guarantees that a request has not run, so it counts only if the endpoint states it. A
-//! success without proof, or an answer to another request, is unusable.
+//! success without the endpoint's proof that it generated the answer, or an answer to another
+//! request, is unusable.
 
 /// The request that an answer belongs to, by the id in its head.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -21,7 +22,7 @@
     pub status: u16,
     /// The request that it belongs to.
     pub owner: AnswerOwner,
-    /// Whether it carries the endpoint's proof.
+    /// Whether it carries the endpoint's proof that it generated the answer.
     pub has_proof: bool,
     /// Whether the endpoint states that it did not run the request.
     pub not_run: bool,
--- a/dockgate-core/src/gateway/endpoint_registry/endpoint_entry.rs
+++ b/dockgate-core/src/gateway/endpoint_registry/endpoint_entry.rs
@@ -32,8 +32,8 @@
         }
     }
 
-    /// Marks the entry unconfirmed if the record of this id was found missing after this one was
-    /// written.
+    /// Takes over the unconfirmed state of the previous lifetime, if the id's record was found
+    /// missing after the record of this lifetime was written.
     pub(super) fn with_unconfirmed(mut self, unconfirmed: Option<UnconfirmedSince>) -> Self {
         self.unconfirmed = unconfirmed.filter(|since| since.revision >= self.revision);
         self
--- a/dockgate-core/src/gateway/resume_gate.rs
+++ b/dockgate-core/src/gateway/resume_gate.rs
@@ -38,8 +38,11 @@
         self.resumed_ms = Some(now_ms);
     }
 
-    /// Returns whether the state of the box is up to date. `proof_ms` is the time of the store's
-    /// last answer to a box of this domain, if this box has the same state as that domain.
+    /// Returns whether the gate is open: the state of the box was confirmed, or the time limit has
+    /// passed.
+    ///
+    /// `proof_ms` is the time of the store's last answer to a box of this domain, if this box has
+    /// the same state as that domain.
     pub fn is_open(&mut self, proof_ms: Option<u64>, now_ms: u64) -> bool {
         let Some(resumed_ms) = self.resumed_ms else {
             return true;
--- a/dockgate-core/src/gateway/store_probe.rs
+++ b/dockgate-core/src/gateway/store_probe.rs
@@ -96,8 +96,8 @@
         self.answered_since_ms
     }
 
-    /// Returns when the last probe was sent, which is the time of the store's proof; `None` if it
-    /// was not answered.
+    /// Returns when the last probe was sent, as proof that the store was reachable then; `None` if
+    /// it was not answered.
     pub fn proof_ms(&self) -> Option<u64> {
         self.answered_since_ms.and(self.last_answered_ms)
     }
--- a/dockgate-core/src/slot_request_table.rs
+++ b/dockgate-core/src/slot_request_table.rs
@@ -1,8 +1,8 @@
 //! The slot requests of an entry to each scheduler.
 //!
 //! A slot request states the number of requests of a workspace that wait at the entry. It is sent
-//! again only if the number last announced, less the grants since, is zero while requests wait,
-//! not zero while none wait, or much too low.
+//! again only if the number last announced, less the grants since, is much too low, or if one of
+//! this number and the number of waiting requests is zero and the other is not.
 
 use crate::ids::{BoxKey, PoolKey, WorkspaceKey};
 use std::collections::HashMap;
