--- a/dockgate-proto/src/gateway.rs
+++ b/dockgate-proto/src/gateway.rs
@@ -86,7 +86,7 @@
         /// The time that the engine needs to read its queued prompts, this one included, in
         /// milliseconds.
         backlog_ms: u32,
-        /// The reading speed of the engine.
+        /// The speed at which the engine reads prompts.
         speed: PrefillSpeed,
     },
     /// Entry to owner: a prompt was sent to the endpoint without a grant of this owner.
@@ -153,8 +153,8 @@
 
 /// A request for the state of a box: either its configuration or its endpoints.
 ///
-/// The two are never combined: news of a leaving endpoint is small and urgent, and must not wait
-/// for a large configuration or be lost with it.
+/// The two are never combined: an update on a leaving endpoint is small and urgent, and must not
+/// wait for a large configuration or be lost with it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StateRequest {
     /// The version of the configuration at the requesting box.
--- a/dockgate-proto/src/gateway/tests.rs
+++ b/dockgate-proto/src/gateway/tests.rs
@@ -9,20 +9,20 @@
     }
 }
 
-fn beat() -> BoxHeartbeat {
+fn heartbeat() -> BoxHeartbeat {
     BoxHeartbeat::new("a1", "a", "10.0.0.1:7400".parse().unwrap())
 }
 
 fn messages() -> [GatewayMessage; 4] {
     [
         GatewayMessage::Heartbeat {
-            heartbeat: beat(),
+            heartbeat: heartbeat(),
             shares: Vec::new(),
         },
         GatewayMessage::Digest {
             digest: FleetDigest {
                 scope: DigestScope::OtherDomain,
-                sender: beat(),
+                sender: heartbeat(),
                 coordinators: Vec::new(),
                 members: Vec::new(),
                 live: 1,
--- a/dockgate/src/caller.rs
+++ b/dockgate/src/caller.rs
@@ -151,13 +151,13 @@
             async move { Ok::<_, Infallible>(caller_listener.respond(request).await) }
         });
         let stream = SharedStream::new(stream);
-        let presence = stream.disconnect_monitor();
+        let monitor = stream.disconnect_monitor();
         let connection = builder.serve_connection_with_upgrades(TokioIo::new(stream), service);
         // hyper does not notice that the caller has closed the connection while unread bytes, such
         // as a pipelined request, precede the end of the stream.
         let result = tokio::select! {
             biased;
-            () = presence.disconnected() => return,
+            () = monitor.disconnected() => return,
             result = connection => result,
         };
         if let Err(error) = result {
--- a/dockgate/src/caller/stream_relay.rs
+++ b/dockgate/src/caller/stream_relay.rs
@@ -181,7 +181,7 @@
     }
 }
 
-/// The next event on the body of a segment.
+/// The result of reading the body of a segment.
 enum SegmentFrame {
     Data(Bytes),
     End,
--- a/dockgate/src/dispatch/actor.rs
+++ b/dockgate/src/dispatch/actor.rs
@@ -55,7 +55,7 @@
             may_schedule: true,
         };
         let schedule = &settings.schedule;
-        let rule = SchedulePolicy {
+        let schedule_policy = SchedulePolicy {
             mode: schedule.mode,
             order: schedule.order,
             pause: schedule.pause,
@@ -63,14 +63,14 @@
             grant_ttl_ms: schedule.grant_ttl.as_millis() as u64,
             adopt_ms: schedule.adopt.as_millis() as u64,
         };
-        let seek = SlotRequestPolicy {
+        let request_policy = SlotRequestPolicy {
             widen_ms: schedule.widen.as_millis() as u64,
             width: schedule.width,
         };
-        let mut entry = EntryState::new(seek);
+        let mut entry = EntryState::new(request_policy);
         entry.connect(local_box.key);
         Self {
-            scheduler: SlotScheduler::new(local_box.key, incarnation, rule),
+            scheduler: SlotScheduler::new(local_box.key, incarnation, schedule_policy),
             settings,
             live_boxes: vec![local_box.clone()],
             local_box,
@@ -118,16 +118,16 @@
 
     pub(super) fn apply_action(&mut self, action: EntryAction, now: u64) {
         match action {
-            EntryAction::RequestSlots(seek) => {
-                let age = self.entry.age_ms(seek.pool, seek.workspace, now);
+            EntryAction::RequestSlots(request) => {
+                let age = self.entry.age_ms(request.pool, request.workspace, now);
                 let demand = SlotDemand {
-                    pool: seek.pool,
-                    workspace: seek.workspace,
-                    waiting: seek.waiting,
-                    grants_seen: seek.grants_seen,
+                    pool: request.pool,
+                    workspace: request.workspace,
+                    waiting: request.waiting,
+                    grants_seen: request.grants_seen,
                     age_ms: u32::try_from(age).unwrap_or(u32::MAX),
                 };
-                self.request_slots(seek.to, demand, now);
+                self.request_slots(request.to, demand, now);
             }
             EntryAction::Bind(id, grant) => self.bind(id, grant),
             EntryAction::Return(to, id) => {
@@ -186,7 +186,7 @@
             None => PeerMessage::Progress(id, cost),
             Some(SlotOutcome::Answered) => PeerMessage::Settle(id, cost),
             Some(SlotOutcome::Full) => PeerMessage::Refused(id),
-            Some(SlotOutcome::Backoff(rest_ms)) => PeerMessage::Backoff(id, rest_ms),
+            Some(SlotOutcome::Backoff(backoff_ms)) => PeerMessage::Backoff(id, backoff_ms),
             Some(SlotOutcome::Lost) => PeerMessage::Lost(id, cost),
         };
         self.send(to, message);
@@ -269,8 +269,8 @@
                 let report = settle_report(id, 0, Some(SlotOutcome::Full));
                 self.scheduler.settle(from, report, now)
             }
-            PeerMessage::Backoff(id, rest_ms) => {
-                let report = settle_report(id, 0, Some(SlotOutcome::Backoff(rest_ms)));
+            PeerMessage::Backoff(id, backoff_ms) => {
+                let report = settle_report(id, 0, Some(SlotOutcome::Backoff(backoff_ms)));
                 self.scheduler.settle(from, report, now)
             }
             PeerMessage::Lost(id, cost) => {
--- a/dockgate/src/gateway.rs
+++ b/dockgate/src/gateway.rs
@@ -1,9 +1,9 @@
 //! Gateway mode of the daemon: routes requests by host and path to the endpoints of services.
 //!
 //! Everything runs on one thread, since a box has a fraction of one core. [`GatewayState`] holds
-//! the shared state; the tasks around it do the I/O: with callers in `caller_listener`, with endpoints in
-//! `upstream`, with the platform's store in `follow`, and with other boxes in `membership`,
-//! `datagram_receiver` and `peer_state`.
+//! the shared state; the tasks around it do the I/O: with callers in `caller_listener`, with
+//! endpoints in `upstream`, with the platform's store in `follow`, and with other boxes in
+//! `membership`, `datagram_receiver` and `peer_state`.
 
 mod call;
 mod call_body;
@@ -60,7 +60,7 @@
 use tokio::signal::unix::Signal;
 
 /// How often a stopping daemon checks whether all requests are answered.
-const DRAIN_POLL: Duration = Duration::from_millis(50);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// How long a stopping daemon stays idle, after the stop began and after its last answer, before it
 /// closes open connections: requests that were sent before the callers noticed still arrive.
 const QUIET_PERIOD: Duration = Duration::from_millis(1_500);
@@ -131,20 +131,20 @@
 ) -> Result<(), DaemonError> {
     tokio::spawn(readiness::serve_readiness(state.clone(), readiness));
     tokio::spawn(readiness::serve_metrics(state.clone(), metrics));
-    spawn_kept(state, "store role", store_probe::update_role_periodically);
-    spawn_kept(state, "store probes", store_probe::run_probes);
-    spawn_kept(state, "routes", follow::follow_routes);
-    spawn_kept(state, "endpoints", follow::follow_endpoints);
-    spawn_kept(state, "datagrams", datagram_receiver::receive_datagrams);
-    spawn_kept(state, "beats", membership::send_heartbeats);
-    spawn_kept(state, "lag", overload::watch_lag);
-    spawn_kept(state, "domains", domain_watch::watch_domains);
-    for (name, what) in [
+    spawn_with_state(state, "store role", store_probe::update_role_periodically);
+    spawn_with_state(state, "store probes", store_probe::run_probes);
+    spawn_with_state(state, "routes", follow::follow_routes);
+    spawn_with_state(state, "endpoints", follow::follow_endpoints);
+    spawn_with_state(state, "datagrams", datagram_receiver::receive_datagrams);
+    spawn_with_state(state, "beats", membership::send_heartbeats);
+    spawn_with_state(state, "lag", overload::watch_lag);
+    spawn_with_state(state, "domains", domain_watch::watch_domains);
+    for (name, kind) in [
         ("configurations of others", StateKind::Config),
         ("endpoints of others", StateKind::Endpoints),
     ] {
-        spawn_kept(state, name, move |state| {
-            peer_state::query_peers(state, what)
+        spawn_with_state(state, name, move |state| {
+            peer_state::query_peers(state, kind)
         });
     }
     let (stop, server) = jsonrpsee::server::stop_channel();
@@ -155,7 +155,7 @@
 }
 
 /// Spawns a task that is restarted if it panics.
-fn spawn_kept<T, A>(state: &Arc<GatewayState>, name: &'static str, task: T)
+fn spawn_with_state<T, A>(state: &Arc<GatewayState>, name: &'static str, task: T)
 where
     T: Fn(Arc<GatewayState>) -> A + Send + 'static,
     A: Future<Output = ()> + Send + 'static,
@@ -176,7 +176,7 @@
     membership::send_heartbeat(state);
     let ended = timeout(grace, async {
         while listener.busy() > 0 || (listener.open() > 0 && !listener.is_quiet(QUIET_PERIOD)) {
-            tokio::time::sleep(DRAIN_POLL).await;
+            tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
         }
     })
     .await;
--- a/dockgate/src/gateway/call.rs
+++ b/dockgate/src/gateway/call.rs
@@ -28,7 +28,7 @@
     /// The delay after which the caller should retry, if a retry makes sense.
     pub(super) retry_after: Option<Duration>,
     /// The engines that declined, for prompts.
-    pub(super) asked: Vec<DeclinedEngine>,
+    pub(super) declined: Vec<DeclinedEngine>,
     /// The usage of the workspace as a multiple of its share, for prompts.
     pub(super) share: Option<f64>,
 }
@@ -39,7 +39,7 @@
         Self {
             reason,
             retry_after: Some(after),
-            asked: Vec::new(),
+            declined: Vec::new(),
             share: None,
         }
     }
@@ -50,7 +50,7 @@
         Self {
             reason,
             retry_after: None,
-            asked: Vec::new(),
+            declined: Vec::new(),
             share: None,
         }
     }
@@ -116,7 +116,7 @@
         ran: reason.outcome().as_str(),
         waited_ms: call.age().as_millis() as u64,
         retry_after_ms: to_millis(refusal.retry_after),
-        asked: &refusal.asked,
+        asked: &refusal.declined,
         share: refusal.share,
         config: call.config_version(),
         config_age_ms: call.state.config_age_ms(),
--- a/dockgate/src/gateway/call/call_placement.rs
+++ b/dockgate/src/gateway/call/call_placement.rs
@@ -100,7 +100,7 @@
         let AdmissionRequest {
             workspace, level, ..
         } = *request;
-        let cause = match refusal.asked.is_empty() {
+        let cause = match refusal.declined.is_empty() {
             true => RetryCause::Share,
             false => RetryCause::Backlog(Duration::from_millis(u64::from(first_ms))),
         };
@@ -113,7 +113,7 @@
         CallRefusal {
             reason,
             retry_after: Some(retry_delay(cause, self.time_left(), rand::random())),
-            asked: refusal.asked,
+            declined: refusal.declined,
             share: Some(level.share_ratio()),
         }
     }
--- a/dockgate/src/gateway/call/send_attempts.rs
+++ b/dockgate/src/gateway/call/send_attempts.rs
@@ -1,7 +1,7 @@
 //! Sends a request to endpoints until one answers or no further attempt is allowed.
 
 use super::super::call_body::{CallBody, whole_body};
-use super::super::end_check::{note_interruption, note_stopped};
+use super::super::end_check::{record_interruption, record_stopped};
 use super::super::event_stream::{EventStream, StreamSource};
 use super::super::events::{GatewayEvent, is_sampled, log_gateway};
 use super::super::gateway_metrics::GATEWAY_METRICS;
@@ -196,9 +196,9 @@
     fn report_suspicion(&self, target: &EndpointTarget, failure: &AttemptFailure) {
         match failure.suspicion {
             EndpointSuspicion::MayHaveEnded => {
-                note_interruption(&self.state, target, self.fingerprint());
+                record_interruption(&self.state, target, self.fingerprint());
             }
-            EndpointSuspicion::Gone => note_stopped(&self.state, target),
+            EndpointSuspicion::Gone => record_stopped(&self.state, target),
             EndpointSuspicion::None => {}
         }
     }
@@ -269,12 +269,12 @@
         })?;
         attempts.sent += 1;
         let head = decode_answer(response.status(), response.headers(), &self.head.id);
-        let notice = head.notice.trusted(&head.signs);
+        let notice = head.notice.trusted(&head.attributes);
         receive_notice(&self.state, &placement.target, &self.head.id, notice);
         if notice.is_leaving && self.service().engine.is_some() {
             report_leaving(&self.state, &placement.target);
         }
-        let verdict = head.signs.classify();
+        let verdict = head.attributes.classify();
         match verdict {
             AnswerVerdict::NotRun => {
                 let problem = format!("not run: {}", response.status());
@@ -288,7 +288,7 @@
                 })
             }
             AnswerVerdict::Unusable => {
-                let problem = format!("unusable answer: {:?}", head.signs);
+                let problem = format!("unusable answer: {:?}", head.attributes);
                 Err(AttemptFailure::new(
                     AttemptState::Sent,
                     EndpointOutcome::Failed,
@@ -381,7 +381,7 @@
         GATEWAY_METRICS.record_outcome(&self.service().name, "answered");
         GATEWAY_METRICS.record_first_event(&self.service().name, first);
         if status.is_success() {
-            quarantine::note_completed(&self.state, || self.fingerprint());
+            quarantine::record_completed(&self.state, || self.fingerprint());
         }
         let late = first > self.route().objective;
         if self.is_sampled() || late || attempts.sent > 1 {
--- a/dockgate/src/gateway/datagram_receiver.rs
+++ b/dockgate/src/gateway/datagram_receiver.rs
@@ -82,7 +82,7 @@
             receive_engine_report(state, endpoint, backlog_ms, speed);
             let waiting = state.with(|view| view.slot_requests.remove(&run));
             let is_delivered = waiting.is_some_and(|waiting| waiting.send(verdict).is_ok());
-            // The grantarrived too late so its slot is released.
+            // The grant arrived too late, so its slot is released.
             if !is_delivered && matches!(verdict, AdmissionVerdict::Granted(_)) {
                 send_datagram(state, from, GatewayMessage::Ended { run, endpoint });
             }
@@ -122,9 +122,9 @@
     run: u32,
     endpoint: EndpointId,
     key: RunKey,
-    ask: &AdmissionRequest,
+    request: &AdmissionRequest,
 ) -> Option<GatewayMessage> {
-    let verdict = decide_locally(state, endpoint, key, ask, 0)?;
+    let verdict = decide_locally(state, endpoint, key, request, 0)?;
     state.with(|view| {
         let load = view.engines.get(endpoint)?;
         Some(GatewayMessage::Verdict {
--- a/dockgate/src/gateway/end_check.rs
+++ b/dockgate/src/gateway/end_check.rs
@@ -24,8 +24,8 @@
 /// How long a connection may take to open.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Notes that an endpoint broke off an answer, and starts a check unless one is running.
-pub(super) fn note_interruption(
+/// Records that an endpoint broke off an answer, and starts a check unless one is running.
+pub(super) fn record_interruption(
     state: &Arc<GatewayState>,
     target: &EndpointTarget,
     fingerprint: RequestFingerprint,
@@ -38,19 +38,19 @@
     match status {
         InterruptionStatus::Unchecked => drop(tokio::spawn(check(state.clone(), target.clone()))),
         InterruptionStatus::CheckRunning => {}
-        InterruptionStatus::Ended => note_ends(state, target.id, &target.name, &[fingerprint]),
+        InterruptionStatus::Ended => record_ends(state, target.id, &target.name, &[fingerprint]),
     }
 }
 
-/// Notes that nothing, or another endpoint, listens at the address of an endpoint. If it recently
+/// Records that nothing, or another endpoint, listens at the address of an endpoint. If it recently
 /// broke off answers, it ended while it was running those requests.
-pub(super) fn note_stopped(state: &GatewayState, target: &EndpointTarget) {
+pub(super) fn record_stopped(state: &GatewayState, target: &EndpointTarget) {
     let interrupted = state.with(|view| view.interruptions.note_ended(target.id, now_ms()));
-    note_ends(state, target.id, &target.name, &interrupted);
+    record_ends(state, target.id, &target.name, &interrupted);
 }
 
 /// Records the requests that were interrupted by the end of an endpoint.
-fn note_ends(
+fn record_ends(
     state: &GatewayState,
     endpoint: EndpointId,
     name: &str,
@@ -67,16 +67,16 @@
         endpoint: name,
         under: &fingerprints,
     });
-    quarantine::note_ends(state, endpoint, interrupted);
+    quarantine::record_ends(state, endpoint, interrupted);
 }
 
 async fn check(state: Arc<GatewayState>, target: EndpointTarget) {
     for delay in CHECK_DELAYS {
         tokio::time::sleep(delay).await;
         match connect(target.address, CONNECT_TIMEOUT).await {
-            Ok(_) => return note_listening(&state, target.id),
+            Ok(_) => return record_listening(&state, target.id),
             Err(error) if error.kind() == ErrorKind::ConnectionRefused => {
-                return note_stopped(&state, &target);
+                return record_stopped(&state, &target);
             }
             // A failed link does not show whether the endpoint ended.
             Err(_) => {}
@@ -84,19 +84,19 @@
     }
 }
 
-fn note_listening(state: &GatewayState, endpoint: EndpointId) {
+fn record_listening(state: &GatewayState, endpoint: EndpointId) {
     state.with(|view| view.interruptions.note_listening(endpoint));
 }
 
-/// Notes the endpoints that broke off answers and have restarted under the same name since then.
-pub(super) fn note_restarts(state: &GatewayState) {
+/// Records the endpoints that broke off answers and have restarted under the same name since then.
+pub(super) fn record_restarts(state: &GatewayState) {
     let restarted = state.with(|view| {
         let endpoints = &view.endpoints;
         let lifetime_of = |name| endpoints.current_lifetime(name);
         view.interruptions.take_restarted(lifetime_of, now_ms())
     });
     for (endpoint, interrupted) in restarted {
-        note_ends(
+        record_ends(
             state,
             endpoint,
             &format!("{:016x}", endpoint.0),
--- a/dockgate/src/gateway/engine_placement.rs
+++ b/dockgate/src/gateway/engine_placement.rs
@@ -55,7 +55,7 @@
 #[derive(Debug, Clone, Default)]
 pub(super) struct EngineRefusal {
     /// The engines that declined, in order.
-    pub(super) asked: Vec<DeclinedEngine>,
+    pub(super) declined: Vec<DeclinedEngine>,
     /// The shortest possible time to a first event, if it is too late at every engine.
     unattainable_ms: Option<u32>,
 }
@@ -63,13 +63,13 @@
 impl EngineRefusal {
     /// Returns the shortest predicted time to a first event, or `None` if there is no engine.
     pub(super) fn first_event_ms(&self) -> Option<u32> {
-        let asked = self.asked.iter().map(|asked| asked.first_event_ms);
-        asked.chain(self.unattainable_ms).min()
+        let declined = self.declined.iter().map(|engine| engine.first_event_ms);
+        declined.chain(self.unattainable_ms).min()
     }
 
     fn record(&mut self, home: &HomeEngine, decision: HomeDecision) {
         let predicted = decision.verdict.first_event_ms();
-        self.asked
+        self.declined
             .extend(predicted.map(|first_event_ms| DeclinedEngine {
                 endpoint: home.target.name.clone(),
                 first_event_ms,
--- a/dockgate/src/gateway/event_stream.rs
+++ b/dockgate/src/gateway/event_stream.rs
@@ -2,7 +2,7 @@
 
 use super::call::{AdmittedCall, CallAttempts};
 use super::call_body::{BrokenAnswer, CallBody};
-use super::end_check::note_interruption;
+use super::end_check::record_interruption;
 use super::events::{GatewayEvent, log_gateway};
 use super::gateway_metrics::GATEWAY_METRICS;
 use super::run_guard::RunGuard;
@@ -266,7 +266,7 @@
         // Dropping the source closes the connection before another endpoint resumes the stream.
         let lost = self.source.take().map(|source| source.target);
         if let Some(target) = &lost {
-            note_interruption(&self.call.state, target, self.call.fingerprint());
+            record_interruption(&self.call.state, target, self.call.fingerprint());
         }
         self.splitter = EventSplitter::default();
         let reason = match self.resume().await {
--- a/dockgate/src/gateway/follow.rs
+++ b/dockgate/src/gateway/follow.rs
@@ -35,11 +35,11 @@
 }
 
 /// Waits until this box has to follow the store; returns whether it waited.
-async fn wait_for_follower_role(state: &GatewayState, step: &'static str) -> bool {
+async fn wait_for_follower_role(state: &GatewayState, prefix: &'static str) -> bool {
     if state.follows_store() {
         return false;
     }
-    state.set_store_revision(step, None);
+    state.set_store_revision(prefix, None);
     let mut roles = state.store_roles();
     // The sender outlives this task.
     let _ = roles.wait_for(|role| role.follows).await;
@@ -59,7 +59,7 @@
     C: FnMut(&StoreContact, Vec<StoreEvent>, u64),
 {
     let client = state.store_client();
-    let prefix = contact.step;
+    let prefix = contact.prefix;
     let mut recoveries = state.store_recoveries();
     let mut resumes = subscribe_resumes();
     loop {
@@ -68,11 +68,11 @@
         }
         recoveries.mark_unchanged();
         let listing = client.list(prefix).await;
-        let listing = listing.map(|listing| (state.note_era(listing.era, "store"), listing));
+        let listing = listing.map(|listing| (state.record_era(listing.era, "store"), listing));
         let mut since = match listing {
             Ok((Some(era), listing)) => {
-                contact.note_answer();
-                contact.note_era(era);
+                contact.record_answer();
+                contact.record_era(era);
                 let revision = StoreRevision::new(era, listing.revision);
                 listed(&contact, listing, era);
                 revision
@@ -83,13 +83,13 @@
                 continue;
             }
             Err(error) => {
-                contact.note_failure(&error);
+                contact.record_failure(&error);
                 state.set_store_revision(prefix, None);
                 wait_before_retry().await;
                 continue;
             }
         };
-        note_revision(state, prefix, since);
+        record_revision(state, prefix, since);
         while state.follows_store() {
             // A watch is recreated after an outage of the store, which may have lost its answer,
             // and if it is stalled.
@@ -98,7 +98,7 @@
                 Ok(()) = recoveries.changed() => {
                     let away_ms = *recoveries.borrow_and_update();
                     match state.is_current_era(since.era) {
-                        true => contact.note_recovery(away_ms),
+                        true => contact.record_recovery(away_ms),
                         false => break,
                     }
                     continue;
@@ -107,7 +107,7 @@
                 _ = resumes.changed() => match state.has_listed(prefix) {
                     true => continue,
                     false => {
-                        contact.note_resume();
+                        contact.record_resume();
                         break;
                     }
                 }
@@ -115,19 +115,19 @@
             match outcome {
                 // Changes of another era do not continue the listed history.
                 Ok(WatchOutcome::Changes(changes))
-                    if state.note_era(changes.era, "store") != Some(since.era) =>
+                    if state.record_era(changes.era, "store") != Some(since.era) =>
                 {
                     break;
                 }
                 Ok(WatchOutcome::Changes(changes)) => {
-                    contact.note_answer();
+                    contact.record_answer();
                     since.number = changes.revision;
                     changed(&contact, changes.events, since.era);
-                    note_revision(state, prefix, since);
+                    record_revision(state, prefix, since);
                     tokio::time::sleep(pause).await;
                 }
                 Ok(WatchOutcome::HistoryLost) => {
-                    contact.note_answer();
+                    contact.record_answer();
                     log_gateway(&GatewayEvent::StoreHistoryLost {
                         what: prefix,
                         since: since.number,
@@ -135,7 +135,7 @@
                     break;
                 }
                 Err(error) => {
-                    contact.note_failure(&error);
+                    contact.record_failure(&error);
                     state.set_store_revision(prefix, None);
                     wait_before_retry().await;
                 }
@@ -144,10 +144,10 @@
     }
 }
 
-/// Notes the revision up to which the keys of `step` are known. Sends a heartbeat at once if the
-/// box has just gained access to the store, or is no coordinator.
-fn note_revision(state: &GatewayState, step: &'static str, revision: StoreRevision) {
-    let has_recovered = state.set_store_revision(step, Some(revision));
+/// Records the revision up to which the keys of `prefix` are known. Sends a heartbeat at once if
+/// the box has just gained access to the store, or is no coordinator.
+fn record_revision(state: &GatewayState, prefix: &'static str, revision: StoreRevision) {
+    let has_recovered = state.set_store_revision(prefix, Some(revision));
     if has_recovered || !state.is_coordinator() {
         send_heartbeat(state);
     }
@@ -192,9 +192,9 @@
     follow(&state, contact, ROUTES_PAUSE, listed, changed).await;
 }
 
-/// Returns the change that a record stands for; logs and counts a record that is not usable.
-fn accept_reading(reading: DecodedEndpoint) -> EndpointChange {
-    let DecodedEndpoint { change, fault } = reading;
+/// Returns the change of a decoded record; logs and counts an invalid record.
+fn accept_decoded(decoded: DecodedEndpoint) -> EndpointChange {
+    let DecodedEndpoint { change, fault } = decoded;
     if let Some(fault) = fault {
         GATEWAY_METRICS.record_unusable_record(fault.as_str());
         log_gateway(&GatewayEvent::Unreadable {
@@ -212,17 +212,17 @@
 /// Follows the endpoints.
 pub(super) async fn follow_endpoints(state: Arc<GatewayState>) {
     let listed = |contact: &StoreContact, listing: StoreListing, era| {
-        let readings = listing
+        let decoded = listing
             .items
             .iter()
             .map(|item| decode_endpoint_item(item, era));
-        let listed = readings.map(accept_reading).collect();
+        let listed = decoded.map(accept_decoded).collect();
         let revision = StoreRevision::new(era, listing.revision);
         state.replace_endpoints(listed, revision, contact.kept_until_ms());
     };
     let changed = |contact: &StoreContact, events: Vec<StoreEvent>, era| {
-        let readings = events.iter().map(|event| decode_endpoint_event(event, era));
-        let changes = readings.map(accept_reading).collect();
+        let decoded = events.iter().map(|event| decode_endpoint_event(event, era));
+        let changes = decoded.map(accept_decoded).collect();
         state.apply_endpoints(changes, contact.kept_until_ms(), "store");
     };
     let contact = StoreContact::new(ENDPOINT_KEY_PREFIX, state.settings().drain);
--- a/dockgate/src/gateway/gateway_state.rs
+++ b/dockgate/src/gateway/gateway_state.rs
@@ -69,7 +69,7 @@
     /// The requests that are suspected of crashing endpoints.
     pub(super) suspects: SuspectRegistry,
     /// The prompt parts that engines recently read for this box.
-    pub(super) reads: PrefixHistory,
+    pub(super) prefix_history: PrefixHistory,
     /// The lag of this box's event loop.
     pub(super) lag: LoopLag,
     /// The fraction of its requests that this box accepts.
@@ -138,7 +138,7 @@
             runs: HashMap::new(),
             interruptions: InterruptionTracker::default(),
             suspects: SuspectRegistry::default(),
-            reads: PrefixHistory::default(),
+            prefix_history: PrefixHistory::default(),
             lag: LoopLag::default(),
             shedder: LoadShedder::default(),
             slot_requests: HashMap::new(),
@@ -289,10 +289,10 @@
             let changed = changes.filter(|change| endpoints.apply(change.clone(), kept_until_ms));
             changed.collect()
         });
-        self.note_changes(&changed, source);
+        self.record_changes(&changed, source);
     }
 
-    fn note_changes(&self, changes: &[EndpointChange], source: &str) {
+    fn record_changes(&self, changes: &[EndpointChange], source: &str) {
         if !changes.is_empty() {
             self.endpoints_changed_ms.store(now_ms(), Ordering::Relaxed);
         }
@@ -311,7 +311,7 @@
     ) {
         let count = listed.len();
         let changed = self.with(|view| view.endpoints.replace(listed, revision, kept_until_ms));
-        self.note_listed(changed, count, revision, "store");
+        self.record_listing(changed, count, revision, "store");
     }
 
     /// Merges the endpoints reported by another box; returns whether both boxes now agree.
@@ -322,16 +322,16 @@
             update.since.is_none(),
         );
         // A box that has no state of the store reports era 0.
-        self.note_era(Some(revision.era).filter(|era| *era > 0), source);
+        self.record_era(Some(revision.era).filter(|era| *era > 0), source);
         let merged = self.with(|view| view.endpoints.merge(update, now_ms()));
         match is_whole {
-            true => self.note_listed(merged.changed, count, revision, source),
-            false => self.note_changes(&merged.changes, source),
+            true => self.record_listing(merged.changed, count, revision, source),
+            false => self.record_changes(&merged.changes, source),
         }
         merged.agrees
     }
 
-    fn note_listed(&self, changed: bool, count: usize, revision: StoreRevision, source: &str) {
+    fn record_listing(&self, changed: bool, count: usize, revision: StoreRevision, source: &str) {
         if changed {
             self.endpoints_changed_ms.store(now_ms(), Ordering::Relaxed);
             log_gateway(&GatewayEvent::EndpointsListed {
--- a/dockgate/src/gateway/gateway_state/store_access.rs
+++ b/dockgate/src/gateway/gateway_state/store_access.rs
@@ -139,11 +139,11 @@
         self.with(|view| view.eras.current() == era)
     }
 
-    /// Notes the era that the store or another box reported; returns the current era, or `None` if
-    /// the reported one is outdated.
+    /// Records the era that the store or another box reported; returns the current era, or `None`
+    /// if the reported one is outdated.
     ///
     /// A new era makes followers list the store again at once.
-    pub(in super::super) fn note_era(&self, reported: Option<u64>, source: &str) -> Option<u64> {
+    pub(in super::super) fn record_era(&self, reported: Option<u64>, source: &str) -> Option<u64> {
         let (change, era) = self.with(|view| {
             let change = view.eras.note(reported);
             (change, view.eras.current())
@@ -166,7 +166,7 @@
         Some(era)
     }
 
-    /// Notes that this box stops probing the store.
+    /// Records that this box stops probing the store.
     pub(in super::super) fn pause_probes(&self) {
         self.with(|view| {
             view.probe.pause();
@@ -174,9 +174,9 @@
         });
     }
 
-    /// Returns whether the keys of `step` were listed and the contact has not been lost since.
-    pub(in super::super) fn has_listed(&self, step: &'static str) -> bool {
-        self.with(|view| view.store_revisions.contains_key(step))
+    /// Returns whether the keys of `prefix` were listed and the contact has not been lost since.
+    pub(in super::super) fn has_listed(&self, prefix: &'static str) -> bool {
+        self.with(|view| view.store_revisions.contains_key(prefix))
     }
 
     /// Returns whether this box follows the store and its last calls were answered.
@@ -184,17 +184,17 @@
         self.with(|view| view.fleet.own().status.reaches_store)
     }
 
-    /// Sets the revision up to which the keys of `step` are known, or `None` if the last call
+    /// Sets the revision up to which the keys of `prefix` are known, or `None` if the last call
     /// failed. Returns whether this box has just gained access to the store.
     pub(in super::super) fn set_store_revision(
         &self,
-        step: &'static str,
+        prefix: &'static str,
         revision: Option<StoreRevision>,
     ) -> bool {
         self.with(|view| {
             match revision {
-                Some(revision) => view.store_revisions.insert(step, revision),
-                None => view.store_revisions.remove(step),
+                Some(revision) => view.store_revisions.insert(prefix, revision),
+                None => view.store_revisions.remove(prefix),
             };
             let before = view.fleet.own().status.reaches_store;
             view.publish_store_access();
--- a/dockgate/src/gateway/membership.rs
+++ b/dockgate/src/gateway/membership.rs
@@ -211,7 +211,7 @@
             logged_ms = now;
         }
         state.expire(since_ms);
-        end_check::note_restarts(&state);
+        end_check::record_restarts(&state);
         report_runs(&state, |owner, reported_to| owner != reported_to);
         since_ms = now;
     }
@@ -221,12 +221,12 @@
 /// returns `true` for the current owner and the box to which the run or read was reported last.
 fn report_runs(state: &GatewayState, is_due: impl Fn(BoxKey, BoxKey) -> bool + Copy) {
     let now = now_ms();
-    let (runs, reads) = state.with(|view| {
+    let (runs, reports) = state.with(|view| {
         let GatewayView {
             endpoints,
             fleet,
             runs,
-            reads,
+            prefix_history,
             ..
         } = view;
         let owner_of = |endpoint: EndpointId| {
@@ -244,18 +244,18 @@
                 ));
             }
         }
-        (due, reads.take_reports(owner_of, is_due))
+        (due, prefix_history.take_reports(owner_of, is_due))
     });
-    let reads = reads.into_iter().map(|due| {
+    let reports = reports.into_iter().map(|report| {
         let PrefixReport {
             owner,
             endpoint,
             parts,
-        } = due;
+        } = report;
         (owner, GatewayMessage::PartsRead { endpoint, parts })
     });
-    // Reads are sent first, since they precede the runs.
-    let remote = reads
+    // The reports of read parts are sent first, since the reads precede the runs.
+    let remote = reports
         .chain(runs)
         .filter(|(owner, _)| *owner != state.own_key());
     for (owner, message) in remote {
--- a/dockgate/src/gateway/notices.rs
+++ b/dockgate/src/gateway/notices.rs
@@ -57,8 +57,8 @@
 
 /// Applies a report by another box that an endpoint is leaving.
 pub(super) fn receive_reported_leave(state: &GatewayState, endpoint: EndpointId) {
-    let is_believed = state.with(|view| view.endpoints.receive_reported_leave(endpoint, now_ms()));
-    GATEWAY_METRICS.record_announced_notice(is_believed);
+    let is_accepted = state.with(|view| view.endpoints.receive_reported_leave(endpoint, now_ms()));
+    GATEWAY_METRICS.record_announced_notice(is_accepted);
 }
 
 /// Creates the condition on which a request of `caller` is sent to an endpoint: that the caller is
--- a/dockgate/src/gateway/peer_state.rs
+++ b/dockgate/src/gateway/peer_state.rs
@@ -128,8 +128,8 @@
     }
 }
 
-/// Queries boxes with newer state of kind `what`, until the process ends.
-pub(super) async fn query_peers(state: Arc<GatewayState>, what: StateKind) {
+/// Queries boxes with newer state of this kind, until the process ends.
+pub(super) async fn query_peers(state: Arc<GatewayState>, kind: StateKind) {
     let mut backoff = QueryBackoff::default();
     loop {
         let version = state.table().config().version;
@@ -140,14 +140,14 @@
         };
         tokio::time::sleep(interval).await;
         let now = now_ms();
-        let source = state.with(|view| view.fleet.find_state_source(what, backoff.failed, now));
+        let source = state.with(|view| view.fleet.find_state_source(kind, backoff.failed, now));
         // A box without a configuration does not wait for its watch.
         let has_watch = version > 0 && state.reaches_store();
         if let Some(source) = backoff.due(source, has_watch, now) {
             let peer = source.state_address;
             let mut resumes = subscribe_resumes();
             let answered = tokio::select! {
-                answered = query_and_record(&state, peer, what, backoff.timeout()) => answered,
+                answered = query_and_record(&state, peer, kind, backoff.timeout()) => answered,
                 // A query from before a suspension is abandoned.
                 _ = resumes.changed() => continue,
             };
@@ -160,18 +160,18 @@
 async fn query_and_record(
     state: &GatewayState,
     peer: SocketAddr,
-    what: StateKind,
+    kind: StateKind,
     timeout: Duration,
 ) -> bool {
     let started_ms = now_ms();
-    let result = query(state, peer, what, timeout).await;
+    let result = query(state, peer, kind, timeout).await;
     let took_ms = now_ms() - started_ms;
     let took = Duration::from_millis(took_ms);
-    GATEWAY_METRICS.record_state_request(what.name(), result.is_ok(), took);
+    GATEWAY_METRICS.record_state_request(kind.name(), result.is_ok(), took);
     if let Err(error) = &result {
         log_gateway(&GatewayEvent::StateUnanswered {
             peer: &peer.to_string(),
-            what: what.name(),
+            what: kind.name(),
             took_ms,
             problem: error.to_string(),
         });
@@ -182,7 +182,7 @@
 async fn query(
     state: &GatewayState,
     peer: SocketAddr,
-    what: StateKind,
+    kind: StateKind,
     timeout: Duration,
 ) -> Result<(), ClientError> {
     let client = WsClientBuilder::new()
@@ -191,7 +191,7 @@
         .build(format!("ws://{peer}"))
         .await?;
     let source = peer.to_string();
-    match what {
+    match kind {
         StateKind::Config => {
             let request = StateRequest::config(state.table().config().version);
             let answer = request_state(&client, request).await?;
--- a/dockgate/src/gateway/quarantine.rs
+++ b/dockgate/src/gateway/quarantine.rs
@@ -21,7 +21,7 @@
 const FULL_REPORT_PROBABILITY: f64 = 0.25;
 
 /// Records the requests that were interrupted by the end of an endpoint, and reports them at once.
-pub(super) fn note_ends(
+pub(super) fn record_ends(
     state: &GatewayState,
     endpoint: EndpointId,
     interrupted: &[RequestFingerprint],
@@ -39,7 +39,7 @@
 
 /// Records that a request completed, which clears it of suspicion; `fingerprint` is called only if
 /// there are suspects.
-pub(super) fn note_completed(
+pub(super) fn record_completed(
     state: &GatewayState,
     fingerprint: impl FnOnce() -> RequestFingerprint,
 ) {
--- a/dockgate/src/gateway/run_guard.rs
+++ b/dockgate/src/gateway/run_guard.rs
@@ -45,7 +45,8 @@
         };
         state.with(|view| {
             view.endpoints.note_sent(endpoint, now_ms());
-            view.reads.record(endpoint, owner, &run.request.parts);
+            view.prefix_history
+                .record(endpoint, owner, &run.request.parts);
             view.runs.insert(number, run);
         });
         Self {
@@ -78,14 +79,14 @@
         self.record(EndpointOutcome::Answered);
         let Some(number) = self.number else { return };
         let key = self.state.run_key(number);
-        let me = self.state.own_key();
+        let own_key = self.state.own_key();
         let owner = self.state.with(|view| {
             let run = view.runs.get_mut(&number);
             let owner = run.map(|run| {
                 run.started = true;
                 run.owner
             });
-            let is_owner = owner == Some(me);
+            let is_owner = owner == Some(own_key);
             view.engines.start(self.endpoint, key, now_ms(), is_owner);
             owner
         });
--- a/dockgate/src/gateway/settings.rs
+++ b/dockgate/src/gateway/settings.rs
@@ -8,7 +8,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-const ADDRESS: &str = "an IP number and a port, such as 10.0.0.7:8000";
+const ADDRESS: &str = "an IP address and a port, such as 10.0.0.7:8000";
 const NUMBER: &str = "a number of at least 0";
 const PROCESSOR: &str = "a fraction of a core above 0";
 const SECTION: &str = "gateway";
--- a/dockgate/src/gateway/store_contact.rs
+++ b/dockgate/src/gateway/store_contact.rs
@@ -20,7 +20,7 @@
 /// The contact with the store for one key prefix.
 pub(super) struct StoreContact {
     /// The key prefix.
-    pub(super) step: &'static str,
+    pub(super) prefix: &'static str,
     /// How long missing records are kept after an outage of the store.
     retention: Duration,
     lost_ms: Option<u64>,
@@ -30,9 +30,9 @@
 }
 
 impl StoreContact {
-    pub(super) fn new(step: &'static str, drain: Duration) -> Self {
+    pub(super) fn new(prefix: &'static str, drain: Duration) -> Self {
         Self {
-            step,
+            prefix,
             retention: drain.saturating_sub(RETENTION_MARGIN).min(REWRITE_WINDOW),
             lost_ms: None,
             recovered_ms: None,
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Notes that this box starts following the store. `proof_age_ms` is the time since the store
+    /// Records that this box starts following the store. `proof_age_ms` is the time since the store
     /// last answered a box of the domain, in milliseconds; `None` if that is unknown.
     pub(super) fn start_following(&mut self, proof_age_ms: Option<u64>) {
         self.lost_ms = None;
@@ -49,14 +49,14 @@
         }
     }
 
-    /// Notes a failed call.
-    pub(super) fn note_failure(&mut self, error: &PlatformError) {
+    /// Records a failed call.
+    pub(super) fn record_failure(&mut self, error: &PlatformError) {
         self.count_call("failed");
         if self.lost_ms.is_none() {
             self.lost_ms = Some(now_ms());
             let problem = error.to_string();
             log_gateway(&GatewayEvent::StoreLost {
-                step: self.step,
+                step: self.prefix,
                 problem,
             });
         }
@@ -65,42 +65,42 @@
     fn count_call(&self, outcome: &str) {
         GATEWAY_METRICS
             .store_calls
-            .with_label_values(&[self.step, outcome])
+            .with_label_values(&[self.prefix, outcome])
             .inc();
     }
 
-    /// Notes an answered call.
-    pub(super) fn note_answer(&mut self) {
+    /// Records an answered call.
+    pub(super) fn record_answer(&mut self) {
         self.count_call("answered");
         if let Some(lost_ms) = self.lost_ms {
-            self.note_recovery(now_ms() - lost_ms);
+            self.record_recovery(now_ms() - lost_ms);
         }
     }
 
-    /// Notes the era of a listing. A store that was restored from an older copy lacks records,
+    /// Records the era of a listing. A store that was restored from an older copy lacks records,
     /// which endpoints rewrite just as after an outage.
-    pub(super) fn note_era(&mut self, era: u64) {
+    pub(super) fn record_era(&mut self, era: u64) {
         let has_changed = self.era.replace(era).is_some_and(|before| before != era);
         if has_changed {
             self.recovered_ms = Some(now_ms());
         }
     }
 
-    /// Notes that this box was suspended while the store was not: endpoints without records have
+    /// Records that this box was suspended while the store was not: endpoints without records have
     /// left.
-    pub(super) const fn note_resume(&mut self) {
+    pub(super) const fn record_resume(&mut self) {
         self.lost_ms = None;
         self.recovered_ms = None;
     }
 
-    /// Notes that the store answers again after an outage of `away_ms`.
-    pub(super) fn note_recovery(&mut self, away_ms: u64) {
+    /// Records that the store answers again after an outage of `away_ms`.
+    pub(super) fn record_recovery(&mut self, away_ms: u64) {
         self.lost_ms = None;
         if away_ms >= MIN_LAPSE_OUTAGE_MS {
             self.recovered_ms = Some(now_ms());
         }
         log_gateway(&GatewayEvent::StoreBack {
-            step: self.step,
+            step: self.prefix,
             away_ms,
         });
     }
--- a/dockgate/src/gateway/store_contact/tests.rs
+++ b/dockgate/src/gateway/store_contact/tests.rs
@@ -7,8 +7,8 @@
 #[test]
 fn missing_record_is_kept_shorter_than_the_drain_time() {
     let mut contact = StoreContact::new("test", DRAIN);
-    contact.note_failure(&PlatformError::TimedOut("watch", "store".to_owned()));
-    contact.note_recovery(OUTAGE_MS);
+    contact.record_failure(&PlatformError::TimedOut("watch", "store".to_owned()));
+    contact.record_recovery(OUTAGE_MS);
     let until = contact
         .kept_until_ms()
         .expect("the store has just recovered");
@@ -25,8 +25,8 @@
 )]
 fn missing_record_is_dropped_once_running_endpoints_have_rewritten_theirs(drain: Duration) {
     let mut contact = StoreContact::new("test", drain);
-    contact.note_failure(&PlatformError::TimedOut("watch", "store".to_owned()));
-    contact.note_recovery(OUTAGE_MS);
+    contact.record_failure(&PlatformError::TimedOut("watch", "store".to_owned()));
+    contact.record_recovery(OUTAGE_MS);
     let until = contact
         .kept_until_ms()
         .expect("the store has just recovered");
@@ -36,7 +36,7 @@
 #[test]
 fn no_record_is_kept_without_an_outage() {
     let mut contact = StoreContact::new("test", DRAIN);
-    contact.note_answer();
+    contact.record_answer();
     assert_eq!(contact.kept_until_ms(), None);
 }
 
@@ -44,9 +44,9 @@
 #[test]
 fn no_record_is_kept_after_an_outage_too_short_for_records_to_lapse() {
     let mut contact = StoreContact::new("test", DRAIN);
-    contact.note_failure(&PlatformError::TimedOut("probe", "store".to_owned()));
-    contact.note_answer();
-    contact.note_recovery(MIN_LAPSE_OUTAGE_MS - 1);
+    contact.record_failure(&PlatformError::TimedOut("probe", "store".to_owned()));
+    contact.record_answer();
+    contact.record_recovery(MIN_LAPSE_OUTAGE_MS - 1);
     assert_eq!(contact.kept_until_ms(), None);
 }
 
--- a/dockgate/src/gateway/store_probe.rs
+++ b/dockgate/src/gateway/store_probe.rs
@@ -78,7 +78,7 @@
     counter.with_label_values(&[STEP, outcome]).inc();
     let answer = answer.as_ref();
     let revision = answer.ok().and_then(|listing| {
-        let era = state.note_era(listing.era, STEP)?;
+        let era = state.record_era(listing.era, STEP)?;
         Some(StoreRevision::new(era, listing.revision))
     });
     let change = state.record_probe(revision, sent_ms);
--- a/dockgate/src/gateway/tracked_io/disconnect_tests.rs
+++ b/dockgate/src/gateway/tracked_io/disconnect_tests.rs
@@ -84,9 +84,9 @@
 
 impl InProgressGuard {
     fn new(counters: &Arc<Mutex<WorkCounters>>) -> Self {
-        let mut service_counters = counters.lock().unwrap();
-        service_counters.sent += 1;
-        service_counters.in_progress += 1;
+        let mut locked = counters.lock().unwrap();
+        locked.sent += 1;
+        locked.in_progress += 1;
         Self(counters.clone())
     }
 }
--- a/dockgate/src/rpc_listener.rs
+++ b/dockgate/src/rpc_listener.rs
@@ -87,10 +87,10 @@
     }
 }
 
-fn reject(door: &'static str, peer: SocketAddr, reason: &'static str) -> Response<HttpBody> {
-    METRICS.rejected.with_label_values(&[door]).inc();
+fn reject(listener: &'static str, peer: SocketAddr, reason: &'static str) -> Response<HttpBody> {
+    METRICS.rejected.with_label_values(&[listener]).inc();
     log_event(&LogEvent::TurnedAway {
-        door,
+        door: listener,
         peer: peer.to_string(),
         reason,
     });
--- a/dockgate/src/settings.rs
+++ b/dockgate/src/settings.rs
@@ -11,7 +11,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-const ADDRESS: &str = "an IP number and a port, such as 10.0.0.7:8000 (names are not looked up)";
+const ADDRESS: &str = "an IP address and a port, such as 10.0.0.7:8000 (names are not looked up)";
 
 /// Command line of the daemon.
 #[derive(Debug, Clone, Parser)]
