--- a/dockgate-config/src/config_store.rs
+++ b/dockgate-config/src/config_store.rs
@@ -86,7 +86,8 @@
             .map_or(Ok((ConfigHead::default(), 0)), |value| parse_head(&value))
     }
 
-    /// Waits until the head changes after revision `since`.
+    /// Waits until the head changes after revision `since`; returns `None` if it does not within
+    /// `wait`.
     ///
     /// # Errors
     ///
--- a/dockgate/src/gateway/domain_watch.rs
+++ b/dockgate/src/gateway/domain_watch.rs
@@ -33,9 +33,9 @@
 /// The state of the watched domains.
 #[derive(Debug, Default)]
 struct DomainWatch {
-    /// Since when domains have been unreachable.
+    /// When domains became unreachable, in milliseconds of the daemon's clock.
     unreachable_since: BTreeMap<String, u64>,
-    /// When domains last answered a probe.
+    /// When domains last answered a probe, in milliseconds of the daemon's clock.
     answered: BTreeMap<String, u64>,
 }
 
--- a/dockgate/src/gateway/gateway_metrics.rs
+++ b/dockgate/src/gateway/gateway_metrics.rs
@@ -233,11 +233,11 @@
     }
 
     /// Counts a request for the state of another box, and records its duration.
-    pub(super) fn record_state_request(&self, what: &str, answered: bool, took: Duration) {
+    pub(super) fn record_state_request(&self, kind: &str, answered: bool, took: Duration) {
         let outcome = if answered { "answered" } else { "unanswered" };
-        let counter = self.state_requests.with_label_values(&[what, outcome]);
+        let counter = self.state_requests.with_label_values(&[kind, outcome]);
         counter.inc();
-        let times = self.state_request_times.with_label_values(&[what]);
+        let times = self.state_request_times.with_label_values(&[kind]);
         times.observe(took.as_secs_f64());
     }
 
--- a/dockgate/src/gateway/gateway_state.rs
+++ b/dockgate/src/gateway/gateway_state.rs
@@ -44,7 +44,7 @@
     pub(super) started: bool,
 }
 
-/// One box's view of the fleet, the store and the endpoints, on which it decides; does no I/O.
+/// One box's view of the fleet, the store and the endpoints, on which its decisions are based.
 pub(super) struct GatewayView {
     /// The known endpoints.
     pub(super) endpoints: EndpointRegistry,
