--- a/dockgate/src/caller/endpoint_refusal.rs
+++ b/dockgate/src/caller/endpoint_refusal.rs
@@ -6,9 +6,11 @@
 /// The longest backoff that is accepted, in seconds.
 const MAX_BACKOFF_S: u32 = 3_600;
 
-/// Returns what a refusal says of its endpoint: full, or in backoff for the time that it names.
+/// Returns the outcome that a refusal implies for the slot: full, or a backoff for the time in
+/// `Retry-After`.
 ///
-/// The time of 429 may concern the workspace alone. A date is ignored, as clocks may differ.
+/// The time of a 429 is ignored, since it may apply to the workspace alone, and so is a date, since
+/// clocks may differ.
 pub(super) fn classify_refusal(status: StatusCode, headers: &HeaderMap) -> SlotOutcome {
     let seconds = headers.get(header::RETRY_AFTER);
     let seconds = seconds.and_then(|value| value.to_str().ok()?.trim().parse::<u32>().ok());
--- a/dockgate/src/dispatch/peer_links.rs
+++ b/dockgate/src/dispatch/peer_links.rs
@@ -12,8 +12,8 @@
     pub(super) member: MemberBox,
     pub(super) sender: LinkSender,
     pub(super) linked: bool,
-    /// When the link was opened or, if it is closed, when its suspect time begins, in milliseconds of
-    /// the daemon's clock.
+    /// When the link was opened or, if it is closed, when its suspect time begins, in milliseconds
+    /// of the daemon's clock.
     pub(super) changed_ms: u64,
     /// When the peer was last in contact, in milliseconds of the daemon's clock.
     last_contact_ms: u64,
--- a/dockgate/src/rpc_listener.rs
+++ b/dockgate/src/rpc_listener.rs
@@ -20,7 +20,7 @@
 
 /// A JSON-RPC listener with a guard that authenticates requests.
 ///
-/// The guard adds what it learns of the sender to the extensions of the request.
+/// The guard may add the identity of the sender to the extensions of the request.
 pub(crate) struct RpcListener<G> {
     /// The name, for logs.
     pub(crate) name: &'static str,
