--- a/dockgate/src/gateway/suspension.rs
+++ b/dockgate/src/gateway/suspension.rs
@@ -1,8 +1,8 @@
 //! Handling of suspensions of the box.
 //!
-//! After a pause of the process alone, all timers are due at once and the state is refreshed. During
-//! a suspension of the machine, the runtime's timers stop, and resume with their remaining time, so
-//! the state has to be marked as outdated explicitly.
+//! After a pause of the process alone, all timers are due at once and the state is refreshed.
+//! During a suspension of the machine, the runtime's timers stop, and resume with their remaining
+//! time, so the state has to be marked as outdated explicitly.
 
 use super::events::{GatewayEvent, log_gateway};
 use super::gateway_metrics::GATEWAY_METRICS;
