--- a/dockgate/src/rpc_listener.rs
+++ b/dockgate/src/rpc_listener.rs
@@ -20,7 +20,7 @@
 
 /// A JSON-RPC listener with a guard that authenticates requests.
 ///
-/// The guard adds what it learns of the sender to the extensions of the request.
+/// The guard may add the identity of the sender to the extensions of the request.
 pub(crate) struct RpcListener<G> {
     /// The name, for logs.
     pub(crate) name: &'static str,
@@ -87,10 +87,10 @@
     }
 }
 
-fn reject(door: &'static str, peer: SocketAddr, reason: &'static str) -> Response<HttpBody> {
-    METRICS.rejected.with_label_values(&[door]).inc();
+fn reject(listener: &'static str, peer: SocketAddr, reason: &'static str) -> Response<HttpBody> {
+    METRICS.rejected.with_label_values(&[listener]).inc();
     log_event(&LogEvent::TurnedAway {
-        door,
+        door: listener,
         peer: peer.to_string(),
         reason,
     });
