--- a/dockgatectl/src/args.rs
+++ b/dockgatectl/src/args.rs
@@ -68,7 +68,7 @@
         /// Log files of any boxes; standard input if none is given.
         logs: Vec<PathBuf>,
     },
-    /// Shows the requests in quarantine, which crashed several endpoints and are sent to none.
+    /// Shows the requests in quarantine, which crashed several endpoints and are sent only in trials.
     ///
     /// `--operator` is the `[listen] state` address of any gateway; no token is needed.
     Quarantine {
@@ -78,13 +78,13 @@
     },
     /// Shows what a declaration file would change, and keeps the plan for `confirm`.
     Plan {
-        /// The declaration file.
+        /// Declaration file.
         #[arg(short, long)]
         file: PathBuf,
     },
     /// Plans a declaration file; commits it at once with --yes.
     Apply {
-        /// The declaration file.
+        /// Declaration file.
         #[arg(short, long)]
         file: PathBuf,
         /// Commits the change instead of only showing its plan.
@@ -147,12 +147,12 @@
     },
     /// Prints the hash of a workspace key, for a declaration.
     HashKey {
-        /// The key.
+        /// Key to hash.
         key: String,
     },
     /// Prints a completion script.
     Completions {
-        /// The shell.
+        /// Shell that uses the script.
         shell: clap_complete::Shell,
     },
 }
@@ -173,69 +173,69 @@
 /// Action on a workspace.
 #[derive(Debug, Subcommand)]
 pub(crate) enum WorkspaceVerb {
-    /// Adds one.
+    /// Adds a workspace.
     Add(WorkspaceFlags),
-    /// Changes one; fields that are not given stay.
+    /// Changes a workspace; fields that are not given keep their value.
     Set(WorkspaceFlags),
-    /// Retires one.
+    /// Retires a workspace.
     Retire(NameArg),
 }
 
 /// Action on a pool.
 #[derive(Debug, Subcommand)]
 pub(crate) enum PoolVerb {
-    /// Adds one.
+    /// Adds a pool.
     Add(PoolFlags),
-    /// Changes one; fields that are not given stay.
+    /// Changes a pool; fields that are not given keep their value.
     Set(PoolFlags),
-    /// Retires one.
+    /// Retires a pool.
     Retire(NameArg),
 }
 
 /// Action on an endpoint.
 #[derive(Debug, Subcommand)]
 pub(crate) enum EndpointVerb {
-    /// Adds one.
+    /// Adds an endpoint.
     Add(EndpointFlags),
-    /// Changes one; fields that are not given stay.
+    /// Changes an endpoint; fields that are not given keep their value.
     Set(EndpointFlags),
-    /// Retires one: it gets no new requests and finishes those it runs.
+    /// Retires an endpoint, which gets no new requests and finishes those it runs.
     Retire(NameArg),
 }
 
 /// Action on a kind of request.
 #[derive(Debug, Subcommand)]
 pub(crate) enum KindVerb {
-    /// Adds one.
+    /// Adds a kind of request.
     Add(KindFlags),
-    /// Changes one.
+    /// Changes a kind of request.
     Set(KindFlags),
-    /// Retires one.
+    /// Retires a kind of request.
     Retire(NameArg),
 }
 
 /// The name of an item.
 #[derive(Debug, Args)]
 pub(crate) struct NameArg {
-    /// The name.
+    /// Name of the item.
     pub(crate) name: String,
 }
 
 /// The fields of a workspace.
 #[derive(Debug, Args)]
 pub(crate) struct WorkspaceFlags {
-    /// The name.
+    /// Name of the workspace.
     pub(crate) name: String,
-    /// The weight against other workspaces, 1 to 10000.
+    /// Weight relative to other workspaces, from 1 to 10000.
     #[arg(long)]
     pub(crate) share: Option<String>,
-    /// The priority of its requests, 0 to 9.
+    /// Priority of its requests, from 0 to 9.
     #[arg(long)]
     pub(crate) priority: Option<String>,
     /// Hash of an API key, as `hash-key` prints; may be given several times.
     #[arg(long)]
     pub(crate) key: Vec<String>,
-    /// Maximum number of requests that wait at a box.
+    /// Maximum number of its requests that wait at a box.
     #[arg(long)]
     pub(crate) queue_limit: Option<String>,
 }
@@ -243,7 +243,7 @@
 /// The fields of a pool.
 #[derive(Debug, Args)]
 pub(crate) struct PoolFlags {
-    /// The name.
+    /// Name of the pool.
     pub(crate) name: String,
     /// Type of its endpoints: engine or service.
     #[arg(long)]
@@ -268,7 +268,7 @@
 /// The fields of an endpoint.
 #[derive(Debug, Args)]
 pub(crate) struct EndpointFlags {
-    /// The name.
+    /// Name of the endpoint.
     pub(crate) name: String,
     /// Its pool.
     #[arg(long)]
@@ -293,7 +293,7 @@
 /// The fields of a kind of request.
 #[derive(Debug, Args)]
 pub(crate) struct KindFlags {
-    /// The name.
+    /// Name of the kind of request.
     pub(crate) name: String,
     /// Whether its requests may be retried at another endpoint: yes or no.
     #[arg(long)]
--- a/dockgatectl/src/explain/tests.rs
+++ b/dockgatectl/src/explain/tests.rs
@@ -25,7 +25,7 @@
     assert!(before.contains("version=4") && before.contains("endpoint=e1"));
     assert!(
         before.contains("endpoint=e5"),
-        "state of an engine that was asked is shown"
+        "state of an engine that was asked for admission is shown"
     );
     assert!(
         !before.contains("version=3"),
--- a/dockgatectl/src/log_line.rs
+++ b/dockgatectl/src/log_line.rs
@@ -39,7 +39,7 @@
             .unwrap_or_default()
     }
 
-    /// Returns the endpoint of the event and those that were asked.
+    /// Returns the endpoint of the event and the engines that were asked for admission.
     pub(crate) fn endpoints(&self) -> Vec<&str> {
         let asked = self.event.get("asked").and_then(Value::as_array);
         let asked = asked
@@ -80,7 +80,8 @@
         self.event.get(name)?.as_u64()
     }
 
-    /// Returns the shortest wait predicted by the engines that were asked, in milliseconds.
+    /// Returns the shortest wait predicted by the engines that were asked for admission, in
+    /// milliseconds.
     pub(crate) fn shortest_wait_ms(&self) -> Option<u64> {
         let asked = self.event.get("asked")?.as_array()?;
         let waits = asked
--- a/dockgatectl/src/losses.rs
+++ b/dockgatectl/src/losses.rs
@@ -1,9 +1,9 @@
 //! Report on lost requests, assembled from the logs of all boxes.
 //!
 //! It has three tables: refusals by reason and route, with the shortest wait predicted by the
-//! engines that were asked; delays of first events compared to the estimate; and failures at
-//! endpoints. Log lines of refusals are rate-limited and those of answers sampled, so counts can be
-//! compared within a table but not between tables.
+//! engines that were asked for admission; delays of first events compared to the estimate; and
+//! failures at endpoints. Log lines of refusals are rate-limited and those of answers sampled, so
+//! counts can be compared within a table but not between tables.
 
 use crate::error::CtlError;
 use crate::log_line::{LogLine, read_lines};
--- a/xtask/src/docs.rs
+++ b/xtask/src/docs.rs
@@ -78,7 +78,7 @@
         }
     }
     for line in &missing {
-        eprintln!("xtask: the docs name what does not exist: {line}");
+        eprintln!("xtask: the docs name something that does not exist: {line}");
     }
     missing.is_empty()
 }
--- a/xtask/src/known_red.rs
+++ b/xtask/src/known_red.rs
@@ -31,18 +31,18 @@
     let lines: Vec<&str> = text.lines().filter(|line| !line.is_empty()).collect();
     if lines.len() > MAX_ENTRIES {
         return Err(format!(
-            "{FILE}: {} lines, {MAX_ENTRIES} at most",
+            "{FILE}: {} entries, at most {MAX_ENTRIES} allowed",
             lines.len()
         ));
     }
     let names = lines.iter().map(|line| {
         let parts: Vec<&str> = line.split(" | ").collect();
         match parts[..] {
-            [name, command, seen, issue] if ![name, command, seen, issue].contains(&"") => {
+            [name, command, failure, issue] if ![name, command, failure, issue].contains(&"") => {
                 Ok(name.to_owned())
             }
             _ => Err(format!(
-                "{FILE}: not 'test | command | seen | issue': {line}"
+                "{FILE}: expected 'test | command | failure | issue', found: {line}"
             )),
         }
     });
--- a/xtask/src/main.rs
+++ b/xtask/src/main.rs
@@ -15,13 +15,13 @@
 /// Development tasks of the dockgate workspace.
 #[derive(Debug, Parser)]
 struct XtaskArgs {
-    /// Task to run.
+    /// Command to run.
     #[command(subcommand)]
-    chore: XtaskChore,
+    command: XtaskCommand,
 }
 
 #[derive(Debug, Clone, Copy, Subcommand)]
-enum XtaskChore {
+enum XtaskCommand {
     /// Runs all checks that must pass before a change is merged.
     Ci,
     /// Checks the formatting.
@@ -47,23 +47,23 @@
     CheckDocs,
 }
 
-/// Command to run.
-struct ChoreStep {
+/// A process that a command runs.
+struct CommandStep {
     program: &'static str,
     args: &'static [&'static str],
     rustdoc_flags: &'static str,
 }
 
-const fn cargo(args: &'static [&'static str]) -> ChoreStep {
-    ChoreStep {
+const fn cargo(args: &'static [&'static str]) -> CommandStep {
+    CommandStep {
         program: "cargo",
         args,
         rustdoc_flags: "",
     }
 }
 
-const FMT: ChoreStep = cargo(&["fmt", "--all", "--check"]);
-const LINT: ChoreStep = cargo(&[
+const FMT: CommandStep = cargo(&["fmt", "--all", "--check"]);
+const LINT: CommandStep = cargo(&[
     "clippy",
     "--workspace",
     "--all-targets",
@@ -71,7 +71,7 @@
     "--deny",
     "warnings",
 ]);
-const DOCS: ChoreStep = ChoreStep {
+const DOCS: CommandStep = CommandStep {
     rustdoc_flags: "--deny warnings",
     ..cargo(&[
         "doc",
@@ -80,9 +80,9 @@
         "--document-private-items",
     ])
 };
-const BUILD: ChoreStep = cargo(&["build", "--workspace"]);
-const TEST: ChoreStep = cargo(&["test", "--workspace", "--no-fail-fast"]);
-const FLEET: ChoreStep = cargo(&[
+const BUILD: CommandStep = cargo(&["build", "--workspace"]);
+const TEST: CommandStep = cargo(&["test", "--workspace", "--no-fail-fast"]);
+const FLEET: CommandStep = cargo(&[
     "run",
     "--package",
     "dockgate-bench",
@@ -96,8 +96,8 @@
     "5",
 ]);
 
-impl XtaskChore {
-    fn steps(self) -> Vec<ChoreStep> {
+impl XtaskCommand {
+    fn steps(self) -> Vec<CommandStep> {
         match self {
             Self::Ci => vec![FMT, LINT, DOCS, BUILD, TEST, FLEET],
             Self::Soak { .. } | Self::CheckDocs => Vec::new(),
@@ -114,7 +114,7 @@
 fn check_outer_names() -> bool {
     let missing = missing_names(Path::new("."));
     for name in &missing {
-        eprintln!("xtask: an outer name is gone from the sources: {name}");
+        eprintln!("xtask: an outer name is missing in the sources: {name}");
     }
     missing.is_empty()
 }
@@ -150,7 +150,7 @@
 }
 
 /// Runs the tests without those that are known to fail; returns whether they passed.
-fn run_tests(step: &ChoreStep) -> bool {
+fn run_tests(step: &CommandStep) -> bool {
     let names = match read_known_red() {
         Ok(names) => names,
         Err(problem) => {
@@ -167,14 +167,14 @@
 }
 
 /// Runs a step; returns whether it succeeded.
-fn run(step: &ChoreStep) -> bool {
+fn run(step: &CommandStep) -> bool {
     match step.args {
         ["test", ..] => run_tests(step),
         _ => run_with_args(step, std::iter::empty()),
     }
 }
 
-fn run_with_args(step: &ChoreStep, extra_args: impl Iterator<Item = String>) -> bool {
+fn run_with_args(step: &CommandStep, extra_args: impl Iterator<Item = String>) -> bool {
     eprintln!("xtask: {} {}", step.program, step.args.join(" "));
     let mut command = Command::new(step.program);
     command.args(step.args).args(extra_args);
@@ -192,11 +192,13 @@
 
 fn main() -> ExitCode {
     let args = XtaskArgs::parse();
-    let passed = match args.chore {
-        XtaskChore::Soak { seed, seconds } => soak(seed, seconds),
-        XtaskChore::CheckDocs => check_docs() && check_outer_names(),
-        XtaskChore::Ci => check_docs() && check_outer_names() && args.chore.steps().iter().all(run),
-        _ => args.chore.steps().iter().all(run),
+    let passed = match args.command {
+        XtaskCommand::Soak { seed, seconds } => soak(seed, seconds),
+        XtaskCommand::CheckDocs => check_docs() && check_outer_names(),
+        XtaskCommand::Ci => {
+            check_docs() && check_outer_names() && args.command.steps().iter().all(run)
+        }
+        _ => args.command.steps().iter().all(run),
     };
     match passed {
         true => ExitCode::SUCCESS,
--- a/xtask/src/outer_names.rs
+++ b/xtask/src/outer_names.rs
@@ -64,8 +64,8 @@
     }
 }
 
-/// Returns the spellings of a name in code: the name itself, a field of a flag, a variant of an
-/// event.
+/// Returns the spellings of a name in code: the name itself, as a field of a flag, and as an enum
+/// variant.
 fn spellings(name: &str) -> [String; 3] {
     let field = name.trim_start_matches("--").replace('-', "_");
     let variant = field.split('_').map(|word| {
