--- a/dockgate-bench/src/fleet.rs
+++ b/dockgate-bench/src/fleet.rs
@@ -162,15 +162,15 @@
             true => {
                 let slow = pool.slow_every > 0 && number.is_multiple_of(pool.slow_every);
                 let rate = pool.tokens_per_second * if slow { 0.5 } else { 1.0 };
-                let rule = EngineProfile::new(pool.slots, rate);
-                EndpointStandIn::Engine(EngineStandIn::start(rule, tally).await?)
+                let profile = EngineProfile::new(pool.slots, rate);
+                EndpointStandIn::Engine(EngineStandIn::start(profile, tally).await?)
             }
             false => {
-                let rule = ServiceProfile {
+                let profile = ServiceProfile {
                     slots: pool.slots,
                     processing_time: Duration::from_millis(20),
                 };
-                EndpointStandIn::Service(ServiceStandIn::start(rule, tally).await?)
+                EndpointStandIn::Service(ServiceStandIn::start(profile, tally).await?)
             }
         };
         let mut relays = HashMap::new();
--- a/dockgate-bench/src/gateway_fleet.rs
+++ b/dockgate-bench/src/gateway_fleet.rs
@@ -99,8 +99,8 @@
         self.program = program.to_owned();
     }
 
-    /// Returns the address on which it accepts callers.
-    pub const fn callers(&self) -> SocketAddr {
+    /// Returns the address of the caller listener.
+    pub const fn caller_address(&self) -> SocketAddr {
         self.at(CALLERS_PORT)
     }
 
@@ -198,7 +198,7 @@
     }
 
     /// Returns whether its process has exited.
-    pub fn has_ended(&mut self) -> bool {
+    pub fn has_exited(&mut self) -> bool {
         let child = self.child.as_mut();
         child.is_none_or(|child| matches!(child.try_wait(), Ok(Some(_))))
     }
--- a/dockgate-bench/src/gateway_soak.rs
+++ b/dockgate-bench/src/gateway_soak.rs
@@ -118,7 +118,11 @@
 pub async fn run_soak(options: SoakOptions) -> Result<SoakReport, BenchError> {
     let mut fleet = GatewayFleet::start(GATEWAYS, &SERVICES, &route_config(1, KEYS)).await?;
     let stop = Arc::new(AtomicBool::new(false));
-    let addresses: Vec<_> = fleet.gateways.iter().map(GatewayProcess::callers).collect();
+    let addresses: Vec<_> = fleet
+        .gateways
+        .iter()
+        .map(GatewayProcess::caller_address)
+        .collect();
     let callers = (0..CALLERS as u64).map(|number| {
         let rng = StdRng::seed_from_u64(options.seed.wrapping_mul(1_000) + number);
         tokio::spawn(run_soak_caller(
--- a/dockgate-bench/src/gateway_soak/store_snapshots.rs
+++ b/dockgate-bench/src/gateway_soak/store_snapshots.rs
@@ -42,8 +42,8 @@
             return;
         };
         let back = self.rng.random_range(0..=last);
-        let lost = self.snapshots.snapshots.drain(last - back..).next();
-        let Some(snapshot) = lost else { return };
+        let restored = self.snapshots.snapshots.drain(last - back..).next();
+        let Some(snapshot) = restored else { return };
         fleet.store.restore(snapshot);
         let at = self.started.elapsed().as_millis();
         self.fault_log
--- a/dockgate-bench/src/mixed_fleet/fleet_run.rs
+++ b/dockgate-bench/src/mixed_fleet/fleet_run.rs
@@ -113,7 +113,7 @@
         let fleet = GatewayFleet::start_boxes(&specs, &SERVICES, &mixed_config(1)).await?;
         let endpoints = fleet.endpoints.iter();
         endpoints.for_each(|endpoint| endpoint.set_processing_time(PROCESSING_TIME));
-        let addresses = fleet.gateways.iter().map(GatewayProcess::callers);
+        let addresses = fleet.gateways.iter().map(GatewayProcess::caller_address);
         let rotation = Arc::new(BoxRotation::new(addresses.collect()));
         let stop_callers = Arc::new(AtomicBool::new(false));
         let callers = (0..CALLERS).map(|number| {
@@ -166,14 +166,14 @@
         for at in 0..self.fleet.gateways.len() {
             let live = format!("dockgate_boxes_live {}", self.fleet.gateways.len());
             let gateway = &self.fleet.gateways[at];
-            let knows = wait_until_holds(async || gateway.metrics().await.contains(&live)).await;
+            let sees_all = wait_until_holds(async || gateway.metrics().await.contains(&live)).await;
             let metrics = gateway.metrics().await;
             let counted = metrics.lines().filter(|line| {
                 let is_named = MUST_BE_ZERO.iter().any(|name| line.starts_with(name));
                 is_named && !line.ends_with(" 0")
             });
             let counted: Vec<String> = counted.map(str::to_owned).collect();
-            if !knows {
+            if !sees_all {
                 self.fail(format!("box {at} does not see all boxes"));
             }
             let counted = counted.iter().map(|line| format!("box {at}: {line}"));
@@ -268,7 +268,7 @@
         }
         // Sent by one box of each build, whose crash counts add up.
         for box_index in [0, 1] {
-            let address = self.fleet.gateways[box_index].callers();
+            let address = self.fleet.gateways[box_index].caller_address();
             let request =
                 request_with_body("/doomed/x", &format!("d{box_index}"), None, CRASH_BODY);
             let sender = connect_within(address, WAIT_TIMEOUT).await;
@@ -383,7 +383,7 @@
             .fleet
             .gateways
             .iter()
-            .map(GatewayProcess::callers)
+            .map(GatewayProcess::caller_address)
             .collect();
         for (box_index, address) in addresses.into_iter().enumerate() {
             for kind in CallKind::ALL {
@@ -414,7 +414,7 @@
         wait_until_holds(async || !gateway.is_ready().await).await;
         self.rotation.set(at, false);
         let gateway = &mut self.fleet.gateways[at];
-        let ended = wait_until_holds(async || gateway.has_ended()).await;
+        let ended = wait_until_holds(async || gateway.has_exited()).await;
         let logged = gateway.logged();
         gateway.kill();
         let in_time = r#""event":"stopped","in_time":true,"cut":0"#;
--- a/dockgate-bench/src/standin/caller.rs
+++ b/dockgate-bench/src/standin/caller.rs
@@ -90,7 +90,7 @@
 ///
 /// Panics if it is not answered.
 pub async fn call(gateway: &GatewayProcess, request: Request<Full<Bytes>>) -> Response<Incoming> {
-    let mut sender = connect(gateway.callers()).await;
+    let mut sender = connect(gateway.caller_address()).await;
     sender
         .send_request(request)
         .await
--- a/dockgate-bench/src/standin/engine.rs
+++ b/dockgate-bench/src/standin/engine.rs
@@ -120,7 +120,7 @@
 pub struct EngineStandIn {
     /// The address on which it listens.
     pub address: SocketAddr,
-    /// Counts runs that start too late after the engine was told to leave.
+    /// Counts runs that start too late after the engine was marked as leaving.
     pub late_runs: Arc<LateRunCounter>,
     state: Arc<EngineState>,
 }
@@ -142,8 +142,8 @@
             late_runs: Arc::default(),
             stop: CancellationToken::new(),
         });
-        let handler = state.clone();
-        let handle = move |request| handle(handler.clone(), request);
+        let handler_state = state.clone();
+        let handle = move |request| handle(handler_state.clone(), request);
         let address = serve(handle, state.stop.clone()).await?;
         let late_runs = state.late_runs.clone();
         Ok(Self {
--- a/dockgate-bench/src/standin/routed.rs
+++ b/dockgate-bench/src/standin/routed.rs
@@ -77,7 +77,7 @@
     behavior: Mutex<EndpointBehavior>,
     received: Mutex<Vec<ReceivedRequest>>,
     ends: Mutex<Vec<RunEnd>>,
-    unfinished: Mutex<i64>,
+    running: Mutex<i64>,
     processing_time: Mutex<Duration>,
     is_leaving: Mutex<bool>,
     backoff: Mutex<Option<Duration>>,
@@ -128,8 +128,15 @@
             id: id.to_owned(),
             started_ms,
         };
-        let (handler, end) = (state.clone(), stop.clone());
-        let handle = move |request| handle(handler.clone(), identity.clone(), end.clone(), request);
+        let (handler_state, handler_stop) = (state.clone(), stop.clone());
+        let handle = move |request| {
+            handle(
+                handler_state.clone(),
+                identity.clone(),
+                handler_stop.clone(),
+                request,
+            )
+        };
         let address = serve(handle, stop.clone()).await?;
         Ok(Self {
             id: id.to_owned(),
@@ -207,8 +214,8 @@
     }
 
     /// Returns the number of requests that it is running.
-    pub fn working(&self) -> i64 {
-        *locked(&self.state.unfinished)
+    pub fn running(&self) -> i64 {
+        *locked(&self.state.running)
     }
 
     /// Stops listening and cuts all connections.
@@ -227,7 +234,7 @@
     fn new(state: Arc<RoutedState>, request: ReceivedRequest) -> Self {
         let id = request.id.clone();
         locked(&state.received).push(request);
-        *locked(&state.unfinished) += 1;
+        *locked(&state.running) += 1;
         Self { state, id }
     }
 }
@@ -237,7 +244,7 @@
         let id = std::mem::take(&mut self.id);
         let at = Instant::now();
         locked(&self.state.ends).push(RunEnd { id, at });
-        *locked(&self.state.unfinished) -= 1;
+        *locked(&self.state.running) -= 1;
     }
 }
 
@@ -267,10 +274,10 @@
 async fn handle(
     state: Arc<RoutedState>,
     identity: EndpointIdentity,
-    end: CancellationToken,
+    stop: CancellationToken,
     request: Request<Incoming>,
 ) -> Result<Response<StandInBody>, AbortedConnection> {
-    let mut response = answer_of(&state, &identity.id, end, request).await?;
+    let mut response = answer_of(&state, &identity.id, stop, request).await?;
     let is_own = response.status() != StatusCode::MISDIRECTED_REQUEST;
     let headers = response.headers_mut();
     headers.insert(STARTED_HEADER, HeaderValue::from(identity.started_ms));
@@ -283,7 +290,7 @@
 async fn answer_of(
     state: &Arc<RoutedState>,
     own_id: &str,
-    end: CancellationToken,
+    stop: CancellationToken,
     request: Request<Incoming>,
 ) -> Result<Response<StandInBody>, AbortedConnection> {
     let (parts, body) = request.into_parts();
@@ -332,7 +339,7 @@
     }
     let run = RoutedRun::new(state.clone(), received);
     if locked(&state.crash_bodies).contains(&body) {
-        end.cancel();
+        stop.cancel();
         return Err(AbortedConnection);
     }
     let processing_time = *locked(&state.processing_time);
--- a/dockgate-bench/src/standin/service.rs
+++ b/dockgate-bench/src/standin/service.rs
@@ -28,7 +28,7 @@
 pub struct ServiceStandIn {
     /// The address on which it listens.
     pub address: SocketAddr,
-    /// Counts runs that start too late after the service was told to leave.
+    /// Counts runs that start too late after the service was marked as leaving.
     pub late_runs: Arc<LateRunCounter>,
     stop: CancellationToken,
 }
--- a/dockgate-bench/tests/caller_disconnects.rs
+++ b/dockgate-bench/tests/caller_disconnects.rs
@@ -16,7 +16,7 @@
     fleet.endpoints[0].set_processing_time(Duration::from_millis(50));
     fleet.endpoints[1].set_processing_time(Duration::from_secs(60));
     for (index, path, events) in [(0, "/live/x", Some(1_000)), (1, "/again/x", None)] {
-        let mut sender = connect(fleet.gateways[0].callers()).await;
+        let mut sender = connect(fleet.gateways[0].caller_address()).await;
         let pending = tokio::spawn(async move {
             let response = sender.send_request(request(path, "r1", events)).await;
             response
@@ -25,9 +25,12 @@
                 .map(drop)
         });
         let endpoint = &fleet.endpoints[index];
-        wait_until("the endpoint runs it", async || endpoint.working() == 1).await;
+        wait_until("the endpoint runs the request", async || {
+            endpoint.running() == 1
+        })
+        .await;
         pending.abort();
-        wait_until("the endpoint stops", async || endpoint.working() == 0).await;
+        wait_until("the endpoint stops", async || endpoint.running() == 0).await;
     }
 }
 
@@ -68,7 +71,7 @@
     )
 }
 
-/// What a caller sends behind its request while that is running.
+/// Data that a caller sends after its request while that request is running.
 #[derive(Debug, Clone, Copy)]
 enum PipelinedData {
     EmptyLine,
@@ -89,7 +92,7 @@
     }
 }
 
-/// Guards against missing a disconnect because data behind the request is still unread: the
+/// Guards against missing a disconnect because data after the request is still unread: the
 /// endpoint would go on running, and the pipelined request would be started.
 #[parameterized(
     empty_line_close = { "/again/x", None, PipelinedData::EmptyLine, DisconnectKind::Close },
@@ -119,10 +122,10 @@
         fleet
             .endpoints
             .iter()
-            .map(RoutedStandIn::working)
+            .map(RoutedStandIn::running)
             .sum::<i64>()
     };
-    let mut caller = TcpStream::connect(fleet.gateways[0].callers())
+    let mut caller = TcpStream::connect(fleet.gateways[0].caller_address())
         .await
         .unwrap();
     let first = text_request(path, "first", events, "hello");
@@ -133,7 +136,7 @@
     let write = caller.write_all(more.as_bytes());
     let _ = tokio::time::timeout(Duration::from_millis(300), write).await;
     let _half_closed = disconnect.apply(caller).await;
-    wait_until("no endpoint runs it", async || running() == 0).await;
+    wait_until("no endpoint runs the request", async || running() == 0).await;
     // Once this is answered, the box has handled all that was left on the closed connection.
     let other = call(&fleet.gateways[0], request("/none/x", "other", None)).await;
     assert_eq!(other.status(), 404);
@@ -178,7 +181,7 @@
     // The only endpoint for plain requests is the one that reads nothing.
     let fleet = start_fleet(1, &["model"]).await;
     let listener = add_non_reading_endpoint(&fleet, RECEIVE_BUFFER).await;
-    let mut caller = TcpStream::connect(fleet.gateways[0].callers())
+    let mut caller = TcpStream::connect(fleet.gateways[0].caller_address())
         .await
         .unwrap();
     let body = "b".repeat(9_500);
@@ -207,7 +210,7 @@
 async fn pipelining_caller_gets_all_responses() {
     let fleet = start_fleet(1, &["plain"]).await;
     fleet.endpoints[0].set_processing_time(Duration::from_millis(30));
-    let mut caller = TcpStream::connect(fleet.gateways[0].callers())
+    let mut caller = TcpStream::connect(fleet.gateways[0].caller_address())
         .await
         .unwrap();
     let requests: String = (0..20)
--- a/dockgate-bench/tests/endpoint_drain.rs
+++ b/dockgate-bench/tests/endpoint_drain.rs
@@ -1,7 +1,7 @@
-//! Draining endpoints: how soon boxes learn of them.
+//! Time within which boxes learn that an endpoint is draining.
 //!
 //! Guards against drain notices that wait behind a large configuration, or that are missed because
-//! a store connection has gone silent.
+//! a store connection no longer delivers changes.
 
 use dockgate_bench::gateway_fleet::{GatewayFleet, route_config, wait_until};
 use dockgate_bench::standin::caller::{call, request};
@@ -52,7 +52,7 @@
 async fn drain_notice_does_not_wait_for_a_large_configuration() {
     let fleet = start(1).await;
     let [leaving, staying] = &fleet.endpoints[..] else {
-        panic!("there are two")
+        panic!("the fleet has two endpoints")
     };
     let config = decode_routes(route_config(9, KEYS).as_bytes()).unwrap();
     let newer_revision = 1_000;
@@ -83,10 +83,10 @@
 }
 
 /// Returns the indices of the boxes that have started a store watch after `since`.
-fn boxes_watching(doors: &[StoreListener], since: Instant) -> Vec<usize> {
-    let watches = doors.iter().enumerate();
-    let watches =
-        watches.filter(|(_, door)| door.watch().is_some_and(|(started, _)| started > since));
+fn boxes_watching(listeners: &[StoreListener], since: Instant) -> Vec<usize> {
+    let watches = listeners.iter().enumerate();
+    let watches = watches
+        .filter(|(_, listener)| listener.watch().is_some_and(|(started, _)| started > since));
     watches.map(|(index, _)| index).collect()
 }
 
@@ -138,15 +138,15 @@
     assert_nothing_sent_to(&fleet, other, 0).await;
 }
 
-/// Guards against waiting for the end of a watch whose connection is dead while the store answers
-/// other calls.
+/// Guards against waiting for the end of a watch whose connection is broken while the store
+/// answers other calls.
 #[tokio::test]
 async fn silent_watch_is_restarted_before_it_times_out() {
     let fleet = start(1).await;
-    let door = &fleet.store_listeners[0];
-    wait_until("the box watches", async || door.watch().is_some()).await;
-    let (_, end) = door.watch().unwrap();
-    door.stall_watches();
+    let listener = &fleet.store_listeners[0];
+    wait_until("the box watches", async || listener.watch().is_some()).await;
+    let (_, end) = listener.watch().unwrap();
+    listener.stall_watches();
     let (key, value) = fleet.endpoints[0].record("a", "draining");
     fleet.store.set(&key, value);
     let gateway = &fleet.gateways[0];
--- a/dockgate-bench/tests/endpoint_records.rs
+++ b/dockgate-bench/tests/endpoint_records.rs
@@ -7,8 +7,8 @@
 use http::StatusCode;
 use serde_json::json;
 
-async fn status_of(fleet: &GatewayFleet, box_at: usize, id: &str) -> StatusCode {
-    let response = call(&fleet.gateways[box_at], request("/once/x", id, None)).await;
+async fn status_of(fleet: &GatewayFleet, box_index: usize, id: &str) -> StatusCode {
+    let response = call(&fleet.gateways[box_index], request("/once/x", id, None)).await;
     response.status()
 }
 
@@ -91,12 +91,12 @@
             .store
             .set(&format!("{ENDPOINT_KEY_PREFIX}{name}"), value.clone());
     }
-    // The record of a used endpoint is overwritten; a valid record is added behind all of these.
+    // The record of a used endpoint is overwritten; a valid record is added after all of these.
     let (key, valid) = fleet.endpoints[0].record("a", "ready");
     fleet.store.set(&key, invalid[0].1.clone());
     fleet.add_endpoint("behind", "plain").await.unwrap();
     for gateway in &fleet.gateways {
-        wait_until("the valid record behind is in use", async || {
+        wait_until("the valid record is in use", async || {
             gateway.logged().contains(r#""endpoint":"behind""#)
         })
         .await;
@@ -121,7 +121,7 @@
         fleet.store.remove(&endpoint.record("a", "ready").0);
     }
     let gateway = &fleet.gateways[0];
-    wait_until("the other endpoints are gone", async || {
+    wait_until("the other endpoints are removed", async || {
         gateway.logged().matches("endpoint_gone").count() == 2
     })
     .await;
--- a/dockgate-bench/tests/fleet.rs
+++ b/dockgate-bench/tests/fleet.rs
@@ -229,7 +229,7 @@
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
     assert_eq!(fleet.tallies["chat"].running(), 2);
-    // One of the two endpoints is lost; the other one is left.
+    // One of the two endpoints crashes; the other one remains.
     for endpoint in fleet
         .endpoints
         .iter()
@@ -271,8 +271,8 @@
     assert!(store.commit(&first, "a", 0).await.is_err());
     fleet.platform.set_drops_replies(false);
     let version = config.version + 1;
-    let settled = store.commit(&first, "a", 0).await.unwrap();
-    assert_eq!(settled, CommitOutcome::AlreadyCommitted(version));
+    let repeated = store.commit(&first, "a", 0).await.unwrap();
+    assert_eq!(repeated, CommitOutcome::AlreadyCommitted(version));
     let stale = store.commit(&second, "b", 0).await.unwrap();
     let CommitOutcome::Stale(head) = stale else {
         panic!("{stale:?}");
@@ -296,8 +296,8 @@
     let (head, _) = ConfigStore::new(client).read_head().await.unwrap();
     assert!(head.snapshot > 0 && head.entries.len() < 70);
 
-    for is_out in [false, true] {
-        fleet.platform.set_unavailable(is_out);
+    for is_unavailable in [false, true] {
+        fleet.platform.set_unavailable(is_unavailable);
         fleet.daemons[1].kill();
         fleet.daemons[1].restart().unwrap();
         let ready = fleet.daemons[1].wait_for_ok("readyz", Duration::from_secs(20));
@@ -347,7 +347,7 @@
     let mut fleet = start().await;
     let daemon = &fleet.daemons[0];
     let tokens = 200;
-    // Two streams fill an endpoint, so that some of the four run on the one that is lost.
+    // Two streams fill an endpoint, so that some of the four run on the one that crashes.
     let streams = ["x", "y", "z", "w"].map(|nonce| {
         let body = chat("chat", tokens, nonce, true);
         let call = send(request(daemon, "/v1/chat/completions", &body));
@@ -366,9 +366,9 @@
     lost.unwrap().standin.kill();
     for (nonce, stream) in ["x", "y", "z", "w"].iter().zip(streams) {
         let answer = stream.await.unwrap();
-        let mut check = AnswerChecker::new((*nonce).to_owned(), tokens);
-        check.feed(answer.as_bytes());
-        assert_eq!(check.verdict(), AnswerVerdict::Complete, "{answer}");
+        let mut checker = AnswerChecker::new((*nonce).to_owned(), tokens);
+        checker.feed(answer.as_bytes());
+        assert_eq!(checker.verdict(), AnswerVerdict::Complete, "{answer}");
     }
     fleet.stop().await;
 }
--- a/dockgate-bench/tests/gateway.rs
+++ b/dockgate-bench/tests/gateway.rs
@@ -102,7 +102,7 @@
 #[test_macro(tokio::test)]
 async fn malformed_requests_get_bad_request(bytes: &str) {
     let fleet = start_fleet(1, &["plain"]).await;
-    let mut stream = TcpStream::connect(fleet.gateways[0].callers())
+    let mut stream = TcpStream::connect(fleet.gateways[0].caller_address())
         .await
         .unwrap();
     stream.write_all(bytes.as_bytes()).await.unwrap();
@@ -123,7 +123,7 @@
          {:x}\r\n{inner}\r\n0\r\n\r\n",
         inner.len()
     );
-    let mut stream = TcpStream::connect(fleet.gateways[0].callers())
+    let mut stream = TcpStream::connect(fleet.gateways[0].caller_address())
         .await
         .unwrap();
     stream.write_all(outer.as_bytes()).await.unwrap();
@@ -147,10 +147,10 @@
     encoded = { EndpointBehavior::Encoded },
 )]
 #[test_macro(tokio::test)]
-async fn non_repeatable_request_is_not_retried(manner: EndpointBehavior) {
+async fn non_repeatable_request_is_not_retried(behavior: EndpointBehavior) {
     let fleet = start_fleet(1, &["plain", "plain"]).await;
     for endpoint in &fleet.endpoints {
-        endpoint.set_behavior(manner);
+        endpoint.set_behavior(behavior);
     }
     let response = call(&fleet.gateways[0], request("/once/x", "r1", None)).await;
     assert_eq!(
@@ -172,9 +172,9 @@
     silent = { EndpointBehavior::Silent },
 )]
 #[test_macro(tokio::test)]
-async fn repeatable_request_is_retried_at_another_endpoint(manner: EndpointBehavior) {
+async fn repeatable_request_is_retried_at_another_endpoint(behavior: EndpointBehavior) {
     let fleet = start_fleet(1, &["plain", "plain"]).await;
-    fleet.endpoints[0].set_behavior(manner);
+    fleet.endpoints[0].set_behavior(behavior);
     for number in 0..6 {
         let response = call(
             &fleet.gateways[0],
@@ -336,11 +336,14 @@
     fleet.store.remove("servers/life-0");
     fleet.store.set("servers/life-9", value);
     let gateway = &fleet.gateways[0];
-    wait_until("it is listed", async || gateway.logged().contains("life-9")).await;
+    wait_until("the endpoint is listed", async || {
+        gateway.logged().contains("life-9")
+    })
+    .await;
     // A box that has just started keeps a missing endpoint for a moment, as its lease may only have
     // expired.
     let gone = r#""event":"endpoint_gone","endpoint":"life-0""#;
-    wait_until("the old endpoint is gone", async || {
+    wait_until("the old endpoint is removed", async || {
         gateway.logged().contains(gone)
     })
     .await;
@@ -374,7 +377,7 @@
 #[tokio::test]
 async fn idle_callers_do_not_block_new_ones() {
     let fleet = start_fleet(1, &["plain"]).await;
-    let address = fleet.gateways[0].callers();
+    let address = fleet.gateways[0].caller_address();
     // The settings allow 300 descriptors, 100 of them for callers.
     let mut idle_senders = Vec::new();
     for number in 0..100 {
@@ -424,7 +427,10 @@
     tokio::spawn(serve_surplus_responses(listener));
     fleet.store.set("servers/life-9", record);
     let gateway = &fleet.gateways[0];
-    wait_until("it is listed", async || gateway.logged().contains("life-9")).await;
+    wait_until("the endpoint is listed", async || {
+        gateway.logged().contains("life-9")
+    })
+    .await;
     for number in 0..5 {
         let id = format!("r{number}");
         let response = call(&fleet.gateways[0], request("/again/x", &id, None)).await;
@@ -435,7 +441,7 @@
 }
 
 #[tokio::test]
-async fn slow_store_loses_no_change() {
+async fn changes_are_applied_despite_a_slow_store() {
     let fleet = start_fleet(1, &["plain"]).await;
     fleet.store.set_delay(Duration::from_millis(400));
     fleet.store.set("op/config", route_config(9, r#""k2""#));
@@ -482,7 +488,7 @@
     const MAX_PER_SECOND: u64 = 200;
     let fleet = start_fleet(1, &["plain"]).await;
     let gateway = &fleet.gateways[0];
-    let mut sender = connect(gateway.callers()).await;
+    let mut sender = connect(gateway.caller_address()).await;
     let started = std::time::Instant::now();
     for number in 0..REQUESTS {
         let response = sender
--- a/dockgate-bench/tests/gateway_soak.rs
+++ b/dockgate-bench/tests/gateway_soak.rs
@@ -9,24 +9,24 @@
 use yare::parameterized;
 
 #[parameterized(
-    first = { SoakFaults::All, 1 },
-    second = { SoakFaults::All, 2 },
-    reloaded_while_starting = { SoakFaults::All, 126 },
-    callers_that_leave = { SoakFaults::CallerDisconnects, 2 },
-    endpoints_end = { SoakFaults::CrashingRequests, 1 },
-    endpoints_give_notice = { SoakFaults::Notices, 1 },
-    the_store_loses_its_last_seconds = { SoakFaults::StoreRestores, 1 },
+    all_faults_seed_1 = { SoakFaults::All, 1 },
+    all_faults_seed_2 = { SoakFaults::All, 2 },
+    reload_during_startup = { SoakFaults::All, 126 },
+    caller_disconnects = { SoakFaults::CallerDisconnects, 2 },
+    crashing_requests = { SoakFaults::CrashingRequests, 1 },
+    endpoint_notices = { SoakFaults::Notices, 1 },
+    store_restores = { SoakFaults::StoreRestores, 1 },
 )]
 fn soak_finds_no_broken_guarantee(faults: SoakFaults, seed: u64) {
     let runtime = tokio::runtime::Runtime::new().unwrap();
-    let lasts_s = match faults {
+    let duration_s = match faults {
         // A box counts as connected only after some seconds.
         SoakFaults::CrashingRequests => 10,
         _ => 4,
     };
     let options = SoakOptions {
         seed,
-        duration: Duration::from_secs(lasts_s),
+        duration: Duration::from_secs(duration_s),
         faults,
     };
     let report = runtime.block_on(run_soak(options)).unwrap();
@@ -42,7 +42,7 @@
         .stdout(Stdio::piped())
         .spawn()
         .unwrap();
-    wait_until("the soak listens", async || {
+    wait_until("the soak handles SIGHUP", async || {
         handles_signal(soak.id(), Signal::SIGHUP)
     })
     .await;
--- a/dockgate-bench/tests/request_quarantine.rs
+++ b/dockgate-bench/tests/request_quarantine.rs
@@ -1,7 +1,7 @@
 //! Quarantine of requests that crash the endpoints that run them.
 //!
 //! Guards against a request being sent to one endpoint after another although each crashed while it
-//! ran, and against boxes that don't share what they have seen of it.
+//! ran, and against boxes that don't report its crashes to each other.
 
 use bytes::Bytes;
 use dockgate_bench::gateway_fleet::{GatewayFleet, GatewayProcess, start_fleet, wait_until};
@@ -209,7 +209,7 @@
     let gateways = &fleet.fleet.gateways;
     let answer = gateways[0].quarantine(None).await.expect("the box answers");
     let [quarantined] = &answer.requests[..] else {
-        panic!("there is one: {answer:?}")
+        panic!("one request is in quarantine: {answer:?}")
     };
     assert_eq!(
         (quarantined.trials, quarantined.next_trial_ms.is_some()),
--- a/dockgate-bench/tests/signals.rs
+++ b/dockgate-bench/tests/signals.rs
@@ -11,7 +11,7 @@
 async fn stop_finishes_streams_and_refuses_long_requests() {
     let mut fleet = start_fleet(1, &["model"]).await;
     fleet.endpoints[0].set_processing_time(Duration::from_millis(30));
-    let address = fleet.gateways[0].callers();
+    let address = fleet.gateways[0].caller_address();
     let mut idle = connect(address).await;
     let mut streaming = connect(address).await;
     let response = streaming
@@ -30,7 +30,7 @@
     assert_eq!(fleet.runs_of("r2"), 0);
     assert_eq!(text(response).await, all_events(30));
     let gateway = &mut fleet.gateways[0];
-    wait_until("the box ends", async || gateway.has_ended()).await;
+    wait_until("the box exits", async || gateway.has_exited()).await;
     assert!(
         gateway
             .logged()
@@ -44,11 +44,11 @@
 async fn stopping_box_refuses_requests_that_may_outlast_it() {
     let fleet = start_fleet(1, &["plain"]).await;
     fleet.endpoints[0].set_behavior(EndpointBehavior::Silent);
-    let mut idle = connect(fleet.gateways[0].callers()).await;
+    let mut idle = connect(fleet.gateways[0].caller_address()).await;
     fleet.gateways[0].signal(Signal::SIGTERM);
     let gateway = &fleet.gateways[0];
     wait_until("the box is not ready", async || !gateway.is_ready().await).await;
-    // The box ends within 3.6 s; the route allows 4 s.
+    // The box exits within 3.6 s; the route allows 4 s.
     let mut long = request("/once/x", "r1", None);
     long.headers_mut()
         .insert("x-deadline-ms", "3900".parse().unwrap());
@@ -57,11 +57,11 @@
     assert_eq!(fleet.runs_of("r1"), 0);
 }
 
-/// Guards against an idle box that ends at once and closes connections on which requests arrive.
+/// Guards against an idle box that exits at once and closes connections on which requests arrive.
 #[tokio::test]
-async fn idle_box_serves_requests_that_cross_its_stop() {
+async fn idle_box_serves_requests_that_arrive_while_it_stops() {
     let fleet = start_fleet(1, &["plain"]).await;
-    let mut idle = connect(fleet.gateways[0].callers()).await;
+    let mut idle = connect(fleet.gateways[0].caller_address()).await;
     let gateway = &fleet.gateways[0];
     tokio::time::sleep(Duration::from_secs(2)).await;
     gateway.signal(Signal::SIGTERM);
@@ -95,5 +95,5 @@
     gateway.kill();
     gateway.restart_with_signal(Signal::SIGHUP).unwrap();
     wait_until("the box is ready", async || gateway.is_ready().await).await;
-    assert!(!gateway.has_ended());
+    assert!(!gateway.has_exited());
 }
--- a/dockgate-bench/tests/store_rollback.rs
+++ b/dockgate-bench/tests/store_rollback.rs
@@ -1,6 +1,6 @@
-//! The store is restored from an older copy, so that its last changes are lost and its era rises.
+//! Restores of the store from an older snapshot, which lose its last changes and increment its era.
 //!
-//! Guards against ignoring later changes as outdated, as the store assigns revisions again.
+//! Guards against boxes that ignore later changes as outdated because the store reuses revisions.
 
 use dockgate_bench::gateway_fleet::{GatewayFleet, KEYS, route_config, start_fleet, wait_until};
 use dockgate_bench::standin::caller::{call, request};
@@ -38,13 +38,17 @@
             .iter()
             .enumerate()
             .flat_map(|(box_at, gateway)| {
-                (0..4).map(move |copy| {
-                    let id = format!("{round}-{box_at}-{number}-{copy}");
+                (0..4).map(move |attempt| {
+                    let id = format!("{round}-{box_at}-{number}-{attempt}");
                     call(gateway, request("/again/x", &id, None))
                 })
             });
         for response in futures::future::join_all(responses).await {
-            assert_eq!(response.status(), StatusCode::OK, "callers notice nothing");
+            assert_eq!(
+                response.status(),
+                StatusCode::OK,
+                "callers are not affected"
+            );
         }
     }
     fleet.endpoints[at].ran().len() - before
@@ -71,10 +75,10 @@
 }
 
 #[parameterized(
-    nothing_is_lost = { 1, 0, 0 },
+    no_lost_changes = { 1, 0, 0 },
     one_box = { 1, 40, 0 },
     three_boxes = { 3, 40, 0 },
-    much_is_lost = { 3, 400, 0 },
+    many_lost_changes = { 3, 400, 0 },
     new_history_is_longer = { 3, 10, 50 },
     new_history_is_as_long = { 3, 40, 40 },
 )]
@@ -85,10 +89,10 @@
     rewritten: usize,
 ) {
     let fleet = start(gateways).await;
-    let copy = fleet.store.snapshot();
+    let snapshot = fleet.store.snapshot();
     write_changes(&fleet, lost);
     tokio::time::sleep(REWRITE_TIME).await;
-    fleet.store.restore(copy);
+    fleet.store.restore(snapshot);
     write_changes(&fleet, rewritten);
     (0..3).for_each(|at| write_state(&fleet, at, "ready"));
     tokio::time::sleep(REWRITE_TIME).await;
@@ -102,11 +106,11 @@
 #[tokio::test]
 async fn endpoint_draining_before_a_rollback_gets_no_requests() {
     let fleet = start(3).await;
-    let copy = fleet.store.snapshot();
+    let snapshot = fleet.store.snapshot();
     write_state(&fleet, 0, "draining");
     tokio::time::sleep(REWRITE_TIME).await;
     assert_eq!(requests_reaching(&fleet, 0, "before").await, 0);
-    fleet.store.restore(copy);
+    fleet.store.restore(snapshot);
     wait_for_new_era(&fleet).await;
     assert_eq!(requests_reaching(&fleet, 0, "between").await, 0);
     (0..3).for_each(|at| write_state(&fleet, at, ["draining", "ready", "ready"][at]));
@@ -114,16 +118,16 @@
     assert_eq!(requests_reaching(&fleet, 0, "after").await, 0);
 }
 
-/// Guards against using an endpoint that is gone but still has a record in the copy.
+/// Guards against using an endpoint that was removed but still has a record in the snapshot.
 #[tokio::test]
 async fn endpoint_removed_before_a_rollback_gets_no_requests() {
     let fleet = start(3).await;
-    let copy = fleet.store.snapshot();
+    let snapshot = fleet.store.snapshot();
     let (key, _) = fleet.endpoints[0].record("a", "ready");
     fleet.store.remove(&key);
     tokio::time::sleep(SETTLE_TIME).await;
     assert_eq!(requests_reaching(&fleet, 0, "before").await, 0);
-    fleet.store.restore(copy);
+    fleet.store.restore(snapshot);
     wait_for_new_era(&fleet).await;
     (1..3).for_each(|at| write_state(&fleet, at, "ready"));
     assert_eq!(requests_reaching(&fleet, 0, "between").await, 0);
@@ -132,15 +136,15 @@
     assert_eq!(requests_reaching(&fleet, 0, "after").await, 0);
 }
 
-/// Guards against dropping a new endpoint that the copy lacks, before it rewrites its record.
+/// Guards against dropping a new endpoint that the snapshot lacks, before it rewrites its record.
 #[tokio::test]
 async fn endpoint_added_before_a_rollback_stays_in_use() {
     let mut fleet = start(3).await;
-    let copy = fleet.store.snapshot();
+    let snapshot = fleet.store.snapshot();
     fleet.add_endpoint("young", "plain").await.unwrap();
     tokio::time::sleep(REWRITE_TIME).await;
     assert!(requests_reaching(&fleet, 3, "before").await > 0);
-    fleet.store.restore(copy);
+    fleet.store.restore(snapshot);
     wait_for_new_era(&fleet).await;
     assert!(requests_reaching(&fleet, 3, "between").await > 0);
     (0..4).for_each(|at| write_state(&fleet, at, "ready"));
@@ -148,12 +152,12 @@
     assert!(requests_reaching(&fleet, 3, "after").await > 0);
 }
 
-/// Guards against reverting to the older configuration of the copy, and against ignoring the next
-/// one.
+/// Guards against reverting to the older configuration of the snapshot, and against ignoring the
+/// next one.
 #[tokio::test]
 async fn configuration_lost_in_a_rollback_stays_in_force() {
     let fleet = start(3).await;
-    let copy = fleet.store.snapshot();
+    let snapshot = fleet.store.snapshot();
     fleet
         .store
         .set(dockgate_platform::ROUTES_KEY, route_config(5, KEYS));
@@ -167,7 +171,7 @@
         }
     };
     in_force(5).await;
-    fleet.store.restore(copy);
+    fleet.store.restore(snapshot);
     wait_for_new_era(&fleet).await;
     tokio::time::sleep(REWRITE_TIME).await;
     in_force(5).await;
--- a/dockgate-bench/tests/suspension.rs
+++ b/dockgate-bench/tests/suspension.rs
@@ -1,4 +1,4 @@
-//! Suspension of a box, during which its monotonic clock and its timers stand still.
+//! Suspension of a box, during which its monotonic clock and timers stop.
 //!
 //! Guards against deadlines, ages and timeouts that leave out the time of the suspension.
 
@@ -57,7 +57,10 @@
         (answer.status(), std::time::Instant::now())
     };
     let later = async {
-        wait_until("an endpoint ran it", async || fleet.runs_of("over") == 1).await;
+        wait_until("an endpoint ran the request", async || {
+            fleet.runs_of("over") == 1
+        })
+        .await;
         for endpoint in &fleet.endpoints {
             endpoint.set_behavior(EndpointBehavior::Sound);
             endpoint.set_processing_time(Duration::from_secs(1));
@@ -65,7 +68,7 @@
         gateway
             .simulate_suspension(Duration::from_millis(DEADLINE_MS))
             .unwrap();
-        // Requests that arrive before the box notices count as old as the suspension.
+        // A request that arrives before the box notices is aged by the whole suspension.
         wait_until("the box notices the suspension", async || {
             gateway.logged().contains("\"woke\"")
         })
@@ -89,7 +92,7 @@
     const CALLS: usize = 40;
     let fleet = start_fleet(3, &["plain", "plain"]).await;
     let [leaving, _staying] = &fleet.endpoints[..] else {
-        panic!("there are two")
+        panic!("the fleet has two endpoints")
     };
     let suspended = &fleet.gateways[0];
     fleet.store_listeners[0].set_silent(true);
