--- a/dockgate-bench/src/standin/routed.rs
+++ b/dockgate-bench/src/standin/routed.rs
@@ -128,15 +128,8 @@
             id: id.to_owned(),
             started_ms,
         };
-        let (handler_state, handler_stop) = (state.clone(), stop.clone());
-        let handle = move |request| {
-            handle(
-                handler_state.clone(),
-                identity.clone(),
-                handler_stop.clone(),
-                request,
-            )
-        };
+        let (shared, kill) = (state.clone(), stop.clone());
+        let handle = move |request| handle(shared.clone(), identity.clone(), kill.clone(), request);
         let address = serve(handle, stop.clone()).await?;
         Ok(Self {
             id: id.to_owned(),
--- a/dockgate-bench/tests/caller_disconnects.rs
+++ b/dockgate-bench/tests/caller_disconnects.rs
@@ -25,10 +25,7 @@
                 .map(drop)
         });
         let endpoint = &fleet.endpoints[index];
-        wait_until("the endpoint runs the request", async || {
-            endpoint.running() == 1
-        })
-        .await;
+        wait_until("the endpoint runs r1", async || endpoint.running() == 1).await;
         pending.abort();
         wait_until("the endpoint stops", async || endpoint.running() == 0).await;
     }
@@ -136,7 +133,7 @@
     let write = caller.write_all(more.as_bytes());
     let _ = tokio::time::timeout(Duration::from_millis(300), write).await;
     let _half_closed = disconnect.apply(caller).await;
-    wait_until("no endpoint runs the request", async || running() == 0).await;
+    wait_until("no endpoint runs it", async || running() == 0).await;
     // Once this is answered, the box has handled all that was left on the closed connection.
     let other = call(&fleet.gateways[0], request("/none/x", "other", None)).await;
     assert_eq!(other.status(), 404);
--- a/dockgate-bench/tests/suspension.rs
+++ b/dockgate-bench/tests/suspension.rs
@@ -57,10 +57,7 @@
         (answer.status(), std::time::Instant::now())
     };
     let later = async {
-        wait_until("an endpoint ran the request", async || {
-            fleet.runs_of("over") == 1
-        })
-        .await;
+        wait_until("an endpoint ran it", async || fleet.runs_of("over") == 1).await;
         for endpoint in &fleet.endpoints {
             endpoint.set_behavior(EndpointBehavior::Sound);
             endpoint.set_processing_time(Duration::from_secs(1));
