--- a/dockgate-bench/tests/gateway.rs
+++ b/dockgate-bench/tests/gateway.rs
@@ -336,10 +336,7 @@
     fleet.store.remove("servers/life-0");
     fleet.store.set("servers/life-9", value);
     let gateway = &fleet.gateways[0];
-    wait_until("the endpoint is listed", async || {
-        gateway.logged().contains("life-9")
-    })
-    .await;
+    wait_until("it is listed", async || gateway.logged().contains("life-9")).await;
     // A box that has just started keeps a missing endpoint for a moment, as its lease may only have
     // expired.
     let gone = r#""event":"endpoint_gone","endpoint":"life-0""#;
@@ -427,10 +424,7 @@
     tokio::spawn(serve_surplus_responses(listener));
     fleet.store.set("servers/life-9", record);
     let gateway = &fleet.gateways[0];
-    wait_until("the endpoint is listed", async || {
-        gateway.logged().contains("life-9")
-    })
-    .await;
+    wait_until("it is listed", async || gateway.logged().contains("life-9")).await;
     for number in 0..5 {
         let id = format!("r{number}");
         let response = call(&fleet.gateways[0], request("/again/x", &id, None)).await;
--- a/xtask/src/main.rs
+++ b/xtask/src/main.rs
@@ -15,13 +15,13 @@
 /// Development tasks of the dockgate workspace.
 #[derive(Debug, Parser)]
 struct XtaskArgs {
-    /// Command to run.
+    /// Task to run.
     #[command(subcommand)]
-    command: XtaskCommand,
+    task: XtaskTask,
 }
 
 #[derive(Debug, Clone, Copy, Subcommand)]
-enum XtaskCommand {
+enum XtaskTask {
     /// Runs all checks that must pass before a change is merged.
     Ci,
     /// Checks the formatting.
@@ -47,23 +47,23 @@
     CheckDocs,
 }
 
-/// A process that a command runs.
-struct CommandStep {
+/// A process that a task runs.
+struct TaskStep {
     program: &'static str,
     args: &'static [&'static str],
     rustdoc_flags: &'static str,
 }
 
-const fn cargo(args: &'static [&'static str]) -> CommandStep {
-    CommandStep {
+const fn cargo(args: &'static [&'static str]) -> TaskStep {
+    TaskStep {
         program: "cargo",
         args,
         rustdoc_flags: "",
     }
 }
 
-const FMT: CommandStep = cargo(&["fmt", "--all", "--check"]);
-const LINT: CommandStep = cargo(&[
+const FMT: TaskStep = cargo(&["fmt", "--all", "--check"]);
+const LINT: TaskStep = cargo(&[
     "clippy",
     "--workspace",
     "--all-targets",
@@ -71,7 +71,7 @@
     "--deny",
     "warnings",
 ]);
-const DOCS: CommandStep = CommandStep {
+const DOCS: TaskStep = TaskStep {
     rustdoc_flags: "--deny warnings",
     ..cargo(&[
         "doc",
@@ -80,9 +80,9 @@
         "--document-private-items",
     ])
 };
-const BUILD: CommandStep = cargo(&["build", "--workspace"]);
-const TEST: CommandStep = cargo(&["test", "--workspace", "--no-fail-fast"]);
-const FLEET: CommandStep = cargo(&[
+const BUILD: TaskStep = cargo(&["build", "--workspace"]);
+const TEST: TaskStep = cargo(&["test", "--workspace", "--no-fail-fast"]);
+const FLEET: TaskStep = cargo(&[
     "run",
     "--package",
     "dockgate-bench",
@@ -96,8 +96,8 @@
     "5",
 ]);
 
-impl XtaskCommand {
-    fn steps(self) -> Vec<CommandStep> {
+impl XtaskTask {
+    fn steps(self) -> Vec<TaskStep> {
         match self {
             Self::Ci => vec![FMT, LINT, DOCS, BUILD, TEST, FLEET],
             Self::Soak { .. } | Self::CheckDocs => Vec::new(),
@@ -150,7 +150,7 @@
 }
 
 /// Runs the tests without those that are known to fail; returns whether they passed.
-fn run_tests(step: &CommandStep) -> bool {
+fn run_tests(step: &TaskStep) -> bool {
     let names = match read_known_red() {
         Ok(names) => names,
         Err(problem) => {
@@ -167,14 +167,14 @@
 }
 
 /// Runs a step; returns whether it succeeded.
-fn run(step: &CommandStep) -> bool {
+fn run(step: &TaskStep) -> bool {
     match step.args {
         ["test", ..] => run_tests(step),
         _ => run_with_args(step, std::iter::empty()),
     }
 }
 
-fn run_with_args(step: &CommandStep, extra_args: impl Iterator<Item = String>) -> bool {
+fn run_with_args(step: &TaskStep, extra_args: impl Iterator<Item = String>) -> bool {
     eprintln!("xtask: {} {}", step.program, step.args.join(" "));
     let mut command = Command::new(step.program);
     command.args(step.args).args(extra_args);
@@ -192,13 +192,11 @@
 
 fn main() -> ExitCode {
     let args = XtaskArgs::parse();
-    let passed = match args.command {
-        XtaskCommand::Soak { seed, seconds } => soak(seed, seconds),
-        XtaskCommand::CheckDocs => check_docs() && check_outer_names(),
-        XtaskCommand::Ci => {
-            check_docs() && check_outer_names() && args.command.steps().iter().all(run)
-        }
-        _ => args.command.steps().iter().all(run),
+    let passed = match args.task {
+        XtaskTask::Soak { seed, seconds } => soak(seed, seconds),
+        XtaskTask::CheckDocs => check_docs() && check_outer_names(),
+        XtaskTask::Ci => check_docs() && check_outer_names() && args.task.steps().iter().all(run),
+        _ => args.task.steps().iter().all(run),
     };
     match passed {
         true => ExitCode::SUCCESS,
