--- a/dockgate-bench/src/mixed_fleet/fleet_run.rs
+++ b/dockgate-bench/src/mixed_fleet/fleet_run.rs
@@ -107,7 +107,7 @@
         });
         let specs: Vec<BoxSpec> = specs.collect();
         let other_programs = specs.iter().enumerate();
-        let other_programs = other_programs.map(|(at, _)| programs[(at + 1) % 2].to_owned());
+        let other_programs = other_programs.map(|(index, _)| programs[(index + 1) % 2].to_owned());
         let other_programs = other_programs.collect();
         let started_ms = unix_ms();
         let fleet = GatewayFleet::start_boxes(&specs, &SERVICES, &mixed_config(1)).await?;
@@ -163,9 +163,9 @@
 
     /// Checks that each box sees all others and could use all their messages.
     async fn check_boxes(&mut self) {
-        for at in 0..self.fleet.gateways.len() {
+        for box_index in 0..self.fleet.gateways.len() {
             let live = format!("dockgate_boxes_live {}", self.fleet.gateways.len());
-            let gateway = &self.fleet.gateways[at];
+            let gateway = &self.fleet.gateways[box_index];
             let sees_all = wait_until_holds(async || gateway.metrics().await.contains(&live)).await;
             let metrics = gateway.metrics().await;
             let counted = metrics.lines().filter(|line| {
@@ -174,19 +174,21 @@
             });
             let counted: Vec<String> = counted.map(str::to_owned).collect();
             if !sees_all {
-                self.fail(format!("box {at} does not see all boxes"));
+                self.fail(format!("box {box_index} does not see all boxes"));
             }
-            let counted = counted.iter().map(|line| format!("box {at}: {line}"));
+            let counted = counted
+                .iter()
+                .map(|line| format!("box {box_index}: {line}"));
             self.report.violations.extend(counted);
         }
     }
 
     /// Waits until the log of each box contains a text.
     async fn wait_for_logs(&mut self, what: &str, text: &str) {
-        for at in 0..self.fleet.gateways.len() {
-            let gateway = &self.fleet.gateways[at];
+        for box_index in 0..self.fleet.gateways.len() {
+            let gateway = &self.fleet.gateways[box_index];
             if !wait_until_holds(async || gateway.logged().contains(text)).await {
-                self.fail(format!("box {at}: {what}"));
+                self.fail(format!("box {box_index}: {what}"));
             }
         }
     }
@@ -230,20 +232,20 @@
     /// Drains and removes the first endpoint of a service.
     pub(super) async fn drain_endpoint(&mut self, service: &str) {
         let endpoints = self.fleet.endpoints.iter();
-        let Some(at) = endpoints.enumerate().find_map(|(at, endpoint)| {
-            (endpoint.service == service && !endpoint.has_ended()).then_some(at)
+        let Some(index) = endpoints.enumerate().find_map(|(index, endpoint)| {
+            (endpoint.service == service && !endpoint.has_ended()).then_some(index)
         }) else {
             return;
         };
-        let id = self.fleet.endpoints[at].id.clone();
-        let (key, value) = self.fleet.endpoints[at].record(DOMAINS[0], "draining");
+        let id = self.fleet.endpoints[index].id.clone();
+        let (key, value) = self.fleet.endpoints[index].record(DOMAINS[0], "draining");
         self.fleet.store.set(&key, value);
         let text = format!(r#""event":"endpoint_draining","endpoint":"{id}""#);
         self.wait_for_logs("does not see a draining endpoint", &text)
             .await;
         tokio::time::sleep(DRAIN_TIME).await;
         self.fleet.store.remove(&key);
-        self.fleet.endpoints[at].kill();
+        self.fleet.endpoints[index].kill();
         let text = format!(r#""event":"endpoint_gone","endpoint":"{id}""#);
         self.wait_for_logs("does not see the end of an endpoint", &text)
             .await;
@@ -254,7 +256,7 @@
     /// Sends a request that crashes endpoints, until all boxes have it in quarantine.
     pub(super) async fn quarantine_request(&mut self) -> Result<(), BenchError> {
         let ids: Vec<String> = (0..CRASHING_ENDPOINTS)
-            .map(|at| format!("doomed-{at}"))
+            .map(|index| format!("doomed-{index}"))
             .collect();
         for id in &ids {
             self.fleet.add_endpoint_in("b", id, "doomed").await?;
@@ -293,14 +295,14 @@
 
     /// Checks that each box has the request in quarantine.
     async fn check_quarantine(&mut self) {
-        for at in 0..self.fleet.gateways.len() {
-            let gateway = &self.fleet.gateways[at];
+        for box_index in 0..self.fleet.gateways.len() {
+            let gateway = &self.fleet.gateways[box_index];
             let is_listed = async || {
                 let answer = gateway.quarantine(None).await;
                 answer.is_ok_and(|answer| answer.requests.len() == 1)
             };
             if !wait_until_holds(is_listed).await {
-                self.fail(format!("box {at}: the request is not in quarantine"));
+                self.fail(format!("box {box_index}: the request is not in quarantine"));
             }
         }
     }
@@ -309,16 +311,17 @@
     pub(super) async fn kill_boxes(&mut self) -> Result<(), BenchError> {
         self.check_boxes().await;
         for build in [0, 1] {
-            let at = 2 * self.rng.random_range(0..DOMAINS.len()) + build;
+            let box_index = 2 * self.rng.random_range(0..DOMAINS.len()) + build;
             let down_ms = unix_ms();
-            self.rotation.set(at, false);
-            self.kills.push((at, Instant::now()));
-            self.fleet.gateways[at].kill();
+            self.rotation.set(box_index, false);
+            self.kills.push((box_index, Instant::now()));
+            self.fleet.gateways[box_index].kill();
             let downtime = Duration::from_millis(self.rng.random_range(DOWNTIME_MS));
             tokio::time::sleep(downtime).await;
             self.write_config();
-            self.start_again(at, down_ms).await?;
-            self.settle(&format!("box {at} killed and started")).await;
+            self.start_again(box_index, down_ms).await?;
+            self.settle(&format!("box {box_index} killed and started"))
+                .await;
         }
         self.check_boxes().await;
         Ok(())
@@ -327,10 +330,11 @@
     /// Stops one box of each build gracefully, and restarts it.
     pub(super) async fn stop_boxes(&mut self) -> Result<(), BenchError> {
         for build in [0, 1] {
-            let at = 2 * self.rng.random_range(0..DOMAINS.len()) + build;
-            let down_ms = self.stop_gateway(at).await;
-            self.start_again(at, down_ms).await?;
-            self.settle(&format!("box {at} stopped and started")).await;
+            let box_index = 2 * self.rng.random_range(0..DOMAINS.len()) + build;
+            let down_ms = self.stop_gateway(box_index).await;
+            self.start_again(box_index, down_ms).await?;
+            self.settle(&format!("box {box_index} stopped and started"))
+                .await;
         }
         self.check_boxes().await;
         Ok(())
@@ -339,10 +343,10 @@
     /// Stops each box in turn, and restarts it with the other program on the same settings and
     /// store.
     pub(super) async fn swap_programs(&mut self) -> Result<(), BenchError> {
-        for at in 0..self.fleet.gateways.len() {
-            let down_ms = self.stop_gateway(at).await;
-            self.swap_program(at);
-            self.start_again(at, down_ms).await?;
+        for box_index in 0..self.fleet.gateways.len() {
+            let down_ms = self.stop_gateway(box_index).await;
+            self.swap_program(box_index);
+            self.start_again(box_index, down_ms).await?;
         }
         self.settle("each box runs the other build").await;
         self.check_boxes().await;
@@ -367,15 +371,15 @@
             .gateways
             .iter_mut()
             .for_each(GatewayProcess::kill);
-        for at in 0..self.fleet.gateways.len() {
-            self.swap_program(at);
-            self.fleet.gateways[at].restart()?;
+        for box_index in 0..self.fleet.gateways.len() {
+            self.swap_program(box_index);
+            self.fleet.gateways[box_index].restart()?;
         }
-        for at in 0..self.fleet.gateways.len() {
-            self.wait_until_ready(at, 0).await;
+        for box_index in 0..self.fleet.gateways.len() {
+            self.wait_until_ready(box_index, 0).await;
         }
-        for at in 0..self.fleet.gateways.len() {
-            self.record_downtime(at, down_ms);
+        for box_index in 0..self.fleet.gateways.len() {
+            self.record_downtime(box_index, down_ms);
         }
         self.check_boxes().await;
         self.check_quarantine().await;
@@ -397,59 +401,59 @@
         Ok(())
     }
 
-    fn swap_program(&mut self, at: usize) {
-        let gateway = &mut self.fleet.gateways[at];
+    fn swap_program(&mut self, box_index: usize) {
+        let gateway = &mut self.fleet.gateways[box_index];
         let before = gateway.program().to_owned();
-        gateway.set_program(&self.other_programs[at]);
-        self.other_programs[at] = before;
+        gateway.set_program(&self.other_programs[box_index]);
+        self.other_programs[box_index] = before;
     }
 
     /// Stops a box, takes it out of rotation once it is not ready, and waits for its exit; returns
     /// when the stop began, in Unix milliseconds.
-    async fn stop_gateway(&mut self, at: usize) -> u64 {
+    async fn stop_gateway(&mut self, box_index: usize) -> u64 {
         let down_ms = unix_ms();
-        let start = self.fleet.gateways[at].logged().len();
-        self.fleet.gateways[at].signal(Signal::SIGTERM);
-        let gateway = &self.fleet.gateways[at];
+        let start = self.fleet.gateways[box_index].logged().len();
+        self.fleet.gateways[box_index].signal(Signal::SIGTERM);
+        let gateway = &self.fleet.gateways[box_index];
         wait_until_holds(async || !gateway.is_ready().await).await;
-        self.rotation.set(at, false);
-        let gateway = &mut self.fleet.gateways[at];
+        self.rotation.set(box_index, false);
+        let gateway = &mut self.fleet.gateways[box_index];
         let ended = wait_until_holds(async || gateway.has_exited()).await;
         let logged = gateway.logged();
         gateway.kill();
         let in_time = r#""event":"stopped","in_time":true,"cut":0"#;
         if !ended || !logged[start..].contains(in_time) {
-            self.fail(format!("box {at} did not stop in time"));
+            self.fail(format!("box {box_index} did not stop in time"));
         }
         down_ms
     }
 
-    async fn start_again(&mut self, at: usize, down_ms: u64) -> Result<(), BenchError> {
-        let start = self.fleet.gateways[at].logged().len();
-        self.fleet.gateways[at].restart()?;
-        self.wait_until_ready(at, start).await;
-        self.record_downtime(at, down_ms);
-        self.rotation.set(at, true);
+    async fn start_again(&mut self, box_index: usize, down_ms: u64) -> Result<(), BenchError> {
+        let start = self.fleet.gateways[box_index].logged().len();
+        self.fleet.gateways[box_index].restart()?;
+        self.wait_until_ready(box_index, start).await;
+        self.record_downtime(box_index, down_ms);
+        self.rotation.set(box_index, true);
         Ok(())
     }
 
     /// Waits until a box is ready and has logged the newest configuration after byte `start` of its
     /// log.
-    async fn wait_until_ready(&mut self, at: usize, start: usize) {
+    async fn wait_until_ready(&mut self, box_index: usize, start: usize) {
         let text = format!(r#""version":{},"source""#, self.version);
-        let gateway = &self.fleet.gateways[at];
+        let gateway = &self.fleet.gateways[box_index];
         let is_ready =
             async || gateway.is_ready().await && gateway.logged()[start..].contains(&text);
         if !wait_until_holds(is_ready).await {
             self.fail(format!(
-                "box {at} is not ready again with configuration {}",
+                "box {box_index} is not ready again with configuration {}",
                 self.version
             ));
         }
     }
 
-    fn record_downtime(&mut self, at: usize, down_ms: u64) {
-        let ip: Ipv4Addr = self.fleet.gateways[at].ip();
+    fn record_downtime(&mut self, box_index: usize, down_ms: u64) {
+        let ip: Ipv4Addr = self.fleet.gateways[box_index].ip();
         self.downtimes.push(Downtime {
             ip,
             unix_ms: down_ms..unix_ms() + DETECTION_MS,
@@ -497,10 +501,10 @@
     /// Checks the logs and returns the report.
     pub(super) async fn finish(mut self, name: &'static str) -> MixedReport {
         self.check_boxes().await;
-        for (at, gateway) in self.fleet.gateways.iter().enumerate() {
+        for (box_index, gateway) in self.fleet.gateways.iter().enumerate() {
             let log = gateway.logged();
             let forbidden = forbidden_lines(&log, &self.downtimes).into_iter();
-            let forbidden = forbidden.map(|line| format!("box {at}: {line}"));
+            let forbidden = forbidden.map(|line| format!("box {box_index}: {line}"));
             self.report.violations.extend(forbidden);
             self.report.problems.extend(problem_lines(&log));
         }
--- a/dockgate-bench/src/mixed_fleet/steady_caller.rs
+++ b/dockgate-bench/src/mixed_fleet/steady_caller.rs
@@ -112,7 +112,7 @@
 
     fn pick(&self, rng: &mut StdRng) -> usize {
         let in_rotation = self.locked();
-        let boxes = (0..in_rotation.len()).filter(|at| in_rotation[*at]);
+        let boxes = (0..in_rotation.len()).filter(|box_index| in_rotation[*box_index]);
         let boxes: Vec<usize> = boxes.collect();
         boxes[rng.random_range(0..boxes.len())]
     }
--- a/dockgate-bench/tests/store_rollback.rs
+++ b/dockgate-bench/tests/store_rollback.rs
@@ -37,9 +37,9 @@
             .gateways
             .iter()
             .enumerate()
-            .flat_map(|(box_at, gateway)| {
+            .flat_map(|(box_index, gateway)| {
                 (0..4).map(move |attempt| {
-                    let id = format!("{round}-{box_at}-{number}-{attempt}");
+                    let id = format!("{round}-{box_index}-{number}-{attempt}");
                     call(gateway, request("/again/x", &id, None))
                 })
             });
