--- a/dockgate-bench/src/gateway_soak.rs
+++ b/dockgate-bench/src/gateway_soak.rs
@@ -38,7 +38,8 @@
 const CALLERS: usize = 9;
 /// Number of callers that disconnect early, in runs of [`SoakFaults::CallerDisconnects`].
 const DISCONNECTING_CALLERS: u64 = 60;
-/// Time per stream event in those runs, so that streams outlast their callers.
+/// Time per stream event in runs of [`SoakFaults::CallerDisconnects`], so that streams outlast
+/// their callers.
 const EVENT_INTERVAL: Duration = Duration::from_millis(90);
 /// Time within which a gateway must be ready after all faults are undone.
 const READY_TIMEOUT: Duration = Duration::from_secs(12);
@@ -57,7 +58,7 @@
     #[default]
     All,
     /// Delayed updates while endpoints leave: the store does not answer some boxes, watches stall
-    /// and configurations are large. Boxes are left alone, so each must learn in time which
+    /// and configurations are large. Boxes are not disturbed, so each must learn in time which
     /// endpoints leave.
     #[value(name = "late-news")]
     DelayedUpdates,
@@ -68,7 +69,7 @@
     CrashingRequests,
     /// Callers that disconnect early, many with pipelined requests, while boxes are stopped and
     /// continued in turn, endpoints fail and configurations are large. Nothing reaches an endpoint
-    /// for a caller that is gone.
+    /// for a caller that has disconnected.
     #[value(name = "leaving")]
     CallerDisconnects,
     /// Endpoints that announce only in their answers that they leave, and restart under the same
@@ -76,8 +77,8 @@
     /// and the store is unavailable.
     Notices,
     /// A store that is restored from older snapshots, while updates are delayed and endpoints
-    /// leave. Boxes are left alone: each must learn in time which endpoints leave, and callers are
-    /// not affected.
+    /// leave. Boxes are not disturbed: each must learn in time which endpoints leave, and callers
+    /// are not affected.
     #[value(name = "older-copies")]
     StoreRestores,
 }
--- a/dockgate-bench/src/gateway_soak/crashing_caller.rs
+++ b/dockgate-bench/src/gateway_soak/crashing_caller.rs
@@ -13,7 +13,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-/// Number of such requests; their callers start one after the other.
+/// Number of crashing requests; their callers start one after the other.
 pub(super) const CRASHING_REQUESTS: usize = 3;
 /// Time between the starts of two callers, in milliseconds.
 const STAGGER_MS: u64 = 2_500;
@@ -23,12 +23,12 @@
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Time after which a crashed endpoint is restarted, in milliseconds.
 const DOWNTIME_MS: std::ops::Range<u64> = 100..1_500;
-/// Number of crashes after which a request is known to cause them.
+/// Number of crashes after which a request is quarantined.
 const CRASHES_TO_QUARANTINE: usize = 3;
-/// Time after the last of them within which connected boxes stop sending the request. A box counts
-/// as connected once it has been undisturbed for this long.
+/// Time after the last of these crashes within which connected boxes stop sending the request. A
+/// box counts as connected once it has been undisturbed for this long.
 const SYNC_TIME: Duration = Duration::from_secs(3);
-/// Maximum number of times that each request is sent after that.
+/// Maximum number of times that connected boxes send each request after [`SYNC_TIME`].
 const MAX_LATE_SENDS: usize = 3;
 const ROUTES: [SoakRoute; CRASHING_REQUESTS] = [SoakRoute::Once, SoakRoute::Live, SoakRoute::Again];
 
--- a/dockgate-bench/src/gateway_soak/fault_injector.rs
+++ b/dockgate-bench/src/gateway_soak/fault_injector.rs
@@ -22,9 +22,9 @@
 const MAX_REPLACEMENTS: usize = 6;
 /// Time between an endpoint's drain and its end.
 const DRAIN_TIME: Duration = Duration::from_millis(2_500);
-/// The same where requests that arrive after the drain are checked.
+/// Time between an endpoint's drain and its end in runs that check for requests after the drain.
 const CHECKED_DRAIN_TIME: Duration = Duration::from_secs(6);
-/// Time after a drain within which requests must stop arriving; the default of the settings.
+/// Time after a drain within which requests must stop arriving: the default `drain_ms`.
 const DRAIN_DEADLINE: Duration = Duration::from_secs(2);
 /// Time for which the store does not answer a box, in milliseconds.
 const UNANSWERED_MS: std::ops::Range<u64> = 1_000..9_000;
@@ -32,7 +32,7 @@
 const SLOW_TIME: Duration = Duration::from_millis(2_500);
 /// Length of each pause of an intermittent box, in milliseconds.
 const STOPPED_MS: std::ops::Range<u64> = 20..900;
-/// Time for which it runs between two pauses, in milliseconds.
+/// Time for which an intermittent box runs between two pauses, in milliseconds.
 const RUNNING_MS: std::ops::Range<u64> = 2..30;
 /// Time for which an endpoint that announces in its answers that it leaves keeps running, in
 /// milliseconds.
@@ -74,7 +74,7 @@
     Recover(usize),
     RemoveEndpoint(usize),
     AnswerAgain(usize),
-    /// Ends an endpoint and leaves its record behind.
+    /// Ends an endpoint without removing its record.
     EndEndpoint(usize),
     /// Makes endpoints accept requests again.
     ResetBackoff,
--- a/dockgate-bench/src/gateway_soak/notice_check.rs
+++ b/dockgate-bench/src/gateway_soak/notice_check.rs
@@ -1,4 +1,4 @@
-//! Checks that boxes obey the notices that endpoints give in their answers.
+//! Checks that boxes respect the notices that endpoints give in their answers.
 
 use super::fault_injector::FaultInjector;
 use super::soak_call::SoakCall;
@@ -6,7 +6,7 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// Time until a backoff takes effect; requests sent before are still on their way.
+/// Time until a backoff takes effect; requests sent before may still be in transit.
 const BACKOFF_SLACK: Duration = Duration::from_millis(500);
 /// Maximum number of requests of a box that may reach an endpoint during its backoff.
 const MAX_SENDS_IN_BACKOFF: usize = 2;
--- a/dockgate-bench/src/gateway_soak/store_snapshots.rs
+++ b/dockgate-bench/src/gateway_soak/store_snapshots.rs
@@ -27,7 +27,7 @@
         self.snapshots.truncate(MAX_SNAPSHOTS);
     }
 
-    /// Returns when lost records were last written again before `before`.
+    /// Returns the last time before `before` at which lost records were written again.
     pub(super) fn last_rewrite(&self, before: Instant) -> Option<Instant> {
         let rewrites = self.rewrites.iter().copied();
         rewrites.filter(|rewrite| *rewrite < before).max()
--- a/dockgate-bench/src/mixed_fleet/fleet_run.rs
+++ b/dockgate-bench/src/mixed_fleet/fleet_run.rs
@@ -25,7 +25,7 @@
 const SERVICES: [&str; 4] = ["plain", "plain", "model", "model"];
 /// Number of endpoints that crash on the request that is quarantined.
 const CRASHING_ENDPOINTS: usize = 3;
-/// The body of that request.
+/// The body of the request that is quarantined.
 const CRASH_BODY: Bytes = Bytes::from_static(b"deadly");
 /// Number of callers.
 const CALLERS: usize = 8;
@@ -161,7 +161,7 @@
         self.report.violations.push(what);
     }
 
-    /// Checks that each box sees all others and could use all their messages.
+    /// Checks that each box sees all others and has ignored none of their messages.
     async fn check_boxes(&mut self) {
         for box_index in 0..self.fleet.gateways.len() {
             let live = format!("dockgate_boxes_live {}", self.fleet.gateways.len());
--- a/dockgate-bench/src/standin/peer.rs
+++ b/dockgate-bench/src/standin/peer.rs
@@ -121,7 +121,7 @@
             },
         };
         if let Ok(bytes) = datagram.encode() {
-            // A lost datagram is made up for by the next one.
+            // The next datagram replaces a lost one.
             let _ = socket.send_to(&bytes, to).await;
         }
         tokio::time::sleep(HEARTBEAT_INTERVAL).await;
--- a/dockgate-bench/tests/caller_disconnects.rs
+++ b/dockgate-bench/tests/caller_disconnects.rs
@@ -73,8 +73,8 @@
 enum PipelinedData {
     EmptyLine,
     OneRequest,
-    /// More than the box reads ahead, but no more than its socket buffer holds, as the box cannot
-    /// see a close that is still queued at the caller.
+    /// More than the box reads ahead, but no more than fits in its socket buffer: the box cannot
+    /// detect a close that is still queued at the caller.
     ManyRequests,
 }
 
@@ -134,7 +134,7 @@
     let _ = tokio::time::timeout(Duration::from_millis(300), write).await;
     let _half_closed = disconnect.apply(caller).await;
     wait_until("no endpoint runs it", async || running() == 0).await;
-    // Once this is answered, the box has handled all that was left on the closed connection.
+    // Once this is answered, the box has handled the remaining data of the closed connection.
     let other = call(&fleet.gateways[0], request("/none/x", "other", None)).await;
     assert_eq!(other.status(), 404);
     let metrics = fleet.gateways[0].metrics().await;
@@ -171,7 +171,7 @@
 }
 
 /// Guards against a request that was still in socket buffers reaching the endpoint after its caller
-/// has disconnected, as a closed connection delivers what it holds.
+/// has disconnected, as a closed connection still delivers its buffered data.
 #[tokio::test]
 async fn unread_request_is_discarded_when_the_caller_disconnects() {
     const RECEIVE_BUFFER: u32 = 2_048;
--- a/dockgate-bench/tests/endpoint_notices.rs
+++ b/dockgate-bench/tests/endpoint_notices.rs
@@ -14,7 +14,7 @@
 const ROUNDS: usize = 8;
 /// Number of concurrent requests of a round.
 const CONCURRENT_REQUESTS: usize = 8;
-/// Time an endpoint takes for a response or an event of a stream.
+/// Time that an endpoint takes for a response or an event of a stream.
 const RESPONSE_TIME: Duration = Duration::from_millis(10);
 const BACKOFF: Duration = Duration::from_secs(3);
 /// Maximum number of requests that a box may send to an endpoint during its backoff.
