--- a/dockgate-bench/tests/signals.rs
+++ b/dockgate-bench/tests/signals.rs
@@ -59,7 +59,7 @@
 
 /// Guards against an idle box that exits at once and closes connections on which requests arrive.
 #[tokio::test]
-async fn idle_box_serves_requests_that_arrive_while_it_stops() {
+async fn idle_box_serves_requests_that_cross_its_stop() {
     let fleet = start_fleet(1, &["plain"]).await;
     let mut idle = connect(fleet.gateways[0].caller_address()).await;
     let gateway = &fleet.gateways[0];
