--- a/dockgate-bench/src/gateway_soak/store_snapshots.rs
+++ b/dockgate-bench/src/gateway_soak/store_snapshots.rs
@@ -27,7 +27,7 @@
         self.snapshots.truncate(MAX_SNAPSHOTS);
     }
 
-    /// Returns when lost records were last written again before `before`.
+    /// Returns the last time before `before` at which lost records were written again.
     pub(super) fn last_rewrite(&self, before: Instant) -> Option<Instant> {
         let rewrites = self.rewrites.iter().copied();
         rewrites.filter(|rewrite| *rewrite < before).max()
@@ -42,8 +42,8 @@
             return;
         };
         let back = self.rng.random_range(0..=last);
-        let lost = self.snapshots.snapshots.drain(last - back..).next();
-        let Some(snapshot) = lost else { return };
+        let restored = self.snapshots.snapshots.drain(last - back..).next();
+        let Some(snapshot) = restored else { return };
         fleet.store.restore(snapshot);
         let at = self.started.elapsed().as_millis();
         self.fault_log
