--- a/dockgate-core/src/gateway/answer_verdict.rs
+++ b/dockgate-core/src/gateway/answer_verdict.rs
@@ -4,6 +4,8 @@
 //! success without the endpoint's proof that it generated the answer, or an answer to another
 //! request, is unusable.
 
+use std::fmt;
+
 /// The request that an answer belongs to, by the id in its head.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AnswerOwner {
@@ -16,7 +18,7 @@
 }
 
 /// The attributes of an answer that its head shows.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+#[derive(Clone, Copy, PartialEq, Eq)]
 pub struct AnswerAttributes {
     /// The HTTP status.
     pub status: u16,
@@ -46,6 +48,20 @@
 /// Statuses from which callers conclude that a request has not run.
 const NOT_RUN_STATUSES: [u16; 4] = [408, 421, 429, 503];
 
+/// Formats the attributes under the name that log lines carry: failures are grouped by their text.
+impl fmt::Debug for AnswerAttributes {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter
+            .debug_struct("AnswerSigns")
+            .field("status", &self.status)
+            .field("owner", &self.owner)
+            .field("has_proof", &self.has_proof)
+            .field("not_run", &self.not_run)
+            .field("is_encoded", &self.is_encoded)
+            .finish()
+    }
+}
+
 impl AnswerAttributes {
     /// Classifies the answer.
     pub fn classify(&self) -> AnswerVerdict {
--- a/dockgate-core/src/gateway/answer_verdict/tests.rs
+++ b/dockgate-core/src/gateway/answer_verdict/tests.rs
@@ -42,3 +42,16 @@
         }
     }
 }
+
+#[test]
+fn attributes_are_logged_under_their_outer_name() {
+    let attributes = AnswerAttributes {
+        status: 200,
+        owner: AnswerOwner::Own,
+        has_proof: false,
+        not_run: false,
+        is_encoded: true,
+    };
+    let logged = "AnswerSigns { status: 200, owner: Own, has_proof: false, not_run: false, is_encoded: true }";
+    assert_eq!(format!("{attributes:?}"), logged);
+}
