--- a/dockgate-core/src/ini.rs
+++ b/dockgate-core/src/ini.rs
@@ -1,6 +1,6 @@
 //! Reads INI files and reports every problem with its line.
 //!
-//! Declarations, daemon settings and bench scenarios are read by [`IniDocument`]. The syntax is
+//! Declarations, daemon settings and load scenarios are read by [`IniDocument`]. The syntax is
 //! that of the `rust-ini` library; this module adds line numbers and duplicate detection, and
 //! collects all problems of a file into one error.
 
--- a/dockgate-core/src/invariant.rs
+++ b/dockgate-core/src/invariant.rs
@@ -1,6 +1,7 @@
 //! Invariants that are checked at run time, in every build.
 //!
-//! Violations are counted for the metrics. In tests and in the bench they panic.
+//! Violations are counted for the metrics. They panic in the unit tests of this crate, and after
+//! [`set_fatal_invariants`] has turned that on.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 
